--- a/lease/era_test.go
+++ b/lease/era_test.go
@@ -149,7 +149,7 @@
 	}
 	if !w.blind && c.era > n.era {
 		n.era = c.era
-		if err := w.step(i, EraIs{Era: c.era}); err != nil {
+		if err := w.step(i, EraChanged{Era: c.era}); err != nil {
 			return err
 		}
 	}
--- a/lease/machine.go
+++ b/lease/machine.go
@@ -81,7 +81,7 @@
 		m.doubtful = false
 	case Wrote:
 		actions = m.wrote(now, e)
-	case EraIs:
+	case EraChanged:
 		actions = m.eraIs(now, e.Era)
 	}
 	actions = append(actions, m.lapse(now)...)
--- a/lease/record.go
+++ b/lease/record.go
@@ -64,9 +64,9 @@
 	Revision int64
 }
 
-// EraIs tells the era of the store, before what is read or written in it. Each begins when
+// EraChanged tells the era of the store, before what is read or written in it. Each begins when
 // the store comes back from a copy some seconds old: what it acknowledged since is gone.
-type EraIs struct{ Era int64 }
+type EraChanged struct{ Era int64 }
 
 // Tick lets time pass.
 type Tick struct{}
@@ -83,7 +83,7 @@
 func (Seen) isEvent()     {}
 func (Missing) isEvent()  {}
 func (Wrote) isEvent()    {}
-func (EraIs) isEvent()    {}
+func (EraChanged) isEvent()    {}
 func (Tick) isEvent()     {}
 func (Campaign) isEvent() {}
 
--- a/lease/runner.go
+++ b/lease/runner.go
@@ -122,7 +122,7 @@
 	if era := r.era(); era != r.toldEra {
 		// What was read or written may be of the era before.
 		r.toldEra = era
-		r.carryOut(ctx, EraIs{Era: era})
+		r.carryOut(ctx, EraChanged{Era: era})
 		switch e.(type) {
 		case Seen, Missing:
 			return
