--- a/lease/machine.go
+++ b/lease/machine.go
@@ -72,7 +72,7 @@
 	var actions []Action
 	switch e := e.(type) {
 	case Campaign:
-		m.want, m.look = e.Want, e.Want || e.Look
+		m.want, m.look = e.Want, e.Want || e.Observe
 	case Seen:
 		actions = m.observe(now, e)
 	case Missing:
--- a/lease/machine_test.go
+++ b/lease/machine_test.go
@@ -237,18 +237,18 @@
 	now := time.Unix(1000, 0)
 	cfg := Config{Holder: "b", Duration: 1800 * time.Millisecond, RenewEvery: 500 * time.Millisecond, Drift: 200 * time.Millisecond}
 	m := NewMachine(cfg)
-	require.Equal(t, []Action{Read{}}, m.Step(now, Campaign{Look: true}))
+	require.Equal(t, []Action{Read{}}, m.Step(now, Campaign{Observe: true}))
 	seen := Seen{Record: Record{Holder: "a", Epoch: 4}, Version: "7", Revision: 7}
 	require.Empty(t, m.Step(now, seen))
 	now = now.Add(1900 * time.Millisecond)
-	require.Empty(t, m.Step(now, Campaign{Look: true}), "one read is enough")
+	require.Empty(t, m.Step(now, Campaign{Observe: true}), "one read is enough")
 	require.Equal(t, []Action{Read{}}, m.Step(now, Campaign{Want: true}))
 	require.Empty(t, m.Step(now, seen), "not for its whole duration yet")
 	now = now.Add(100 * time.Millisecond)
 	actions := m.Step(now, Campaign{Want: true})
 	require.Equal(t, []Action{Write{Record: Record{Holder: "b", Epoch: 5}, Version: "7"}}, actions)
 	looking := NewMachine(cfg)
-	looking.Step(now, Campaign{Look: true})
+	looking.Step(now, Campaign{Observe: true})
 	looking.Step(now, Missing{})
-	require.Empty(t, looking.Step(now, Campaign{Look: true}), "who only looks takes nothing")
+	require.Empty(t, looking.Step(now, Campaign{Observe: true}), "who only looks takes nothing")
 }
--- a/lease/record.go
+++ b/lease/record.go
@@ -75,9 +75,9 @@
 // holding releases the lease.
 type Campaign struct {
 	Want bool
-	// Look asks to follow the lease without the wish to hold it, for one who is about to want
+	// Observe asks to follow the lease without the wish to hold it, for one who is about to want
 	// it: how long it has not been renewed counts from when it was first read.
-	Look bool
+	Observe bool
 }
 
 func (Seen) isEvent()     {}
--- a/lease/runner.go
+++ b/lease/runner.go
@@ -88,7 +88,7 @@
 			r.release()
 			return
 		case <-ticker.C:
-			r.step(ctx, Campaign{Want: r.campaign(), Look: r.look()})
+			r.step(ctx, Campaign{Want: r.campaign(), Observe: r.look()})
 		}
 	}
 }
