--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -330,7 +330,7 @@
 			_, held := d.runner.Hold()
 			return p.campaigns(pool, held)
 		},
-		Look:  func() bool { return p.looks(pool) },
+		Observe:  func() bool { return p.looks(pool) },
 		Lease: lease.Config{Holder: p.holder, Duration: leaseDuration, RenewEvery: leaseRenewal, Drift: leaseDrift},
 	})
 	d.tell(counted.Alone{Alone: p.isAlone})
--- a/lease/runner.go
+++ b/lease/runner.go
@@ -46,8 +46,8 @@
 	Changed func(Action)
 	// Campaign tells whether this instance wants the lease now.
 	Campaign func() bool
-	// Look tells whether it is about to; nil means never.
-	Look func() bool
+	// Observe tells whether it is about to; nil means never.
+	Observe func() bool
 	// Tick is the time between looks at the lease; 0 means the default.
 	Tick time.Duration
 	// Era returns the store's newest era; nil for a store that has none.
@@ -59,8 +59,8 @@
 	if cfg.Tick == 0 {
 		cfg.Tick = tickEvery
 	}
-	if cfg.Look == nil {
-		cfg.Look = func() bool { return false }
+	if cfg.Observe == nil {
+		cfg.Observe = func() bool { return false }
 	}
 	if cfg.Era == nil {
 		cfg.Era = func() int64 { return 0 }
@@ -68,7 +68,7 @@
 	return &Runner{
 		tick: cfg.Tick, era: cfg.Era,
 		name: cfg.Name, machine: NewMachine(cfg.Lease), client: cfg.Client,
-		now: cfg.Now, changed: cfg.Changed, campaign: cfg.Campaign, look: cfg.Look,
+		now: cfg.Now, changed: cfg.Changed, campaign: cfg.Campaign, look: cfg.Observe,
 	}
 }
 
