--- a/lease/machine.go
+++ b/lease/machine.go
@@ -199,7 +199,7 @@
 	if was {
 		return nil
 	}
-	return []Action{Acquired{Epoch: epoch, Lapsed: m.lapsed}}
+	return []Action{Acquired{Epoch: epoch, Expired: m.lapsed}}
 }
 
 func (m *Machine) lose() []Action {
--- a/lease/record.go
+++ b/lease/record.go
@@ -102,9 +102,9 @@
 // Acquired says that the lease is held with this epoch.
 type Acquired struct {
 	Epoch int64
-	// Lapsed tells that the lease was taken because it had not been renewed, not
+	// Expired tells that the lease was taken because it had not been renewed, not
 	// because it was free.
-	Lapsed bool
+	Expired bool
 }
 
 // Lost says that the lease is no longer held.
