--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -331,7 +331,7 @@
 			return p.campaigns(pool, held)
 		},
 		Observe:  func() bool { return p.looks(pool) },
-		Lease: lease.Config{Holder: p.holder, Duration: leaseDuration, RenewEvery: leaseRenewal, Drift: leaseDrift},
+		Lease: lease.Config{Holder: p.holder, Duration: leaseDuration, RenewEvery: leaseRenewal, ClockDrift: leaseDrift},
 	})
 	d.tell(counted.Alone{Alone: p.isAlone})
 	p.done.Go(func() { d.run(p.ctx) })
--- a/lease/machine.go
+++ b/lease/machine.go
@@ -99,7 +99,7 @@
 	if era <= firstEra {
 		return nil
 	}
-	m.settledAt = now.Add(m.cfg.Duration + m.cfg.Drift)
+	m.settledAt = now.Add(m.cfg.Duration + m.cfg.ClockDrift)
 	m.exists, m.seen, m.doubtful, m.lateWrite, m.revision = false, false, false, false, 0
 	m.readAt = time.Time{}
 	if m.writing != nil {
@@ -194,7 +194,7 @@
 func (m *Machine) hold(epoch int64, sentAt time.Time) []Action {
 	was := m.held && m.epoch == epoch
 	m.held, m.epoch = true, epoch
-	m.validUntil = sentAt.Add(m.cfg.Duration - m.cfg.Drift)
+	m.validUntil = sentAt.Add(m.cfg.Duration - m.cfg.ClockDrift)
 	m.renewAt = sentAt.Add(m.cfg.RenewEvery)
 	if was {
 		return nil
@@ -249,7 +249,7 @@
 	if !m.exists || m.known.Holder == "" {
 		return true
 	}
-	return now.Sub(m.changedAt) >= m.cfg.Duration+m.cfg.Drift
+	return now.Sub(m.changedAt) >= m.cfg.Duration+m.cfg.ClockDrift
 }
 
 func (m *Machine) read(now time.Time, every time.Duration) []Action {
--- a/lease/machine_test.go
+++ b/lease/machine_test.go
@@ -235,7 +235,7 @@
 // once it is, it is taken as soon as it has not been renewed for its duration, and not before.
 func TestLookCountsTowardsTheWait(t *testing.T) {
 	now := time.Unix(1000, 0)
-	cfg := Config{Holder: "b", Duration: 1800 * time.Millisecond, RenewEvery: 500 * time.Millisecond, Drift: 200 * time.Millisecond}
+	cfg := Config{Holder: "b", Duration: 1800 * time.Millisecond, RenewEvery: 500 * time.Millisecond, ClockDrift: 200 * time.Millisecond}
 	m := NewMachine(cfg)
 	require.Equal(t, []Action{Read{}}, m.Step(now, Campaign{Observe: true}))
 	seen := Seen{Record: Record{Holder: "a", Epoch: 4}, Version: "7", Revision: 7}
--- a/lease/record.go
+++ b/lease/record.go
@@ -24,9 +24,9 @@
 	Duration time.Duration
 	// RenewEvery is the time between renewals.
 	RenewEvery time.Duration
-	// Drift is what a challenger waits longer, and a holder stops earlier, for
+	// ClockDrift is what a challenger waits longer, and a holder stops earlier, for
 	// clocks that do not run at the same rate.
-	Drift time.Duration
+	ClockDrift time.Duration
 }
 
 // Defaults of Config.
@@ -38,7 +38,7 @@
 
 // NewConfig returns the defaults for a holder.
 func NewConfig(holder string) Config {
-	return Config{Holder: holder, Duration: DefaultDuration, RenewEvery: DefaultRenewEvery, Drift: DefaultDrift}
+	return Config{Holder: holder, Duration: DefaultDuration, RenewEvery: DefaultRenewEvery, ClockDrift: DefaultDrift}
 }
 
 // Event is an input of a Machine.
--- a/lease/suspended_test.go
+++ b/lease/suspended_test.go
@@ -40,7 +40,7 @@
 
 func newInstance(name string, counts bool) *instance {
 	i := &instance{counts: counts, machine: NewMachine(Config{
-		Holder: name, Duration: 1800 * time.Millisecond, RenewEvery: 500 * time.Millisecond, Drift: 200 * time.Millisecond,
+		Holder: name, Duration: 1800 * time.Millisecond, RenewEvery: 500 * time.Millisecond, ClockDrift: 200 * time.Millisecond,
 	})}
 	start := time.Unix(1_000, 0)
 	i.clock = clock.New(clock.Source{
