--- a/lease/machine_test.go
+++ b/lease/machine_test.go
@@ -194,7 +194,7 @@
 	require.Equal(t, []Action{Read{}}, b.Step(almost, Tick{}), "the challenger waits for the drift too")
 	_, held := a.Held(almost)
 	require.False(t, held, "the holder's own lease ends first")
-	takeover := b.Step(now.Add(DefaultDuration+DefaultDrift), Tick{})
+	takeover := b.Step(now.Add(DefaultDuration+DefaultClockDrift), Tick{})
 	require.Equal(t, []Action{Write{Record: Record{Holder: "b", Epoch: 2}, Version: "1"}}, takeover)
 }
 
@@ -210,9 +210,9 @@
 	read := sent.Add(2 * time.Second)
 	require.Equal(t, []Action{Read{}}, m.Step(read, Wrote{Result: commit.Unknown}))
 	m.Step(read.Add(time.Second), Seen{Record: renewal[0].(Write).Record, Version: "2"})
-	_, held := m.Held(sent.Add(DefaultDuration - DefaultDrift - 1))
+	_, held := m.Held(sent.Add(DefaultDuration - DefaultClockDrift - 1))
 	require.True(t, held)
-	_, held = m.Held(sent.Add(DefaultDuration - DefaultDrift))
+	_, held = m.Held(sent.Add(DefaultDuration - DefaultClockDrift))
 	require.False(t, held)
 }
 
--- a/lease/record.go
+++ b/lease/record.go
@@ -33,12 +33,12 @@
 const (
 	DefaultDuration   = 6 * time.Second
 	DefaultRenewEvery = 2 * time.Second
-	DefaultDrift      = 250 * time.Millisecond
+	DefaultClockDrift      = 250 * time.Millisecond
 )
 
 // NewConfig returns the defaults for a holder.
 func NewConfig(holder string) Config {
-	return Config{Holder: holder, Duration: DefaultDuration, RenewEvery: DefaultRenewEvery, ClockDrift: DefaultDrift}
+	return Config{Holder: holder, Duration: DefaultDuration, RenewEvery: DefaultRenewEvery, ClockDrift: DefaultClockDrift}
 }
 
 // Event is an input of a Machine.
