--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -299,14 +299,14 @@
 
 // newKeepers returns keepers of which each runs shards of its own, so that all
 // write to the same shards.
-func newKeepers(t *testing.T, n int) (*standin.ObjectAPI, []*Keeper) {
+func newKeepers(t *testing.T, n int) (*standin.ObjectAPI, []*Claimer) {
 	t.Helper()
 	api := standin.NewObjectAPI()
 	s := httptest.NewServer(api)
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
-	keepers := make([]*Keeper, n)
+	keepers := make([]*Claimer, n)
 	for i := range keepers {
 		owner := NewOwner(ctx, store.NewHTTPClient(store.Config{URL: s.URL}), time.Now, func() ShardConfig { return NewShardConfig(testHorizon) })
 		keepers[i] = NewKeeper(func(ctx context.Context, shard, _ int, op Op) (Answer, error) { return owner.Ask(ctx, shard, op) }, time.Now)
--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -51,18 +51,18 @@
 // with ErrNoOwner if there is none.
 type Asker func(ctx context.Context, shard, n int, op Op) (Answer, error)
 
-// Keeper claims keys for one instance.
-type Keeper struct {
+// Claimer claims keys for one instance.
+type Claimer struct {
 	ask Asker
 	now func() time.Time
 }
 
 // NewKeeper returns a keeper.
-func NewKeeper(ask Asker, now func() time.Time) *Keeper { return &Keeper{ask: ask, now: now} }
+func NewKeeper(ask Asker, now func() time.Time) *Claimer { return &Claimer{ask: ask, now: now} }
 
 // Claim is a key that this instance holds.
 type Claim struct {
-	keeper *Keeper
+	keeper *Claimer
 	op     Op
 }
 
@@ -75,7 +75,7 @@
 // Begin claims the key, or returns the recorded result of an earlier attempt.
 // It waits for an attempt under way until ctx ends. ErrUnknown is returned
 // whenever it cannot be shown that the key has not run and will not.
-func (k *Keeper) Begin(ctx context.Context, key Key, fingerprint string) (*Claim, *Result, error) {
+func (k *Claimer) Begin(ctx context.Context, key Key, fingerprint string) (*Claim, *Result, error) {
 	op := Op{Kind: OpClaim, Key: key.hash(), Attempt: rand.Text(), Fingerprint: fingerprint, At: k.now()}
 	pause := waitMin
 	for {
@@ -104,7 +104,7 @@
 // again, also to another instance: its attempt makes it idempotent.
 const askTries = 3
 
-func (k *Keeper) send(ctx context.Context, op Op) (Answer, error) {
+func (k *Claimer) send(ctx context.Context, op Op) (Answer, error) {
 	var err error
 	for n := range askTries {
 		var a Answer
