--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -57,8 +57,8 @@
 	now func() time.Time
 }
 
-// NewKeeper returns a keeper.
-func NewKeeper(ask Asker, now func() time.Time) *Claimer { return &Claimer{ask: ask, now: now} }
+// NewClaimer returns a keeper.
+func NewClaimer(ask Asker, now func() time.Time) *Claimer { return &Claimer{ask: ask, now: now} }
 
 // Claim is a key that this instance holds.
 type Claim struct {
--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -233,7 +233,7 @@
 	handler := pipeline.New(pipeline.Config{
 		Dialect: dialect,
 		Catalog: i.catalog.Load, Router: i.router, Gates: i.gates,
-		Claims: claim.NewKeeper(i.claimAsker(i.claims), i.deps.Now),
+		Claims: claim.NewClaimer(i.claimAsker(i.claims), i.deps.Now),
 		Engine: i.engine, Metrics: pipeline.NewMetrics(i.vars), Log: i.log, Now: i.deps.Now,
 		FailureDomain: i.cfg.FailureDomain, Quarantine: i.quarantine, Allowances: i.allowances,
 	})
