--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -47,18 +47,18 @@
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// Asker asks the n-th choice among the instances that run a shard; it fails
+// SubmitFunc asks the n-th choice among the instances that run a shard; it fails
 // with ErrNoOwner if there is none.
-type Asker func(ctx context.Context, shard, n int, op Op) (Answer, error)
+type SubmitFunc func(ctx context.Context, shard, n int, op Op) (Answer, error)
 
 // Claimer claims keys for one instance.
 type Claimer struct {
-	ask Asker
+	ask SubmitFunc
 	now func() time.Time
 }
 
 // NewClaimer returns a keeper.
-func NewClaimer(ask Asker, now func() time.Time) *Claimer { return &Claimer{ask: ask, now: now} }
+func NewClaimer(ask SubmitFunc, now func() time.Time) *Claimer { return &Claimer{ask: ask, now: now} }
 
 // Claim is a key that this instance holds.
 type Claim struct {
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -13,7 +13,7 @@
 
 // claimAsker asks the n-th instance by rendezvous hashing for a shard, over
 // the peers' link, or this instance itself.
-func (i *Instance) claimAsker(owner *claim.Owner) claim.Asker {
+func (i *Instance) claimAsker(owner *claim.Owner) claim.SubmitFunc {
 	return func(ctx context.Context, shard, n int, op claim.Op) (claim.Answer, error) {
 		name, found := i.cells.choice(fmt.Sprintf("claims-%03d", shard), n)
 		if !found {
