--- a/claim/owner.go
+++ b/claim/owner.go
@@ -51,8 +51,8 @@
 	Result  *Result `cbor:"2,keyasint,omitempty"`
 }
 
-// Ask asks a shard about an entry. An error means the same as Unknown.
-func (o *Owner) Ask(ctx context.Context, shard int, op Op) (Answer, error) {
+// Submit asks a shard about an entry. An error means the same as Unknown.
+func (o *Owner) Submit(ctx context.Context, shard int, op Op) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	d := o.shard(shard)
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -20,7 +20,7 @@
 			return claim.Answer{}, claim.ErrNoOwner
 		}
 		if name == i.cfg.Instance {
-			return owner.Ask(ctx, shard, op)
+			return owner.Submit(ctx, shard, op)
 		}
 		return i.askClaim(ctx, i.peers.address(name).streams, shard, op)
 	}
@@ -64,7 +64,7 @@
 	if err := cbor.Unmarshal(q.Op, &op); err != nil || q.Shard < 0 || q.Shard >= claim.Shards || i.current.Load() == nil {
 		return peer.Reply{}
 	}
-	answer, err := i.claims.Ask(ctx, q.Shard, op)
+	answer, err := i.claims.Submit(ctx, q.Shard, op)
 	if err != nil {
 		return peer.Reply{}
 	}
