--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -309,7 +309,7 @@
 	keepers := make([]*Claimer, n)
 	for i := range keepers {
 		owner := NewOwner(ctx, store.NewHTTPClient(store.Config{URL: s.URL}), time.Now, func() ShardConfig { return NewShardConfig(testHorizon) })
-		keepers[i] = NewClaimer(func(ctx context.Context, shard, _ int, op Op) (Answer, error) { return owner.Submit(ctx, shard, op) }, time.Now)
+		keepers[i] = NewClaimer(func(ctx context.Context, shard, _ int, op Op) (Reply, error) { return owner.Submit(ctx, shard, op) }, time.Now)
 	}
 	return api, keepers
 }
--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -49,7 +49,7 @@
 
 // SubmitFunc asks the n-th choice among the instances that run a shard; it fails
 // with ErrNoOwner if there is none.
-type SubmitFunc func(ctx context.Context, shard, n int, op Op) (Answer, error)
+type SubmitFunc func(ctx context.Context, shard, n int, op Op) (Reply, error)
 
 // Claimer claims keys for one instance.
 type Claimer struct {
@@ -104,10 +104,10 @@
 // again, also to another instance: its attempt makes it idempotent.
 const askTries = 3
 
-func (k *Claimer) send(ctx context.Context, op Op) (Answer, error) {
+func (k *Claimer) send(ctx context.Context, op Op) (Reply, error) {
 	var err error
 	for n := range askTries {
-		var a Answer
+		var a Reply
 		a, err = k.ask(ctx, shardOf(op.Key), n, op)
 		if err == nil {
 			return a, nil
@@ -116,7 +116,7 @@
 			break
 		}
 	}
-	return Answer{}, err
+	return Reply{}, err
 }
 
 // Cancel frees the key before dispatch. The holder must not dispatch after
--- a/claim/owner.go
+++ b/claim/owner.go
@@ -45,30 +45,30 @@
 	return &Owner{ctx: ctx, client: c, now: now, cfg: cfg, shards: map[int]*shardDuty{}}
 }
 
-// Answer is a shard's answer to an entry.
-type Answer struct {
+// Reply is a shard's answer to an entry.
+type Reply struct {
 	Verdict Verdict `cbor:"1,keyasint"`
 	Result  *Result `cbor:"2,keyasint,omitempty"`
 }
 
 // Submit asks a shard about an entry. An error means the same as Unknown.
-func (o *Owner) Submit(ctx context.Context, shard int, op Op) (Answer, error) {
+func (o *Owner) Submit(ctx context.Context, shard int, op Op) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	d := o.shard(shard)
 	id := o.nextID.Add(1)
-	answer := make(chan Answer, 1)
+	answer := make(chan Reply, 1)
 	d.answers.Store(id, answer)
 	defer d.answers.Delete(id)
 	if err := d.events.Put(ctx, Asked{ID: id, Op: op}); err != nil {
-		return Answer{}, err
+		return Reply{}, err
 	}
 	select {
 	case a := <-answer:
 		return a, nil
 	case <-ctx.Done():
 		_ = d.events.Put(o.ctx, GaveUp{ID: id})
-		return Answer{}, ctx.Err()
+		return Reply{}, ctx.Err()
 	}
 }
 
@@ -122,7 +122,7 @@
 	switch a := a.(type) {
 	case Answered:
 		if c, waits := d.answers.Load(a.ID); waits {
-			c.(chan Answer) <- Answer{Verdict: a.Verdict, Result: a.Result}
+			c.(chan Reply) <- Reply{Verdict: a.Verdict, Result: a.Result}
 		}
 	case Load:
 		go func() { _ = d.events.Put(ctx, d.load(ctx)) }()
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -14,10 +14,10 @@
 // claimAsker asks the n-th instance by rendezvous hashing for a shard, over
 // the peers' link, or this instance itself.
 func (i *Instance) claimAsker(owner *claim.Owner) claim.SubmitFunc {
-	return func(ctx context.Context, shard, n int, op claim.Op) (claim.Answer, error) {
+	return func(ctx context.Context, shard, n int, op claim.Op) (claim.Reply, error) {
 		name, found := i.cells.choice(fmt.Sprintf("claims-%03d", shard), n)
 		if !found {
-			return claim.Answer{}, claim.ErrNoOwner
+			return claim.Reply{}, claim.ErrNoOwner
 		}
 		if name == i.cfg.Instance {
 			return owner.Submit(ctx, shard, op)
@@ -26,8 +26,8 @@
 	}
 }
 
-func (i *Instance) askClaim(ctx context.Context, address string, shard int, op claim.Op) (claim.Answer, error) {
-	var a claim.Answer
+func (i *Instance) askClaim(ctx context.Context, address string, shard int, op claim.Op) (claim.Reply, error) {
+	var a claim.Reply
 	if address == "" {
 		return a, claim.ErrNoOwner
 	}
