--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -147,13 +147,13 @@
 		s.nextID++
 		op := Op{Kind: OpClaim, Key: fmt.Sprint(s.draw(simKeys)), Attempt: fmt.Sprint(s.nextID), Fingerprint: "f", At: s.now}
 		s.asks[s.nextID] = &simAsk{op: op}
-		s.step(n, Asked{ID: s.nextID, Op: op})
+		s.step(n, Submitted{ID: s.nextID, Op: op})
 	case 4:
 		// A requester asks again, maybe another instance.
 		if ask := s.pick(func(a *simAsk) bool { return !a.over }); ask != nil {
 			s.nextID++
 			s.asks[s.nextID] = ask
-			s.step(n, Asked{ID: s.nextID, Op: ask.op})
+			s.step(n, Submitted{ID: s.nextID, Op: ask.op})
 		}
 	case 5:
 		if ask := s.pick(func(a *simAsk) bool { return a.granted && !a.over }); ask != nil {
@@ -202,7 +202,7 @@
 		op.Kind, op.Result = OpFinish, &Result{Status: 200, Body: make([]byte, 50)}
 	}
 	s.nextID++
-	s.step(n, Asked{ID: s.nextID, Op: op})
+	s.step(n, Submitted{ID: s.nextID, Op: op})
 }
 
 func (s *claimSim) carryOut(n *simShard) {
--- a/claim/owner.go
+++ b/claim/owner.go
@@ -60,7 +60,7 @@
 	answer := make(chan Reply, 1)
 	d.answers.Store(id, answer)
 	defer d.answers.Delete(id)
-	if err := d.events.Put(ctx, Asked{ID: id, Op: op}); err != nil {
+	if err := d.events.Put(ctx, Submitted{ID: id, Op: op}); err != nil {
 		return Reply{}, err
 	}
 	select {
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -49,9 +49,9 @@
 // Event is an input of a Shard.
 type Event interface{ isEvent() }
 
-// Asked is a request to claim a key, or to end a claim. Asking again with the
+// Submitted is a request to claim a key, or to end a claim. Asking again with the
 // same attempt is harmless.
-type Asked struct {
+type Submitted struct {
 	ID int64
 	Op Op
 
@@ -80,7 +80,7 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Asked) isEvent()  {}
+func (Submitted) isEvent()  {}
 func (GaveUp) isEvent() {}
 func (Loaded) isEvent() {}
 func (Wrote) isEvent()  {}
@@ -129,10 +129,10 @@
 	current Slot
 	bytes   int
 
-	waiting []Asked
+	waiting []Submitted
 	// writing is the slot under way, with the requests that it carries.
 	writing *Slot
-	carried []Asked
+	carried []Submitted
 	loading bool
 	// failing is set while the store does not answer.
 	failing bool
@@ -147,11 +147,11 @@
 func (s *Shard) Step(now time.Time, e Event) []Action {
 	var actions []Action
 	switch e := e.(type) {
-	case Asked:
+	case Submitted:
 		e.arrived = now
 		s.waiting = append(s.waiting, e)
 	case GaveUp:
-		gone := func(a Asked) bool { return a.ID == e.ID }
+		gone := func(a Submitted) bool { return a.ID == e.ID }
 		s.waiting = slices.DeleteFunc(s.waiting, gone)
 		s.carried = slices.DeleteFunc(s.carried, gone)
 	case Loaded:
@@ -250,7 +250,7 @@
 		return nil
 	}
 	var actions []Action
-	s.waiting = slices.DeleteFunc(s.waiting, func(a Asked) bool {
+	s.waiting = slices.DeleteFunc(s.waiting, func(a Submitted) bool {
 		if now.Sub(a.arrived) < s.cfg.Patience {
 			return false
 		}
@@ -278,7 +278,7 @@
 		s.loaded = false
 		return nil
 	}
-	s.waiting = slices.DeleteFunc(s.waiting, func(a Asked) bool {
+	s.waiting = slices.DeleteFunc(s.waiting, func(a Submitted) bool {
 		v, result := s.state.Verdict(a.Op)
 		if v == Free {
 			return false
