--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -100,7 +100,7 @@
 
 func (s *claimSim) step(n *simShard, e Event) {
 	for _, a := range n.machine.Step(s.now, e) {
-		if answered, ok := a.(Answered); ok {
+		if answered, ok := a.(Replied); ok {
 			s.answered(answered)
 			continue
 		}
@@ -113,7 +113,7 @@
 	}
 }
 
-func (s *claimSim) answered(a Answered) {
+func (s *claimSim) answered(a Replied) {
 	if ask := s.asks[a.ID]; ask != nil && a.Verdict == Granted {
 		ask.granted = true
 	}
--- a/claim/owner.go
+++ b/claim/owner.go
@@ -120,7 +120,7 @@
 
 func (d *shardDuty) carryOut(ctx context.Context, a Action) {
 	switch a := a.(type) {
-	case Answered:
+	case Replied:
 		if c, waits := d.answers.Load(a.ID); waits {
 			c.(chan Reply) <- Reply{Verdict: a.Verdict, Result: a.Result}
 		}
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -99,8 +99,8 @@
 	Version string
 }
 
-// Answered is the answer to an Asked.
-type Answered struct {
+// Replied is the answer to an Asked.
+type Replied struct {
 	ID      int64
 	Verdict Verdict
 	Result  *Result
@@ -108,7 +108,7 @@
 
 func (Load) isAction()     {}
 func (Write) isAction()    {}
-func (Answered) isAction() {}
+func (Replied) isAction() {}
 
 // Shard decides on the keys of one shard. Any number of instances may run the
 // same shard at once: what counts is only the order of the entries in the
@@ -254,7 +254,7 @@
 		if now.Sub(a.arrived) < s.cfg.Patience {
 			return false
 		}
-		actions = append(actions, Answered{ID: a.ID, Verdict: Unknown})
+		actions = append(actions, Replied{ID: a.ID, Verdict: Unknown})
 		return true
 	})
 	return actions
@@ -283,7 +283,7 @@
 		if v == Free {
 			return false
 		}
-		actions = append(actions, Answered{ID: a.ID, Verdict: v, Result: result})
+		actions = append(actions, Replied{ID: a.ID, Verdict: v, Result: result})
 		return true
 	})
 	return actions
