--- a/claim/owner.go
+++ b/claim/owner.go
@@ -67,7 +67,7 @@
 	case a := <-answer:
 		return a, nil
 	case <-ctx.Done():
-		_ = d.events.Put(o.ctx, GaveUp{ID: id})
+		_ = d.events.Put(o.ctx, Abandoned{ID: id})
 		return Reply{}, ctx.Err()
 	}
 }
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -60,8 +60,8 @@
 	reloaded bool
 }
 
-// GaveUp says that nobody waits for the answer any more.
-type GaveUp struct{ ID int64 }
+// Abandoned says that nobody waits for the answer any more.
+type Abandoned struct{ ID int64 }
 
 // Loaded is the answer to Load.
 type Loaded struct {
@@ -81,7 +81,7 @@
 type Tick struct{}
 
 func (Submitted) isEvent()  {}
-func (GaveUp) isEvent() {}
+func (Abandoned) isEvent() {}
 func (Loaded) isEvent() {}
 func (Wrote) isEvent()  {}
 func (Tick) isEvent()   {}
@@ -150,7 +150,7 @@
 	case Submitted:
 		e.arrived = now
 		s.waiting = append(s.waiting, e)
-	case GaveUp:
+	case Abandoned:
 		gone := func(a Submitted) bool { return a.ID == e.ID }
 		s.waiting = slices.DeleteFunc(s.waiting, gone)
 		s.carried = slices.DeleteFunc(s.carried, gone)
