--- a/claim/shard.go
+++ b/claim/shard.go
@@ -37,13 +37,13 @@
 	Interval time.Duration
 	// RetryEvery is the pause after a write or read that failed.
 	RetryEvery time.Duration
-	// Patience is for how long a request waits while the store fails.
-	Patience time.Duration
+	// MaxWait is for how long a request waits while the store fails.
+	MaxWait time.Duration
 }
 
 // NewShardConfig returns the defaults.
 func NewShardConfig(horizon time.Duration) ShardConfig {
-	return ShardConfig{Slots: 1024, SlotBytes: 16 << 10, Horizon: horizon, Interval: 50 * time.Millisecond, RetryEvery: 100 * time.Millisecond, Patience: 700 * time.Millisecond}
+	return ShardConfig{Slots: 1024, SlotBytes: 16 << 10, Horizon: horizon, Interval: 50 * time.Millisecond, RetryEvery: 100 * time.Millisecond, MaxWait: 700 * time.Millisecond}
 }
 
 // Event is an input of a Shard.
@@ -251,7 +251,7 @@
 	}
 	var actions []Action
 	s.waiting = slices.DeleteFunc(s.waiting, func(a Submitted) bool {
-		if now.Sub(a.arrived) < s.cfg.Patience {
+		if now.Sub(a.arrived) < s.cfg.MaxWait {
 			return false
 		}
 		actions = append(actions, Replied{ID: a.ID, Verdict: Unknown})
