--- a/authority/keeper.go
+++ b/authority/keeper.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Keeper is one instance's right to go by the keys in its settings. It is safe for
+// Tracker is one instance's right to go by the keys in its settings. It is safe for
 // concurrent use.
-type Keeper struct {
+type Tracker struct {
 	// bound is the age up to which the right holds; 0 means that it has no age.
 	bound time.Duration
 
@@ -35,19 +35,19 @@
 const newerGrace = 2 * time.Second
 
 // NewKeeper returns a keeper whose right holds up to the age of bound; 0 sets no bound.
-func NewKeeper(bound time.Duration) *Keeper { return &Keeper{bound: bound} }
+func NewKeeper(bound time.Duration) *Tracker { return &Tracker{bound: bound} }
 
 // Bounded tells whether the right has an age.
-func (k *Keeper) Bounded() bool { return k.bound > 0 }
+func (k *Tracker) Bounded() bool { return k.bound > 0 }
 
 // Confirmed records that a revision was certainly the newest at a moment.
-func (k *Keeper) Confirmed(at time.Time, revision int64) {
+func (k *Tracker) Confirmed(at time.Time, revision int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.confirmed(at, revision)
 }
 
-func (k *Keeper) confirmed(at time.Time, revision int64) {
+func (k *Tracker) confirmed(at time.Time, revision int64) {
 	i := len(k.proofs)
 	for i > 0 && k.proofs[i-1].revision > revision {
 		i--
@@ -67,7 +67,7 @@
 }
 
 // Heard records that another instance has a revision in force.
-func (k *Keeper) Heard(now time.Time, revision int64) {
+func (k *Tracker) Heard(now time.Time, revision int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if revision > k.newer {
@@ -77,7 +77,7 @@
 
 // Age is how long ago the settings of a revision, in force here, were certainly the
 // newest; false if that was never known, or is not known any more.
-func (k *Keeper) Age(now time.Time, revision int64) (age time.Duration, known bool) {
+func (k *Tracker) Age(now time.Time, revision int64) (age time.Duration, known bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.newer > revision && now.Sub(k.newerAt) >= newerGrace {
@@ -94,7 +94,7 @@
 }
 
 // Current tells whether keys in settings of a revision, in force here, may be gone by.
-func (k *Keeper) Current(now time.Time, revision int64) bool {
+func (k *Tracker) Current(now time.Time, revision int64) bool {
 	if !k.Bounded() {
 		return true
 	}
@@ -103,7 +103,7 @@
 }
 
 // Ask returns the token to ask another instance with; 0 if it is not time to ask again.
-func (k *Keeper) Ask(now time.Time) uint64 {
+func (k *Tracker) Ask(now time.Time) uint64 {
 	if !k.Bounded() {
 		return 0
 	}
@@ -114,7 +114,7 @@
 
 // Answered records that another instance has found a revision to be the newest after it
 // had heard the Ask of a token.
-func (k *Keeper) Answered(token uint64, revision int64) {
+func (k *Tracker) Answered(token uint64, revision int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if at, known := k.asks.sentAt(token); known {
--- a/authority/keeper_test.go
+++ b/authority/keeper_test.go
@@ -89,7 +89,7 @@
 	now time.Time
 	// acknowledged is when each revision was, by revision.
 	acknowledged []time.Time
-	asker        *Keeper
+	asker        *Tracker
 	echoes       Echoes
 	// asks and answers are on their way; call is one to the store that has begun.
 	asks    []uint64
--- a/daemon/keyrights.go
+++ b/daemon/keyrights.go
@@ -15,7 +15,7 @@
 // keyRights is a node's right to go by the keys of accounts, and what it answers to others
 // that ask whether they may. A nil keyRights hears and asks nothing.
 type keyRights struct {
-	keeper *authority.Keeper
+	keeper *authority.Tracker
 	// now stamps what is asked and heard; exact is for the right itself.
 	now, exact func() time.Time
 	// revision is that of the settings in force here.
