--- a/authority/keeper.go
+++ b/authority/keeper.go
@@ -34,8 +34,8 @@
 // settings as the newest that were replaced before.
 const newerGrace = 2 * time.Second
 
-// NewKeeper returns a keeper whose right holds up to the age of bound; 0 sets no bound.
-func NewKeeper(bound time.Duration) *Tracker { return &Tracker{bound: bound} }
+// NewTracker returns a keeper whose right holds up to the age of bound; 0 sets no bound.
+func NewTracker(bound time.Duration) *Tracker { return &Tracker{bound: bound} }
 
 // Bounded tells whether the right has an age.
 func (k *Tracker) Bounded() bool { return k.bound > 0 }
--- a/authority/keeper_test.go
+++ b/authority/keeper_test.go
@@ -14,7 +14,7 @@
 func at(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 
 func TestRightHasAnAge(t *testing.T) {
-	k := NewKeeper(bound)
+	k := NewTracker(bound)
 	require.False(t, k.Current(at(0), 7), "nothing is known yet")
 	k.Confirmed(at(0), 7)
 	require.True(t, k.Current(at(4.4), 7))
@@ -26,14 +26,14 @@
 }
 
 func TestWithoutBoundTheRightHasNoAge(t *testing.T) {
-	k := NewKeeper(0)
+	k := NewTracker(0)
 	require.True(t, k.Current(at(1e6), 1))
 	require.Zero(t, k.Ask(at(0)))
 }
 
 // TestNewerRevisionMustBeInForce confirms settings that are not in force here yet.
 func TestNewerRevisionMustBeInForce(t *testing.T) {
-	k := NewKeeper(bound)
+	k := NewTracker(bound)
 	k.Confirmed(at(0), 7)
 	k.Confirmed(at(3), 8)
 	require.False(t, k.Current(at(5), 7), "8 may have taken a key away")
@@ -44,7 +44,7 @@
 // TestRevisionThatAnotherHasMustComeIntoForce is a store that has come back from a copy and
 // shows older settings as the newest.
 func TestRevisionThatAnotherHasMustComeIntoForce(t *testing.T) {
-	k := NewKeeper(bound)
+	k := NewTracker(bound)
 	k.Heard(at(0), 8)
 	k.Confirmed(at(1), 7)
 	require.True(t, k.Current(at(1.5), 7), "it may be on its way")
@@ -53,7 +53,7 @@
 }
 
 func TestAnswersCountFromTheAsk(t *testing.T) {
-	k := NewKeeper(bound)
+	k := NewTracker(bound)
 	first := k.Ask(at(0))
 	require.NotZero(t, first)
 	require.Zero(t, k.Ask(at(0.1)), "it was just asked")
@@ -161,7 +161,7 @@
 // TestNoKeyIsGoneByPastTheBound draws worlds.
 func TestNoKeyIsGoneByPastTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{now: at(0), acknowledged: []time.Time{at(0)}, asker: NewKeeper(bound)}
+		w := &world{now: at(0), acknowledged: []time.Time{at(0)}, asker: NewTracker(bound)}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			w.step(t)
 			require.False(t, w.breaks())
@@ -172,7 +172,7 @@
 // TestAnswerToWhatWasHeardDuringTheCallIsUnsound shows that the judge sees a fault: the call
 // may have been answered before the ask was heard.
 func TestAnswerToWhatWasHeardDuringTheCallIsUnsound(t *testing.T) {
-	w := &world{now: at(0), acknowledged: []time.Time{at(0)}, asker: NewKeeper(bound), sloppy: true}
+	w := &world{now: at(0), acknowledged: []time.Time{at(0)}, asker: NewTracker(bound), sloppy: true}
 	w.begun, w.read = at(0), 1
 	w.acknowledged = append(w.acknowledged, at(0.1))
 	w.now = at(3)
--- a/daemon/allowances_test.go
+++ b/daemon/allowances_test.go
@@ -96,7 +96,7 @@
 	clock := func() time.Time { return now }
 	rights := func(answers bool, sent *[]peer.Packet) *keyRights {
 		return &keyRights{
-			keeper: authority.NewKeeper(4 * time.Second), now: clock, exact: clock, revision: func() int64 { return 7 }, log: logr.Discard(),
+			keeper: authority.NewTracker(4 * time.Second), now: clock, exact: clock, revision: func() int64 { return 7 }, log: logr.Discard(),
 			answers: func() bool { return answers }, send: func(p peer.Packet, _ []string) { *sent = append(*sent, p) },
 		}
 	}
@@ -128,7 +128,7 @@
 // TestRightIsAskedOfTheStoreIfNobodyAnswers lets half of the bound pass.
 func TestRightIsAskedOfTheStoreIfNobodyAnswers(t *testing.T) {
 	r := &keyRights{
-		keeper: authority.NewKeeper(time.Second), now: time.Now, exact: time.Now, revision: func() int64 { return 7 }, log: logr.Discard(),
+		keeper: authority.NewTracker(time.Second), now: time.Now, exact: time.Now, revision: func() int64 { return 7 }, log: logr.Discard(),
 		answers: func() bool { return false },
 	}
 	ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -224,7 +224,7 @@
 	address, process := net.JoinHostPort(host, strconv.Itoa(n.cfg.PeerPorts[0])), rand.Text()
 	holds := func() bool { return n.placers.holds() }
 	n.rights = &keyRights{
-		keeper: authority.NewKeeper(n.cfg.Fresh.keysAge()), now: n.now, exact: n.clock.Exact, revision: n.revision, answers: holds,
+		keeper: authority.NewTracker(n.cfg.Fresh.keysAge()), now: n.now, exact: n.clock.Exact, revision: n.revision, answers: holds,
 		send: func(p peer.Packet, to []string) { n.mesh.send(n.mesh.stamp(p), to) }, log: n.log,
 	}
 	n.allowances = newAllowances(n.cfg.Allowances, process, holds, func() int { return n.mesh.size() }, n.now)
