--- a/authority/echoes.go
+++ b/authority/echoes.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Echoes is what an instance owes those that have asked it. One goroutine uses it at a
+// Responder is what an instance owes those that have asked it. One goroutine uses it at a
 // time.
-type Echoes struct {
+type Responder struct {
 	asked map[string]*asker
 }
 
@@ -35,7 +35,7 @@
 }
 
 // Asked records an ask that has been heard.
-func (e *Echoes) Asked(now time.Time, instance, process, address string, token uint64) {
+func (e *Responder) Asked(now time.Time, instance, process, address string, token uint64) {
 	if e.asked == nil {
 		e.asked = map[string]*asker{}
 	}
@@ -57,7 +57,7 @@
 // Confirmed says that a call to the store, begun at a moment, found nothing newer than what
 // the echoes are sent with. It returns the answers to all that was asked before that
 // moment.
-func (e *Echoes) Confirmed(begun time.Time) []Echo {
+func (e *Responder) Confirmed(begun time.Time) []Echo {
 	var echoes []Echo
 	for _, a := range e.asked {
 		n := 0
--- a/authority/keeper_test.go
+++ b/authority/keeper_test.go
@@ -72,7 +72,7 @@
 }
 
 func TestEchoesAnswerOnlyWhatWasHeardBeforeTheCall(t *testing.T) {
-	var e Echoes
+	var e Responder
 	e.Asked(at(0), "a", "p1", "addr", 1)
 	e.Asked(at(2), "a", "p1", "addr", 2)
 	require.Empty(t, e.Confirmed(at(-1)))
@@ -90,7 +90,7 @@
 	// acknowledged is when each revision was, by revision.
 	acknowledged []time.Time
 	asker        *Tracker
-	echoes       Echoes
+	echoes       Responder
 	// asks and answers are on their way; call is one to the store that has begun.
 	asks    []uint64
 	answers []answer
--- a/daemon/keyrights.go
+++ b/daemon/keyrights.go
@@ -26,7 +26,7 @@
 	log     logr.Logger
 
 	mu     sync.Mutex
-	echoes authority.Echoes
+	echoes authority.Responder
 	// doubtful is until when what the store shows proves nothing.
 	doubtful time.Time
 }
