--- a/authority/echoes.go
+++ b/authority/echoes.go
@@ -27,8 +27,8 @@
 	maxAskers = 1024
 )
 
-// Echo answers an ask.
-type Echo struct {
+// ConfirmationReply answers an ask.
+type ConfirmationReply struct {
 	// Address is where the instance receives packets, Process the one that asked.
 	Address, Process string
 	Token            uint64
@@ -57,8 +57,8 @@
 // Confirmed says that a call to the store, begun at a moment, found nothing newer than what
 // the echoes are sent with. It returns the answers to all that was asked before that
 // moment.
-func (e *Responder) Confirmed(begun time.Time) []Echo {
-	var echoes []Echo
+func (e *Responder) Confirmed(begun time.Time) []ConfirmationReply {
+	var echoes []ConfirmationReply
 	for _, a := range e.asked {
 		n := 0
 		for n < len(a.heard) && !a.heard[n].at.After(begun) {
@@ -67,7 +67,7 @@
 		if n == 0 {
 			continue
 		}
-		echoes = append(echoes, Echo{Address: a.address, Process: a.process, Token: a.heard[n-1].token})
+		echoes = append(echoes, ConfirmationReply{Address: a.address, Process: a.process, Token: a.heard[n-1].token})
 		a.heard = append(a.heard[:0], a.heard[n:]...)
 	}
 	return echoes
--- a/authority/keeper_test.go
+++ b/authority/keeper_test.go
@@ -76,11 +76,11 @@
 	e.Asked(at(0), "a", "p1", "addr", 1)
 	e.Asked(at(2), "a", "p1", "addr", 2)
 	require.Empty(t, e.Confirmed(at(-1)))
-	require.Equal(t, []Echo{{Address: "addr", Process: "p1", Token: 1}}, e.Confirmed(at(1)))
-	require.Equal(t, []Echo{{Address: "addr", Process: "p1", Token: 2}}, e.Confirmed(at(3)))
+	require.Equal(t, []ConfirmationReply{{Address: "addr", Process: "p1", Token: 1}}, e.Confirmed(at(1)))
+	require.Equal(t, []ConfirmationReply{{Address: "addr", Process: "p1", Token: 2}}, e.Confirmed(at(3)))
 	require.Empty(t, e.Confirmed(at(4)), "each is answered once")
 	e.Asked(at(5), "a", "p2", "addr", 1)
-	require.Equal(t, []Echo{{Address: "addr", Process: "p2", Token: 1}}, e.Confirmed(at(6)))
+	require.Equal(t, []ConfirmationReply{{Address: "addr", Process: "p2", Token: 1}}, e.Confirmed(at(6)))
 }
 
 // world is a store, one instance that reads it and one that asks that one. What they send
