--- a/authority/echoes.go
+++ b/authority/echoes.go
@@ -34,8 +34,8 @@
 	Token            uint64
 }
 
-// Asked records an ask that has been heard.
-func (e *Responder) Asked(now time.Time, instance, process, address string, token uint64) {
+// Requested records an ask that has been heard.
+func (e *Responder) Requested(now time.Time, instance, process, address string, token uint64) {
 	if e.asked == nil {
 		e.asked = map[string]*asker{}
 	}
--- a/authority/keeper_test.go
+++ b/authority/keeper_test.go
@@ -73,13 +73,13 @@
 
 func TestEchoesAnswerOnlyWhatWasHeardBeforeTheCall(t *testing.T) {
 	var e Responder
-	e.Asked(at(0), "a", "p1", "addr", 1)
-	e.Asked(at(2), "a", "p1", "addr", 2)
+	e.Requested(at(0), "a", "p1", "addr", 1)
+	e.Requested(at(2), "a", "p1", "addr", 2)
 	require.Empty(t, e.Confirmed(at(-1)))
 	require.Equal(t, []ConfirmationReply{{Address: "addr", Process: "p1", Token: 1}}, e.Confirmed(at(1)))
 	require.Equal(t, []ConfirmationReply{{Address: "addr", Process: "p1", Token: 2}}, e.Confirmed(at(3)))
 	require.Empty(t, e.Confirmed(at(4)), "each is answered once")
-	e.Asked(at(5), "a", "p2", "addr", 1)
+	e.Requested(at(5), "a", "p2", "addr", 1)
 	require.Equal(t, []ConfirmationReply{{Address: "addr", Process: "p2", Token: 1}}, e.Confirmed(at(6)))
 }
 
@@ -121,7 +121,7 @@
 		}
 	case 2:
 		if i := rapid.IntRange(-1, len(w.asks)-1).Draw(t, "ask"); i >= 0 {
-			w.echoes.Asked(w.now, "a", "p", "addr", w.asks[i])
+			w.echoes.Requested(w.now, "a", "p", "addr", w.asks[i])
 		}
 	case 3:
 		w.begun, w.read = w.now, 0
@@ -177,7 +177,7 @@
 	w.acknowledged = append(w.acknowledged, at(0.1))
 	w.now = at(3)
 	token := w.asker.Ask(at(3))
-	w.echoes.Asked(at(3), "a", "p", "addr", token)
+	w.echoes.Requested(at(3), "a", "p", "addr", token)
 	for _, e := range w.echoes.Confirmed(w.now) {
 		w.asker.Answered(e.Token, w.read)
 		w.inForce = w.read
--- a/daemon/keyrights.go
+++ b/daemon/keyrights.go
@@ -61,7 +61,7 @@
 	if p.Ask != 0 && r.answers() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.echoes.Asked(r.now(), p.From, p.Process, p.Address, p.Ask)
+		r.echoes.Requested(r.now(), p.From, p.Process, p.Address, p.Ask)
 	}
 	return false
 }
