--- a/authority/keeper.go
+++ b/authority/keeper.go
@@ -102,8 +102,8 @@
 	return known && age < k.bound
 }
 
-// Ask returns the token to ask another instance with; 0 if it is not time to ask again.
-func (k *Tracker) Ask(now time.Time) uint64 {
+// NextRequest returns the token to ask another instance with; 0 if it is not time to ask again.
+func (k *Tracker) NextRequest(now time.Time) uint64 {
 	if !k.Bounded() {
 		return 0
 	}
--- a/authority/keeper_test.go
+++ b/authority/keeper_test.go
@@ -28,7 +28,7 @@
 func TestWithoutBoundTheRightHasNoAge(t *testing.T) {
 	k := NewTracker(0)
 	require.True(t, k.Current(at(1e6), 1))
-	require.Zero(t, k.Ask(at(0)))
+	require.Zero(t, k.NextRequest(at(0)))
 }
 
 // TestNewerRevisionMustBeInForce confirms settings that are not in force here yet.
@@ -54,10 +54,10 @@
 
 func TestAnswersCountFromTheAsk(t *testing.T) {
 	k := NewTracker(bound)
-	first := k.Ask(at(0))
+	first := k.NextRequest(at(0))
 	require.NotZero(t, first)
-	require.Zero(t, k.Ask(at(0.1)), "it was just asked")
-	second := k.Ask(at(1))
+	require.Zero(t, k.NextRequest(at(0.1)), "it was just asked")
+	second := k.NextRequest(at(1))
 	k.Answered(first, 7)
 	age, known := k.Age(at(3), 7)
 	require.True(t, known)
@@ -116,7 +116,7 @@
 	case 0:
 		w.acknowledged = append(w.acknowledged, w.now)
 	case 1:
-		if token := w.asker.Ask(w.now); token != 0 {
+		if token := w.asker.NextRequest(w.now); token != 0 {
 			w.asks = append(w.asks, token)
 		}
 	case 2:
@@ -176,7 +176,7 @@
 	w.begun, w.read = at(0), 1
 	w.acknowledged = append(w.acknowledged, at(0.1))
 	w.now = at(3)
-	token := w.asker.Ask(at(3))
+	token := w.asker.NextRequest(at(3))
 	w.echoes.Requested(at(3), "a", "p", "addr", token)
 	for _, e := range w.echoes.Confirmed(w.now) {
 		w.asker.Answered(e.Token, w.read)
--- a/daemon/keyrights.go
+++ b/daemon/keyrights.go
@@ -71,7 +71,7 @@
 	if r == nil {
 		return 0
 	}
-	return r.keeper.Ask(r.now())
+	return r.keeper.NextRequest(r.now())
 }
 
 // doubt takes what the store shows for no proof, for so long: it may lack settings that it
