--- a/authority/keeper.go
+++ b/authority/keeper.go
@@ -112,9 +112,9 @@
 	return k.asks.next(now)
 }
 
-// Answered records that another instance has found a revision to be the newest after it
+// Replied records that another instance has found a revision to be the newest after it
 // had heard the Ask of a token.
-func (k *Tracker) Answered(token uint64, revision int64) {
+func (k *Tracker) Replied(token uint64, revision int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if at, known := k.asks.sentAt(token); known {
--- a/authority/keeper_test.go
+++ b/authority/keeper_test.go
@@ -58,15 +58,15 @@
 	require.NotZero(t, first)
 	require.Zero(t, k.NextRequest(at(0.1)), "it was just asked")
 	second := k.NextRequest(at(1))
-	k.Answered(first, 7)
+	k.Replied(first, 7)
 	age, known := k.Age(at(3), 7)
 	require.True(t, known)
 	require.Equal(t, 3*time.Second, age)
-	k.Answered(second, 7)
+	k.Replied(second, 7)
 	age, _ = k.Age(at(3), 7)
 	require.Equal(t, 2*time.Second, age)
-	k.Answered(99, 7)
-	k.Answered(0, 7)
+	k.Replied(99, 7)
+	k.Replied(0, 7)
 	age, _ = k.Age(at(3), 7)
 	require.Equal(t, 2*time.Second, age, "nobody asked that")
 }
@@ -143,7 +143,7 @@
 		}
 	case 6:
 		if i := rapid.IntRange(-1, len(w.answers)-1).Draw(t, "answer"); i >= 0 {
-			w.asker.Answered(w.answers[i].token, w.answers[i].revision)
+			w.asker.Replied(w.answers[i].token, w.answers[i].revision)
 			w.inForce = max(w.inForce, w.answers[i].revision)
 		}
 	}
@@ -179,7 +179,7 @@
 	token := w.asker.NextRequest(at(3))
 	w.echoes.Requested(at(3), "a", "p", "addr", token)
 	for _, e := range w.echoes.Confirmed(w.now) {
-		w.asker.Answered(e.Token, w.read)
+		w.asker.Replied(e.Token, w.read)
 		w.inForce = w.read
 	}
 	w.now = at(6)
--- a/daemon/keyrights.go
+++ b/daemon/keyrights.go
@@ -53,7 +53,7 @@
 	}
 	if p.Echo != 0 {
 		if p.EchoTo == process {
-			r.keeper.Answered(p.Echo, p.Confirmed)
+			r.keeper.Replied(p.Echo, p.Confirmed)
 		}
 		return true
 	}
