--- a/authority/keeper.go
+++ b/authority/keeper.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Heard records that another instance has a revision in force.
-func (k *Tracker) Heard(now time.Time, revision int64) {
+// ObserveRevision records that another instance has a revision in force.
+func (k *Tracker) ObserveRevision(now time.Time, revision int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if revision > k.newer {
--- a/authority/keeper_test.go
+++ b/authority/keeper_test.go
@@ -45,7 +45,7 @@
 // shows older settings as the newest.
 func TestRevisionThatAnotherHasMustComeIntoForce(t *testing.T) {
 	k := NewTracker(bound)
-	k.Heard(at(0), 8)
+	k.ObserveRevision(at(0), 8)
 	k.Confirmed(at(1), 7)
 	require.True(t, k.Current(at(1.5), 7), "it may be on its way")
 	require.False(t, k.Current(at(2.5), 7))
--- a/daemon/keyrights.go
+++ b/daemon/keyrights.go
@@ -57,7 +57,7 @@
 		}
 		return true
 	}
-	r.keeper.Heard(r.now(), p.Revision)
+	r.keeper.ObserveRevision(r.now(), p.Revision)
 	if p.Ask != 0 && r.answers() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
