--- a/daemon/entries.go
+++ b/daemon/entries.go
@@ -158,14 +158,14 @@
 		func(l store.List) {
 			d.link.listed(d.kind, l)
 			changes.take()
-			put(membership.StoreHeard{Since: d.returned()})
+			put(membership.StoreAnswered{Since: d.returned()})
 			put(d.at(l.ResourceVersion, membership.EntriesListed{Members: d.members(l.Items)}))
 		},
 		func(e store.Event) {
 			switch e.Type {
 			case store.EventBookmark:
 				d.link.heard()
-				put(membership.StoreHeard{Since: d.returned()})
+				put(membership.StoreAnswered{Since: d.returned()})
 				put(d.at(e.Object.Metadata.ResourceVersion, membership.EntriesChanged{Changes: d.changes(changes.take())}))
 				// Endpoints change many times a second as units come and go, and
 				// each answer of the store costs a call: changes gather meanwhile.
--- a/daemon/relaysfollow.go
+++ b/daemon/relaysfollow.go
@@ -70,7 +70,7 @@
 		}
 		if !answered {
 			r.log.Info("members told", "by", name, "members", len(news.Members), "took_ms", r.now().Sub(began).Milliseconds())
-			put(membership.StoreHeard{})
+			put(membership.StoreAnswered{})
 		}
 		answered = true
 		r.following.Store(true)
--- a/membership/entries.go
+++ b/membership/entries.go
@@ -23,9 +23,9 @@
 // StoreLost says that the store gave no answer.
 type StoreLost struct{}
 
-// StoreHeard says that it gave one, and since when it has answered this instance
+// StoreAnswered says that it gave one, and since when it has answered this instance
 // without a break, on whatever connection; zero means since this answer.
-type StoreHeard struct{ Since time.Time }
+type StoreAnswered struct{ Since time.Time }
 
 // StoreCopied says that the store has come back from a copy some seconds old: entries are
 // as they were then until their members write them again.
@@ -37,7 +37,7 @@
 func (EntriesListed) isEntryEvent()  {}
 func (EntriesChanged) isEntryEvent() {}
 func (StoreLost) isEntryEvent()      {}
-func (StoreHeard) isEntryEvent()     {}
+func (StoreAnswered) isEntryEvent()     {}
 func (StoreCopied) isEntryEvent()    {}
 func (EntriesTick) isEntryEvent()    {}
 
@@ -95,7 +95,7 @@
 		changed = s.changedTo(now, e.Changes)
 	case StoreLost:
 		s.lost = true
-	case StoreHeard:
+	case StoreAnswered:
 		s.heard(now, e.Since)
 	case StoreCopied:
 		s.copied(now)
--- a/membership/entries_test.go
+++ b/membership/entries_test.go
@@ -46,9 +46,9 @@
 		var since int
 		d.MaybeScanArgs(t, "since", &since)
 		if since == 0 {
-			return StoreHeard{}
+			return StoreAnswered{}
 		}
-		return StoreHeard{Since: time.UnixMilli(int64(since))}
+		return StoreAnswered{Since: time.UnixMilli(int64(since))}
 	default:
 		return EntriesTick{}
 	}
@@ -105,7 +105,7 @@
 	live, leaving := Member{Name: "a", State: Live}, Member{Name: "a", State: Leaving}
 	s.Step(time.UnixMilli(0), EntriesListed{Members: []Member{live}})
 	s.Step(time.UnixMilli(1000), StoreLost{})
-	s.Step(time.UnixMilli(5000), StoreHeard{})
+	s.Step(time.UnixMilli(5000), StoreAnswered{})
 	l, changed := s.Step(time.UnixMilli(5001), EntriesChanged{Changes: []EntryChange{{Name: "a", Member: &leaving}, {Name: "a"}}})
 	require.True(t, changed)
 	require.Empty(t, l.Members)
