--- a/daemon/entries.go
+++ b/daemon/entries.go
@@ -177,7 +177,7 @@
 		func(err error) {
 			d.link.failed(d.kind, err)
 			if !store.IsExpired(err) {
-				put(membership.StoreLost{})
+				put(membership.StoreUnreachable{})
 			}
 		})
 }
--- a/membership/entries.go
+++ b/membership/entries.go
@@ -20,8 +20,8 @@
 	Member *Member
 }
 
-// StoreLost says that the store gave no answer.
-type StoreLost struct{}
+// StoreUnreachable says that the store gave no answer.
+type StoreUnreachable struct{}
 
 // StoreAnswered says that it gave one, and since when it has answered this instance
 // without a break, on whatever connection; zero means since this answer.
@@ -36,7 +36,7 @@
 
 func (EntriesListed) isEntryEvent()  {}
 func (EntriesChanged) isEntryEvent() {}
-func (StoreLost) isEntryEvent()      {}
+func (StoreUnreachable) isEntryEvent()      {}
 func (StoreAnswered) isEntryEvent()     {}
 func (StoreCopied) isEntryEvent()    {}
 func (EntriesTick) isEntryEvent()    {}
@@ -93,7 +93,7 @@
 		changed = s.listed(now, e.Members)
 	case EntriesChanged:
 		changed = s.changedTo(now, e.Changes)
-	case StoreLost:
+	case StoreUnreachable:
 		s.lost = true
 	case StoreAnswered:
 		s.heard(now, e.Since)
--- a/membership/entries_test.go
+++ b/membership/entries_test.go
@@ -41,7 +41,7 @@
 		changes := append([]EntryChange{{Name: name}}, entryChanges(entryMembers(d))...)
 		return EntriesChanged{Changes: changes}
 	case "lost":
-		return StoreLost{}
+		return StoreUnreachable{}
 	case "heard":
 		var since int
 		d.MaybeScanArgs(t, "since", &since)
@@ -104,7 +104,7 @@
 	s := NewEntries()
 	live, leaving := Member{Name: "a", State: Live}, Member{Name: "a", State: Leaving}
 	s.Step(time.UnixMilli(0), EntriesListed{Members: []Member{live}})
-	s.Step(time.UnixMilli(1000), StoreLost{})
+	s.Step(time.UnixMilli(1000), StoreUnreachable{})
 	s.Step(time.UnixMilli(5000), StoreAnswered{})
 	l, changed := s.Step(time.UnixMilli(5001), EntriesChanged{Changes: []EntryChange{{Name: "a", Member: &leaving}, {Name: "a"}}})
 	require.True(t, changed)
