--- a/daemon/eras.go
+++ b/daemon/eras.go
@@ -35,7 +35,7 @@
 			return
 		case <-n.eraBegun:
 		}
-		_ = entries.inputs.Put(ctx, membership.StoreCopied{})
+		_ = entries.inputs.Put(ctx, membership.StoreRestored{})
 		// All nodes do so at once.
 		wait.For(ctx, jitter(presencePause))
 		n.presence.run(ctx)
--- a/membership/copied_test.go
+++ b/membership/copied_test.go
@@ -29,7 +29,7 @@
 	newer := member("newer")
 	s.Step(at(1), EntriesChanged{[]EntryChange{{Name: "leaves", Member: &leaving}, {Name: "goes"}, {Name: "newer", Member: &newer}}})
 
-	s.Step(at(2), StoreCopied{})
+	s.Step(at(2), StoreRestored{})
 	l, changed := s.Step(at(2.1), EntriesListed{[]Member{member("stays"), member("leaves"), member("goes")}})
 	require.False(t, changed, "%v", l)
 	back := member("newer")
@@ -44,7 +44,7 @@
 	now := time.Unix(100, 0)
 	s := NewEntries()
 	s.Step(now, EntriesListed{[]Member{{Name: "a", State: Live}}})
-	s.Step(now, StoreCopied{})
+	s.Step(now, StoreRestored{})
 	_, changed := s.Step(now.Add(time.Second), EntriesListed{})
 	require.False(t, changed)
 	l, changed := s.Step(now.Add(ReturnGrace), EntriesTick{})
--- a/membership/entries.go
+++ b/membership/entries.go
@@ -27,9 +27,9 @@
 // without a break, on whatever connection; zero means since this answer.
 type StoreAnswered struct{ Since time.Time }
 
-// StoreCopied says that the store has come back from a copy some seconds old: entries are
+// StoreRestored says that the store has come back from a copy some seconds old: entries are
 // as they were then until their members write them again.
-type StoreCopied struct{}
+type StoreRestored struct{}
 
 // EntriesTick lets time pass.
 type EntriesTick struct{}
@@ -38,7 +38,7 @@
 func (EntriesChanged) isEntryEvent() {}
 func (StoreUnreachable) isEntryEvent()      {}
 func (StoreAnswered) isEntryEvent()     {}
-func (StoreCopied) isEntryEvent()    {}
+func (StoreRestored) isEntryEvent()    {}
 func (EntriesTick) isEntryEvent()    {}
 
 // ReturnGrace is how long after the store's return an entry that lapsed while
@@ -97,7 +97,7 @@
 		s.lost = true
 	case StoreAnswered:
 		s.heard(now, e.Since)
-	case StoreCopied:
+	case StoreRestored:
 		s.copied(now)
 	}
 	changed = s.expire(now) || changed
