--- a/membership/entries.go
+++ b/membership/entries.go
@@ -154,8 +154,8 @@
 	}
 }
 
-// Waiting tells whether entries are missing that may come back.
-func (s *Entries) Waiting() bool { return len(s.missing) > 0 }
+// HasMissing tells whether entries are missing that may come back.
+func (s *Entries) HasMissing() bool { return len(s.missing) > 0 }
 
 func (s *Entries) listed(now time.Time, members []Member) bool {
 	present := make(map[string]bool, len(members))
