--- a/daemon/storelink.go
+++ b/daemon/storelink.go
@@ -86,7 +86,7 @@
 
 // settleTime is for how long behind the store's return entries may be on their way
 // back, and be missing in answers that are a moment old.
-const settleTime = membership.ReturnGrace + time.Second
+const settleTime = membership.StoreReturnGrace + time.Second
 
 // settled tells whether the store has answered for so long that each entry which
 // lapsed while it was away is back.
--- a/membership/copied_test.go
+++ b/membership/copied_test.go
@@ -47,7 +47,7 @@
 	s.Step(now, StoreRestored{})
 	_, changed := s.Step(now.Add(time.Second), EntriesListed{})
 	require.False(t, changed)
-	l, changed := s.Step(now.Add(ReturnGrace), EntriesTick{})
+	l, changed := s.Step(now.Add(StoreReturnGrace), EntriesTick{})
 	require.True(t, changed)
 	require.Empty(t, l.Members)
 }
--- a/membership/entries.go
+++ b/membership/entries.go
@@ -41,10 +41,10 @@
 func (StoreRestored) isEntryEvent()    {}
 func (EntriesTick) isEntryEvent()    {}
 
-// ReturnGrace is how long after the store's return an entry that lapsed while
+// StoreReturnGrace is how long after the store's return an entry that lapsed while
 // it was away may take to come back here: its member renews it within about two
 // seconds, and changes gather for half a second before they are asked for.
-const ReturnGrace = 2500 * time.Millisecond
+const StoreReturnGrace = 2500 * time.Millisecond
 
 // Entries is the members by their entries in a store, where an entry lapses
 // unless its member renews it.
@@ -235,7 +235,7 @@
 // lapses tells whether an entry that is missing now may have lapsed only
 // because the store was away.
 func (s *Entries) lapses(now time.Time) bool {
-	return s.lost || !s.returnedAt.IsZero() && now.Sub(s.returnedAt) < ReturnGrace
+	return s.lost || !s.returnedAt.IsZero() && now.Sub(s.returnedAt) < StoreReturnGrace
 }
 
 func (s *Entries) drop(now time.Time, name string) {
