--- a/daemon/cells.go
+++ b/daemon/cells.go
@@ -161,7 +161,7 @@
 	for _, m := range list.Pool(pool) {
 		l.Endpoints = append(l.Endpoints, placement.Member{
 			Name: m.Name, Address: m.Address, FailureDomain: m.FailureDomain,
-			Incarnation: m.Incarnation, Leaving: !m.Takes(),
+			Incarnation: m.Incarnation, Leaving: !m.AcceptsWork(),
 		})
 	}
 	return l
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -366,7 +366,7 @@
 	for _, m := range list.Pool(pool) {
 		l.Members = append(l.Members, counted.Member{
 			Name: m.Name, StartedAtMS: m.StartedAtMS, Address: m.Address, FailureDomain: m.FailureDomain,
-			Leaving: !m.Takes(), Resident: slices.Clone(m.Resident),
+			Leaving: !m.AcceptsWork(), Resident: slices.Clone(m.Resident),
 		})
 	}
 	return l
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -382,7 +382,7 @@
 		d.endpoints[m.Name] = e
 		d.residency.begin(m)
 	}
-	e.SetLeaving(!m.Takes() || d.withheld(m))
+	e.SetLeaving(!m.AcceptsWork() || d.withheld(m))
 	return e
 }
 
--- a/membership/member.go
+++ b/membership/member.go
@@ -50,8 +50,8 @@
 	LeavesInMS int64 `json:"leavesInMS,omitempty"`
 }
 
-// Takes tells whether the member takes new work.
-func (m Member) Takes() bool { return m.State == Live && !m.Evacuated }
+// AcceptsWork tells whether the member takes new work.
+func (m Member) AcceptsWork() bool { return m.State == Live && !m.Evacuated }
 
 // equal tells whether nothing differs.
 func (m Member) equal(o Member) bool { return reflect.DeepEqual(m, o) }
