--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -75,7 +75,7 @@
 // ask gives up a call that waits and asks at once, as another instance has that version.
 func (d *membersDuty) ask(version int64) {
 	d.told.Store(version)
-	d.source.GiveUp()
+	d.source.CancelPoll()
 }
 
 // loadDuty asks the engines for their load in turn. Its rate does not grow
--- a/membership/source.go
+++ b/membership/source.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// GiveUp gives up a call whose answer has not begun, and its connection: Next returns
+// CancelPoll gives up a call whose answer has not begun, and its connection: Next returns
 // a GivenUpError. An answer that has begun is on its way and is left to come.
-func (s *Source) GiveUp() {
+func (s *Source) CancelPoll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.giveUp != nil {
--- a/membership/source_test.go
+++ b/membership/source_test.go
@@ -39,7 +39,7 @@
 		s := NewSource("http://platform", answer)
 		go func() {
 			time.Sleep(time.Second)
-			s.GiveUp()
+			s.CancelPoll()
 			time.Sleep(time.Second)
 			close(answer.rest)
 		}()
@@ -65,7 +65,7 @@
 		want any
 		at   time.Duration
 	}{
-		{"given up", func(s *Source, _ context.CancelFunc) { s.GiveUp() }, new(*GivenUpError), time.Second},
+		{"given up", func(s *Source, _ context.CancelFunc) { s.CancelPoll() }, new(*GivenUpError), time.Second},
 		{"the instance stops", func(_ *Source, stop context.CancelFunc) { stop() }, new(*SourceError), time.Second},
 		{"behind the platform's hold", func(*Source, context.CancelFunc) {}, new(*SourceError), pollTimeout},
 	}
@@ -75,7 +75,7 @@
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
 				s := NewSource("http://platform", neverAnswers{})
-				s.GiveUp()
+				s.CancelPoll()
 				go func() {
 					time.Sleep(time.Second)
 					c.end(s, stop)
