--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -64,7 +64,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	if givenUp := (*membership.GivenUpError)(nil); errors.As(err, &givenUp) {
+	if givenUp := (*membership.PollCancelledError)(nil); errors.As(err, &givenUp) {
 		d.log.Info("poll given up", "version", version, "told", d.told.Load(), "waited_ms", givenUp.Waited.Milliseconds())
 		return
 	}
--- a/membership/source.go
+++ b/membership/source.go
@@ -36,14 +36,14 @@
 	pollTimeout = platformHold + pollSlack
 )
 
-// GivenUpError is the error of a call that was given up by GiveUp.
-type GivenUpError struct {
+// PollCancelledError is the error of a call that was given up by GiveUp.
+type PollCancelledError struct {
 	// Waited is how long the call had no answer.
 	Waited time.Duration
 }
 
 // Error says so.
-func (e *GivenUpError) Error() string {
+func (e *PollCancelledError) Error() string {
 	return fmt.Sprintf("poll of the platform's list was given up after %v", e.Waited)
 }
 
@@ -107,7 +107,7 @@
 	// Whatever silenced this connection may have silenced those that rest.
 	s.client.CloseIdleConnections()
 	if errors.Is(context.Cause(bounded), errGivenUp) {
-		err = &GivenUpError{Waited: time.Since(began)}
+		err = &PollCancelledError{Waited: time.Since(began)}
 	}
 	return l, false, err
 }
--- a/membership/source_test.go
+++ b/membership/source_test.go
@@ -65,7 +65,7 @@
 		want any
 		at   time.Duration
 	}{
-		{"given up", func(s *Source, _ context.CancelFunc) { s.CancelPoll() }, new(*GivenUpError), time.Second},
+		{"given up", func(s *Source, _ context.CancelFunc) { s.CancelPoll() }, new(*PollCancelledError), time.Second},
 		{"the instance stops", func(_ *Source, stop context.CancelFunc) { stop() }, new(*SourceError), time.Second},
 		{"behind the platform's hold", func(*Source, context.CancelFunc) {}, new(*SourceError), pollTimeout},
 	}
