--- a/daemon/relays.go
+++ b/daemon/relays.go
@@ -173,7 +173,7 @@
 	if version == r.rankedVersion {
 		return
 	}
-	asked := relay.Of(r.domain, r.fleet())
+	asked := relay.Select(r.domain, r.fleet())
 	r.ranked, r.rankedVersion = relay.Order(r.instance, asked), version
 	r.isAsked = slices.Contains(asked, r.instance)
 }
--- a/daemon/relays_test.go
+++ b/daemon/relays_test.go
@@ -141,7 +141,7 @@
 // gone; behind the end of the other one the store is to be asked.
 func TestMembersAreToldByRelays(t *testing.T) {
 	s := &relaySite{t: t, addresses: map[string]string{}}
-	order := relay.Order("i50", relay.Of("z", s.fleet()))
+	order := relay.Order("i50", relay.Select("z", s.fleet()))
 	require.Len(t, order, relay.PerDomain)
 	teller := s.start(order[1])
 	s.list("a", "b")
@@ -163,7 +163,7 @@
 // TestNoneGoInCircles asks one that follows another itself.
 func TestNoneGoInCircles(t *testing.T) {
 	s := &relaySite{t: t, addresses: map[string]string{}}
-	order := relay.Order("i50", relay.Of("z", s.fleet()))
+	order := relay.Order("i50", relay.Select("z", s.fleet()))
 	s.list("a")
 	s.start(order[0]).following.Store(true)
 	f := s.follow("i50")
@@ -204,7 +204,7 @@
 func TestOlderMembersOfARelayAreNotTaken(t *testing.T) {
 	s := &relaySite{t: t, addresses: map[string]string{}}
 	s.list("leaves", "stays")
-	for _, name := range relay.Of("z", s.fleet()) {
+	for _, name := range relay.Select("z", s.fleet()) {
 		s.start(name)
 	}
 	f := &follower{relays: s.start("i50"), entries: membership.NewEntries()}
@@ -265,7 +265,7 @@
 				heardAt: func() evacuation.Version { return evacuation.Version{} }, reached: func(string) string { return "" }, log: logr.Discard(),
 			}
 		}
-		unopened(relay.Of("z", s.fleet())[0]).follow(t.Context(), nil)
+		unopened(relay.Select("z", s.fleet())[0]).follow(t.Context(), nil)
 		require.Less(t, time.Since(began), 200*time.Millisecond)
 		unopened("i50").follow(t.Context(), func(membership.EntryEvent) {})
 		require.GreaterOrEqual(t, time.Since(began), firstWait, "the others wait for relays")
@@ -280,7 +280,7 @@
 	for _, c := range []struct {
 		instance string
 		starting bool
-	}{{relay.Of("z", s.fleet())[0], false}, {"i50", true}} {
+	}{{relay.Select("z", s.fleet())[0], false}, {"i50", true}} {
 		n := vouchingNode(&now)
 		n.startedAt, n.mesh.holds = now, func() bool { return false }
 		n.relays = &relays{
@@ -301,7 +301,7 @@
 // told it.
 func TestRelayThatDoesNotFollowTheStoreIsLeft(t *testing.T) {
 	s := &relaySite{t: t, addresses: map[string]string{}}
-	for _, name := range relay.Of("z", s.fleet()) {
+	for _, name := range relay.Select("z", s.fleet()) {
 		s.start(name)
 	}
 	s.list("a")
--- a/relay/choice.go
+++ b/relay/choice.go
@@ -23,9 +23,9 @@
 	Cores float64
 }
 
-// Of returns the instances of a failure domain that read the list, the first one first. All
+// Select returns the instances of a failure domain that read the list, the first one first. All
 // that know the same instances agree on them.
-func Of(domain string, fleet []Instance) []string {
+func Select(domain string, fleet []Instance) []string {
 	if len(fleet) <= LargeFleet {
 		return nil
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -30,12 +30,12 @@
 // TestRelaysAreStrongAndAgreedOn shuffles what instances know.
 func TestRelaysAreStrongAndAgreedOn(t *testing.T) {
 	fleet := fleetOf(984)
-	relays := Of("z1", fleet)
+	relays := Select("z1", fleet)
 	require.Len(t, relays, PerDomain)
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 20 {
 		random.Shuffle(len(fleet), func(i, j int) { fleet[i], fleet[j] = fleet[j], fleet[i] })
-		require.Equal(t, relays, Of("z1", fleet))
+		require.Equal(t, relays, Select("z1", fleet))
 	}
 	for _, i := range fleet {
 		if slices.Contains(relays, i.Name) {
@@ -43,13 +43,13 @@
 			require.Equal(t, 0.8, i.Cores)
 		}
 	}
-	require.Empty(t, Of("z1", fleetOf(LargeFleet)), "in a small fleet all read the store")
+	require.Empty(t, Select("z1", fleetOf(LargeFleet)), "in a small fleet all read the store")
 }
 
 // TestRelaysShareTheirAskers counts who is asked first.
 func TestRelaysShareTheirAskers(t *testing.T) {
 	fleet := fleetOf(984)
-	relays := Of("z0", fleet)
+	relays := Select("z0", fleet)
 	first, askers := map[string]int{}, 0
 	for _, i := range fleet {
 		if i.FailureDomain != "z0" || slices.Contains(relays, i.Name) {
@@ -166,7 +166,7 @@
 		require.NoError(t, err)
 		readers, askers := 0, map[string]int{}
 		for _, i := range fleet {
-			order := Order(i.Name, Of(i.FailureDomain, fleet))
+			order := Order(i.Name, Select(i.FailureDomain, fleet))
 			if len(order) == 0 {
 				readers++
 				continue
