--- a/daemon/relays.go
+++ b/daemon/relays.go
@@ -174,7 +174,7 @@
 		return
 	}
 	asked := relay.Select(r.domain, r.fleet())
-	r.ranked, r.rankedVersion = relay.Order(r.instance, asked), version
+	r.ranked, r.rankedVersion = relay.Rank(r.instance, asked), version
 	r.isAsked = slices.Contains(asked, r.instance)
 }
 
--- a/daemon/relays_test.go
+++ b/daemon/relays_test.go
@@ -141,7 +141,7 @@
 // gone; behind the end of the other one the store is to be asked.
 func TestMembersAreToldByRelays(t *testing.T) {
 	s := &relaySite{t: t, addresses: map[string]string{}}
-	order := relay.Order("i50", relay.Select("z", s.fleet()))
+	order := relay.Rank("i50", relay.Select("z", s.fleet()))
 	require.Len(t, order, relay.PerDomain)
 	teller := s.start(order[1])
 	s.list("a", "b")
@@ -163,7 +163,7 @@
 // TestNoneGoInCircles asks one that follows another itself.
 func TestNoneGoInCircles(t *testing.T) {
 	s := &relaySite{t: t, addresses: map[string]string{}}
-	order := relay.Order("i50", relay.Select("z", s.fleet()))
+	order := relay.Rank("i50", relay.Select("z", s.fleet()))
 	s.list("a")
 	s.start(order[0]).following.Store(true)
 	f := s.follow("i50")
--- a/relay/choice.go
+++ b/relay/choice.go
@@ -45,9 +45,9 @@
 	return names
 }
 
-// Order returns in which order an instance asks relays, so that each is asked first by as
+// Rank returns in which order an instance asks relays, so that each is asked first by as
 // many; nil if it is one of them.
-func Order(self string, relays []string) []string {
+func Rank(self string, relays []string) []string {
 	if slices.Contains(relays, self) {
 		return nil
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -55,14 +55,14 @@
 		if i.FailureDomain != "z0" || slices.Contains(relays, i.Name) {
 			continue
 		}
-		order := Order(i.Name, relays)
+		order := Rank(i.Name, relays)
 		require.ElementsMatch(t, relays, order)
 		first[order[0]]++
 		askers++
 	}
 	for _, r := range relays {
 		require.InDelta(t, askers/PerDomain, first[r], float64(askers)/8)
-		require.Nil(t, Order(r, relays))
+		require.Nil(t, Rank(r, relays))
 	}
 }
 
@@ -166,7 +166,7 @@
 		require.NoError(t, err)
 		readers, askers := 0, map[string]int{}
 		for _, i := range fleet {
-			order := Order(i.Name, Select(i.FailureDomain, fleet))
+			order := Rank(i.Name, Select(i.FailureDomain, fleet))
 			if len(order) == 0 {
 				readers++
 				continue
