--- a/daemon/relays_test.go
+++ b/daemon/relays_test.go
@@ -39,7 +39,7 @@
 
 func (s *relaySite) fleet() []relay.Instance {
 	var instances []relay.Instance
-	for i := range relay.LargeFleet + 1 {
+	for i := range relay.MaxDirectReaders + 1 {
 		cores := 0.2
 		if i < relay.PerDomain {
 			cores = 0.8
--- a/relay/choice.go
+++ b/relay/choice.go
@@ -11,9 +11,9 @@
 	// PerDomain is how many instances of a failure domain read the list: one may be gone and
 	// one stand still.
 	PerDomain = 3
-	// LargeFleet is above how many instances the others ask them: up to here the lists of
+	// MaxDirectReaders is above how many instances the others ask them: up to here the lists of
 	// all instances together take the store's link for less than half a second.
-	LargeFleet = 100
+	MaxDirectReaders = 100
 )
 
 // Instance is an instance as it is listed.
@@ -26,7 +26,7 @@
 // Select returns the instances of a failure domain that read the list, the first one first. All
 // that know the same instances agree on them.
 func Select(domain string, fleet []Instance) []string {
-	if len(fleet) <= LargeFleet {
+	if len(fleet) <= MaxDirectReaders {
 		return nil
 	}
 	var local []Instance
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -43,7 +43,7 @@
 			require.Equal(t, 0.8, i.Cores)
 		}
 	}
-	require.Empty(t, Select("z1", fleetOf(LargeFleet)), "in a small fleet all read the store")
+	require.Empty(t, Select("z1", fleetOf(MaxDirectReaders)), "in a small fleet all read the store")
 }
 
 // TestRelaysShareTheirAskers counts who is asked first.
