--- a/daemon/relays_test.go
+++ b/daemon/relays_test.go
@@ -41,7 +41,7 @@
 	var instances []relay.Instance
 	for i := range relay.MaxDirectReaders + 1 {
 		cores := 0.2
-		if i < relay.PerDomain {
+		if i < relay.RelaysPerDomain {
 			cores = 0.8
 		}
 		instances = append(instances, relay.Instance{Name: fmt.Sprintf("i%d", i), FailureDomain: "z", Cores: cores})
@@ -142,7 +142,7 @@
 func TestMembersAreToldByRelays(t *testing.T) {
 	s := &relaySite{t: t, addresses: map[string]string{}}
 	order := relay.Rank("i50", relay.Select("z", s.fleet()))
-	require.Len(t, order, relay.PerDomain)
+	require.Len(t, order, relay.RelaysPerDomain)
 	teller := s.start(order[1])
 	s.list("a", "b")
 	f := s.follow("i50")
--- a/relay/choice.go
+++ b/relay/choice.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// PerDomain is how many instances of a failure domain read the list: one may be gone and
+	// RelaysPerDomain is how many instances of a failure domain read the list: one may be gone and
 	// one stand still.
-	PerDomain = 3
+	RelaysPerDomain = 3
 	// MaxDirectReaders is above how many instances the others ask them: up to here the lists of
 	// all instances together take the store's link for less than half a second.
 	MaxDirectReaders = 100
@@ -39,7 +39,7 @@
 		return cmp.Or(cmp.Compare(b.Cores, a.Cores), cmp.Compare(weight(domain, a.Name), weight(domain, b.Name)), cmp.Compare(a.Name, b.Name))
 	})
 	var names []string
-	for _, i := range local[:min(len(local), PerDomain)] {
+	for _, i := range local[:min(len(local), RelaysPerDomain)] {
 		names = append(names, i.Name)
 	}
 	return names
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -31,7 +31,7 @@
 func TestRelaysAreStrongAndAgreedOn(t *testing.T) {
 	fleet := fleetOf(984)
 	relays := Select("z1", fleet)
-	require.Len(t, relays, PerDomain)
+	require.Len(t, relays, RelaysPerDomain)
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 20 {
 		random.Shuffle(len(fleet), func(i, j int) { fleet[i], fleet[j] = fleet[j], fleet[i] })
@@ -61,7 +61,7 @@
 		askers++
 	}
 	for _, r := range relays {
-		require.InDelta(t, askers/PerDomain, first[r], float64(askers)/8)
+		require.InDelta(t, askers/RelaysPerDomain, first[r], float64(askers)/8)
 		require.Nil(t, Rank(r, relays))
 	}
 }
