--- a/daemon/relaystell.go
+++ b/daemon/relaystell.go
@@ -71,7 +71,7 @@
 	at, differs := r.listedAt(), r.version() != r.feed.Taken()
 	changed := differs && now.Sub(r.takenAt) >= relayGather
 	if changed {
-		r.feed.Take(r.listing())
+		r.feed.Update(r.listing())
 		r.takenAt = now
 	}
 	if changed || !differs {
--- a/relay/feed.go
+++ b/relay/feed.go
@@ -39,8 +39,8 @@
 // Taken is the version of the listing that was taken last; 0 for none.
 func (f *Feed) Taken() int64 { return f.taken }
 
-// Take takes a listing.
-func (f *Feed) Take(l membership.Listing) {
+// Update takes a listing.
+func (f *Feed) Update(l membership.Listing) {
 	f.taken = l.Version
 	present := make(map[string]bool, len(l.Members))
 	for _, m := range l.Members {
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -113,7 +113,7 @@
 			for _, m := range members {
 				l.Members = append(l.Members, m)
 			}
-			feed.Take(l)
+			feed.Update(l)
 		}
 		follow := func(f *follower) {
 			n := feed.Since(f.process, f.seq)
