--- a/daemon/relaystell.go
+++ b/daemon/relaystell.go
@@ -35,7 +35,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.take()
-	if r.feed.Taken() == 0 {
+	if r.feed.ListingVersion() == 0 {
 		return nil, false
 	}
 	news := r.feed.Since(q.Process, q.Seq)
@@ -68,7 +68,7 @@
 func (r *relays) take() {
 	now := r.now()
 	// What is listed later is of this version or a later one.
-	at, differs := r.listedAt(), r.version() != r.feed.Taken()
+	at, differs := r.listedAt(), r.version() != r.feed.ListingVersion()
 	changed := differs && now.Sub(r.takenAt) >= relayGather
 	if changed {
 		r.feed.Update(r.listing())
--- a/relay/feed.go
+++ b/relay/feed.go
@@ -36,8 +36,8 @@
 // NewFeed returns a feed that knows nothing, of a process.
 func NewFeed(process string) *Feed { return &Feed{process: process, members: map[string]told{}} }
 
-// Taken is the version of the listing that was taken last; 0 for none.
-func (f *Feed) Taken() int64 { return f.taken }
+// ListingVersion is the version of the listing that was taken last; 0 for none.
+func (f *Feed) ListingVersion() int64 { return f.taken }
 
 // Update takes a listing.
 func (f *Feed) Update(l membership.Listing) {
