--- a/daemon/nodefresh.go
+++ b/daemon/nodefresh.go
@@ -37,7 +37,7 @@
 
 // vouchFor adds to news of members what this instance knows besides, and whether all of it is
 // current.
-func (n *Node) vouchFor(news *relay.News) {
+func (n *Node) vouchFor(news *relay.Delta) {
 	news.Revision = n.revision()
 	var p peer.Packet
 	told := !n.mesh.holds() && n.mesh.totals.vouchedAge(n.now()) < n.cfg.Fresh.relayLost()
@@ -47,7 +47,7 @@
 }
 
 // vouchedFor takes what another instance adds to its news.
-func (n *Node) vouchedFor(news relay.News) {
+func (n *Node) vouchedFor(news relay.Delta) {
 	n.mesh.evacuations.heard(peer.Packet{
 		From: byRelay, Evacuated: news.Evacuated, EvacuatedEra: news.EvacuatedEra, EvacuatedRevision: news.EvacuatedRevision,
 	})
--- a/daemon/relays.go
+++ b/daemon/relays.go
@@ -40,8 +40,8 @@
 	listedAt, heardAt func() evacuation.Version
 	// vouch adds to news what this instance knows besides, and whether that is current, heard
 	// is told of what others add.
-	vouch func(*relay.News)
-	heard func(relay.News)
+	vouch func(*relay.Delta)
+	heard func(relay.Delta)
 	// holderTells tells whether the holder of the lease tells this instance who leaves.
 	holderTells func() bool
 	// storeAnswers tells whether the store answers close calls of this instance.
--- a/daemon/relays_test.go
+++ b/daemon/relays_test.go
@@ -33,7 +33,7 @@
 }
 
 // vouch adds what one who is asked says of itself.
-func (s *relaySite) vouch(n *relay.News) {
+func (s *relaySite) vouch(n *relay.Delta) {
 	n.Current, n.Follows, n.Revision = !s.blind.Load(), !s.blind.Load(), 7
 }
 
@@ -80,7 +80,7 @@
 	r := &relays{
 		instance: name, domain: "z", address: address, fleet: s.fleet, known: func() bool { return true }, listedVersion: func() int64 { return 1 },
 		holds: func() bool { return false }, listing: s.listing, version: func() int64 { return s.listing().Version },
-		vouch: s.vouch, holderTells: s.holderTells.Load, storeAnswers: s.storeAnswers.Load, heard: func(relay.News) {}, feed: relay.NewFeed("p-" + name),
+		vouch: s.vouch, holderTells: s.holderTells.Load, storeAnswers: s.storeAnswers.Load, heard: func(relay.Delta) {}, feed: relay.NewFeed("p-" + name),
 		hold: func() time.Duration { return 100 * time.Millisecond }, lost: time.Second, log: logr.Discard(), now: time.Now,
 		listedAt: s.versionAt, heardAt: func() evacuation.Version { return evacuation.Version{} },
 		reached: func(name string) string {
@@ -233,7 +233,7 @@
 	r := s.start("i0")
 	now := time.Unix(1000, 0)
 	r.now = func() time.Time { return now }
-	told := func() relay.News {
+	told := func() relay.Delta {
 		packed, _ := r.news(peer.MembersQuestion{}, true)
 		n, err := relay.Decode(packed)
 		require.NoError(t, err)
--- a/daemon/relaysfollow.go
+++ b/daemon/relaysfollow.go
@@ -110,18 +110,18 @@
 
 // sees tells whether endpoints that leave are told by a relay's news, or by the holder of the
 // lease, as far as the store can tell it at all.
-func (r *relays) sees(news relay.News) bool {
+func (r *relays) sees(news relay.Delta) bool {
 	return news.Current || news.Follows || r.holderTells() || !r.storeAnswers()
 }
 
 // older tells whether news is of members as they were before what is known here: a member that
 // has left would take requests again.
-func (r *relays) older(news relay.News) bool {
+func (r *relays) older(news relay.Delta) bool {
 	told := storeVersionOf(news)
 	return told != evacuation.Version{} && told.Compare(r.heardAt()) < 0
 }
 
-func storeVersionOf(news relay.News) evacuation.Version {
+func storeVersionOf(news relay.Delta) evacuation.Version {
 	return evacuation.Version{Era: news.StoreEra, Revision: news.StoreRevision}
 }
 
@@ -138,12 +138,12 @@
 	return client.Dial(ctx, address)
 }
 
-func (r *relays) askOne(ctx context.Context, s *peer.Session, q peer.MembersQuestion) (relay.News, error) {
+func (r *relays) askOne(ctx context.Context, s *peer.Session, q peer.MembersQuestion) (relay.Delta, error) {
 	ctx, cancel := context.WithTimeout(ctx, q.Hold+relayTime)
 	defer cancel()
 	packed, err := s.Ask(ctx, peer.Question{Members: &q})
 	if err != nil {
-		return relay.News{}, err
+		return relay.Delta{}, err
 	}
 	return relay.Decode(packed)
 }
--- a/relay/feed.go
+++ b/relay/feed.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// News is what has changed, for who knows up to a change of a process.
-type News struct {
+// Delta is what has changed, for who knows up to a change of a process.
+type Delta struct {
 	// Process and Seq tell how far the news goes. Whole is set where Members are all.
 	Process string              `cbor:"1,keyasint"`
 	Seq     int64               `cbor:"2,keyasint"`
@@ -90,11 +90,11 @@
 }
 
 // Empty tells whether there is nothing new among the members.
-func (n News) Empty() bool { return !n.Whole && len(n.Members) == 0 && len(n.Removed) == 0 }
+func (n Delta) Empty() bool { return !n.Whole && len(n.Members) == 0 && len(n.Removed) == 0 }
 
 // Since returns the news for who was told up to a change; the zero values ask for the whole.
-func (f *Feed) Since(process string, seq int64) News {
-	n := News{Process: f.process, Seq: f.seq}
+func (f *Feed) Since(process string, seq int64) Delta {
+	n := Delta{Process: f.process, Seq: f.seq}
 	n.Whole = process != f.process || seq < f.forgotten || seq > f.seq
 	if !n.Whole && seq == f.seq {
 		return n
@@ -113,7 +113,7 @@
 }
 
 // Event returns what the news says to Entries.
-func (n News) Event() membership.EntryEvent {
+func (n Delta) Event() membership.EntryEvent {
 	if n.Whole {
 		return membership.EntriesListed{Members: n.Members}
 	}
--- a/relay/packing.go
+++ b/relay/packing.go
@@ -32,7 +32,7 @@
 )
 
 // Encode packs news.
-func Encode(n News) ([]byte, error) {
+func Encode(n Delta) ([]byte, error) {
 	data, err := cbor.Marshal(n)
 	if err != nil {
 		return nil, fmt.Errorf("news: %w", err)
@@ -65,7 +65,7 @@
 }
 
 // Decode unpacks news.
-func Decode(packed []byte) (n News, err error) {
+func Decode(packed []byte) (n Delta, err error) {
 	if len(packed) == 0 {
 		return n, ErrForm
 	}
@@ -84,7 +84,7 @@
 		return n, ErrTooLarge
 	}
 	if err := decoder.Unmarshal(data, &n); err != nil {
-		return News{}, fmt.Errorf("news: %w", err)
+		return Delta{}, fmt.Errorf("news: %w", err)
 	}
 	return n, nil
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -77,7 +77,7 @@
 
 func TestNewsIsReadAsItWas(t *testing.T) {
 	for _, members := range []int{0, 1, 40} {
-		n := News{Process: "p", Seq: 9, Current: true, Revision: 4, Removed: []string{"gone"}}
+		n := Delta{Process: "p", Seq: 9, Current: true, Revision: 4, Removed: []string{"gone"}}
 		for i := range members {
 			n.Members = append(n.Members, entry(i))
 		}
@@ -158,7 +158,7 @@
 	for _, size := range []int{6, 90, 301, 984, 1968} {
 		fleet := fleetOf(size)
 		endpoints := 4 * size
-		n := News{Whole: true}
+		n := Delta{Whole: true}
 		for i := range endpoints {
 			n.Members = append(n.Members, entry(i))
 		}
