--- a/daemon/relaystell.go
+++ b/daemon/relaystell.go
@@ -44,7 +44,7 @@
 		return nil, false
 	}
 	key := q.Seq
-	if news.Whole {
+	if news.Full {
 		key = wholeKey
 	}
 	if packed, known := r.packed[key]; known {
--- a/relay/feed.go
+++ b/relay/feed.go
@@ -68,7 +68,7 @@
 	// Process and Seq tell how far the news goes. Whole is set where Members are all.
 	Process string              `cbor:"1,keyasint"`
 	Seq     int64               `cbor:"2,keyasint"`
-	Whole   bool                `cbor:"3,keyasint,omitempty"`
+	Full    bool                `cbor:"3,keyasint,omitempty"`
 	Members []membership.Member `cbor:"4,keyasint,omitempty"`
 	Removed []string            `cbor:"5,keyasint,omitempty"`
 
@@ -90,22 +90,22 @@
 }
 
 // Empty tells whether there is nothing new among the members.
-func (n Delta) Empty() bool { return !n.Whole && len(n.Members) == 0 && len(n.Removed) == 0 }
+func (n Delta) Empty() bool { return !n.Full && len(n.Members) == 0 && len(n.Removed) == 0 }
 
 // Since returns the news for who was told up to a change; the zero values ask for the whole.
 func (f *Feed) Since(process string, seq int64) Delta {
 	n := Delta{Process: f.process, Seq: f.seq}
-	n.Whole = process != f.process || seq < f.forgotten || seq > f.seq
-	if !n.Whole && seq == f.seq {
+	n.Full = process != f.process || seq < f.forgotten || seq > f.seq
+	if !n.Full && seq == f.seq {
 		return n
 	}
 	for _, m := range f.members {
-		if n.Whole || m.seq > seq {
+		if n.Full || m.seq > seq {
 			n.Members = append(n.Members, m.member)
 		}
 	}
 	for _, r := range f.removed {
-		if _, back := f.members[r.name]; !n.Whole && r.seq > seq && !back {
+		if _, back := f.members[r.name]; !n.Full && r.seq > seq && !back {
 			n.Removed = append(n.Removed, r.name)
 		}
 	}
@@ -114,7 +114,7 @@
 
 // Event returns what the news says to Entries.
 func (n Delta) Event() membership.EntryEvent {
-	if n.Whole {
+	if n.Full {
 		return membership.EntriesListed{Members: n.Members}
 	}
 	var changes []membership.EntryChange
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -158,7 +158,7 @@
 	for _, size := range []int{6, 90, 301, 984, 1968} {
 		fleet := fleetOf(size)
 		endpoints := 4 * size
-		n := Delta{Whole: true}
+		n := Delta{Full: true}
 		for i := range endpoints {
 			n.Members = append(n.Members, entry(i))
 		}
