--- a/daemon/nodefresh.go
+++ b/daemon/nodefresh.go
@@ -42,7 +42,7 @@
 	var p peer.Packet
 	told := !n.mesh.holds() && n.mesh.totals.vouchedAge(n.now()) < n.cfg.Fresh.relayLost()
 	news.Current = (told || n.current()) && n.mesh.evacuations.tell(&p)
-	news.Follows = told || n.followsStore()
+	news.FollowsStore = told || n.followsStore()
 	news.Evacuated, news.EvacuatedEra, news.EvacuatedRevision = p.Evacuated, p.EvacuatedEra, p.EvacuatedRevision
 }
 
--- a/daemon/relays_test.go
+++ b/daemon/relays_test.go
@@ -34,7 +34,7 @@
 
 // vouch adds what one who is asked says of itself.
 func (s *relaySite) vouch(n *relay.Delta) {
-	n.Current, n.Follows, n.Revision = !s.blind.Load(), !s.blind.Load(), 7
+	n.Current, n.FollowsStore, n.Revision = !s.blind.Load(), !s.blind.Load(), 7
 }
 
 func (s *relaySite) fleet() []relay.Instance {
--- a/daemon/relaysfollow.go
+++ b/daemon/relaysfollow.go
@@ -111,7 +111,7 @@
 // sees tells whether endpoints that leave are told by a relay's news, or by the holder of the
 // lease, as far as the store can tell it at all.
 func (r *relays) sees(news relay.Delta) bool {
-	return news.Current || news.Follows || r.holderTells() || !r.storeAnswers()
+	return news.Current || news.FollowsStore || r.holderTells() || !r.storeAnswers()
 }
 
 // older tells whether news is of members as they were before what is known here: a member that
--- a/relay/feed.go
+++ b/relay/feed.go
@@ -84,9 +84,9 @@
 	// members, zero where it does not tell.
 	StoreEra      int64 `cbor:"11,keyasint,omitempty"`
 	StoreRevision int64 `cbor:"12,keyasint,omitempty"`
-	// Follows tells that the teller follows the store closely, or the word of one that does,
+	// FollowsStore tells that the teller follows the store closely, or the word of one that does,
 	// also where it does not vouch yet.
-	Follows bool `cbor:"13,keyasint,omitempty"`
+	FollowsStore bool `cbor:"13,keyasint,omitempty"`
 }
 
 // Empty tells whether there is nothing new among the members.
