--- a/relay/packing.go
+++ b/relay/packing.go
@@ -27,8 +27,8 @@
 
 // Errors of Decode.
 var (
-	ErrTooLarge = errors.New("news is too large")
-	ErrForm     = errors.New("news has an unknown form")
+	ErrTooLarge      = errors.New("news is too large")
+	ErrUnknownFormat = errors.New("news has an unknown form")
 )
 
 // Encode packs news.
@@ -67,7 +67,7 @@
 // Decode unpacks news.
 func Decode(packed []byte) (n Delta, err error) {
 	if len(packed) == 0 {
-		return n, ErrForm
+		return n, ErrUnknownFormat
 	}
 	data := packed[1:]
 	switch packed[0] {
@@ -78,7 +78,7 @@
 			return n, fmt.Errorf("news: %w", err)
 		}
 	default:
-		return n, ErrForm
+		return n, ErrUnknownFormat
 	}
 	if len(data) > maxBytes {
 		return n, ErrTooLarge
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -90,7 +90,7 @@
 		require.Error(t, err)
 	}
 	_, err := Decode([]byte{9})
-	require.ErrorIs(t, err, ErrForm)
+	require.ErrorIs(t, err, ErrUnknownFormat)
 }
 
 // TestFollowersEndWithTheSameMembers changes members at random, and lets two instances follow,
