--- a/broadcast/broadcast_test.go
+++ b/broadcast/broadcast_test.go
@@ -23,7 +23,7 @@
 // TestSumsThatFitAreAllTold has room for all of them each time.
 func TestSumsThatFitAreAllTold(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var s Sums
+	var s Totals
 	all := []peer.EndpointLoad{load("a", 1), load("b", 2), load("c", 3)}
 	for range 3 {
 		require.ElementsMatch(t, all, s.Next(now, all, everything))
@@ -34,7 +34,7 @@
 // TestEndpointsThatAreIdleAgainAreTold tells of each a few times more.
 func TestEndpointsThatAreIdleAgainAreTold(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var s Sums
+	var s Totals
 	s.Next(now, []peer.EndpointLoad{load("a", 1), load("b", 2)}, everything)
 	for range mostIdleTells {
 		now = now.Add(100 * time.Millisecond)
@@ -47,7 +47,7 @@
 // TestSumsThatChangedMostGoFirst has room for one at a time.
 func TestSumsThatChangedMostGoFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var s Sums
+	var s Totals
 	s.Next(now, []peer.EndpointLoad{load("a", 1), load("b", 1), load("c", 1)}, everything)
 	now = now.Add(100 * time.Millisecond)
 	changed := []peer.EndpointLoad{load("a", 1), load("b", 9), load("c", 3)}
@@ -107,7 +107,7 @@
 // two-year target and of the sweep, and the bytes that a link of 200 Mbit/s has.
 func TestNeedTellsMoreThanRounds(t *testing.T) {
 	for _, size := range []struct{ endpoints, bytes int }{{720, 3846}, {3000, 5000}} {
-		var need Sums
+		var need Totals
 		var turns rounds
 		byNeed, inRounds := meanError(size.endpoints, size.bytes, need.Next), meanError(size.endpoints, size.bytes, turns.Next)
 		t.Logf("%d endpoints: off by %.2f requests by need, %.2f in rounds", size.endpoints, byNeed, inRounds)
@@ -196,7 +196,7 @@
 func TestWhatDoesNotMatterIsNotTold(t *testing.T) {
 	const pause = 400 * time.Millisecond
 	places := map[string]int{"large": 64, "small": 8}
-	s := Sums{Matters: Significant(func(e string) int { return places[e] }, func() time.Duration { return pause })}
+	s := Totals{Matters: Significant(func(e string) int { return places[e] }, func() time.Duration { return pause })}
 	now := time.Unix(1000, 0)
 	next := func(all ...peer.EndpointLoad) []string {
 		var names []string
@@ -222,7 +222,7 @@
 	const endpoints, places, busy = 4000, 64, 20
 	random := rand.New(rand.NewPCG(3, 4))
 	now := time.Unix(1000, 0)
-	s := Sums{Matters: Significant(func(string) int { return places }, func() time.Duration { return 400 * time.Millisecond })}
+	s := Totals{Matters: Significant(func(string) int { return places }, func() time.Duration { return 400 * time.Millisecond })}
 	running, known := make([]int64, endpoints), map[string]int64{}
 	told, whole := 0, 0
 	for range 75 {
--- a/broadcast/sums.go
+++ b/broadcast/sums.go
@@ -8,9 +8,9 @@
 	"github.com/eiderspring/eiderspring/peer"
 )
 
-// Sums deals out what all instances have under way at each endpoint. The zero value has told
+// Totals deals out what all instances have under way at each endpoint. The zero value has told
 // nothing, and tells what has not changed too, as far as it fits.
-type Sums struct {
+type Totals struct {
 	// Matters, unless nil, tells whether the others would go wrong by going on with what was
 	// told. What does not matter is told only in time before they forget the endpoint, if
 	// it was told at all.
@@ -49,7 +49,7 @@
 
 // Next returns what to tell now of all sums, as many as fit into so many bytes, and at least
 // one. The order is by how far the others are off, for how long.
-func (s *Sums) Next(now time.Time, all []peer.EndpointLoad, bytes int) []peer.EndpointLoad {
+func (s *Totals) Next(now time.Time, all []peer.EndpointLoad, bytes int) []peer.EndpointLoad {
 	needs := s.needs(now, all)
 	var next []peer.EndpointLoad
 	for _, n := range needs {
@@ -64,7 +64,7 @@
 }
 
 // needs returns all sums, those that are needed most first.
-func (s *Sums) needs(now time.Time, all []peer.EndpointLoad) []sumNeed {
+func (s *Totals) needs(now time.Time, all []peer.EndpointLoad) []sumNeed {
 	needs := make([]sumNeed, 0, len(all))
 	present := make(map[string]bool, len(all))
 	for _, l := range all {
@@ -86,7 +86,7 @@
 }
 
 // due tells whether a sum is worth telling at all.
-func (s *Sums) due(now time.Time, l peer.EndpointLoad) bool {
+func (s *Totals) due(now time.Time, l peer.EndpointLoad) bool {
 	if s.Matters == nil {
 		return true
 	}
@@ -108,7 +108,7 @@
 
 // need is by how much the others are off, in requests, times for how long they may be, in
 // seconds. One that has not changed is told again in time, as the others forget it.
-func (s *Sums) need(now time.Time, l peer.EndpointLoad) float64 {
+func (s *Totals) need(now time.Time, l peer.EndpointLoad) float64 {
 	t := s.told[l.Endpoint]
 	age := neverTold
 	if !t.at.IsZero() {
@@ -121,7 +121,7 @@
 func distance(a, b int64) float64 { return float64(max(a-b, b-a)) }
 
 // tell records what is told.
-func (s *Sums) tell(now time.Time, l peer.EndpointLoad) {
+func (s *Totals) tell(now time.Time, l peer.EndpointLoad) {
 	t := toldSum{EndpointLoad: l, at: now}
 	if l.Running == 0 && l.Prompt == 0 {
 		t.idle = s.told[l.Endpoint].idle + 1
--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -88,7 +88,7 @@
 	// board, othersAt, demandedAt and sharedAt belong to the goroutine of run.
 	board *peer.Board
 	// hubSums and hubAt belong to the goroutine of tick.
-	hubSums broadcast.Sums
+	hubSums broadcast.Totals
 	// toldLast is the summary that was sent last, at toldLastAt to toldLastTo; they belong to
 	// tick too.
 	toldLast   peer.Packet
