--- a/broadcast/broadcast_test.go
+++ b/broadcast/broadcast_test.go
@@ -196,7 +196,7 @@
 func TestWhatDoesNotMatterIsNotTold(t *testing.T) {
 	const pause = 400 * time.Millisecond
 	places := map[string]int{"large": 64, "small": 8}
-	s := Totals{Matters: Significant(func(e string) int { return places[e] }, func() time.Duration { return pause })}
+	s := Totals{Significant: Significant(func(e string) int { return places[e] }, func() time.Duration { return pause })}
 	now := time.Unix(1000, 0)
 	next := func(all ...peer.EndpointLoad) []string {
 		var names []string
@@ -222,7 +222,7 @@
 	const endpoints, places, busy = 4000, 64, 20
 	random := rand.New(rand.NewPCG(3, 4))
 	now := time.Unix(1000, 0)
-	s := Totals{Matters: Significant(func(string) int { return places }, func() time.Duration { return 400 * time.Millisecond })}
+	s := Totals{Significant: Significant(func(string) int { return places }, func() time.Duration { return 400 * time.Millisecond })}
 	running, known := make([]int64, endpoints), map[string]int64{}
 	told, whole := 0, 0
 	for range 75 {
--- a/broadcast/sums.go
+++ b/broadcast/sums.go
@@ -11,10 +11,10 @@
 // Totals deals out what all instances have under way at each endpoint. The zero value has told
 // nothing, and tells what has not changed too, as far as it fits.
 type Totals struct {
-	// Matters, unless nil, tells whether the others would go wrong by going on with what was
+	// Significant, unless nil, tells whether the others would go wrong by going on with what was
 	// told. What does not matter is told only in time before they forget the endpoint, if
 	// it was told at all.
-	Matters func(now, told peer.EndpointLoad) bool
+	Significant func(now, told peer.EndpointLoad) bool
 
 	// told is what the others go by, by endpoint.
 	told map[string]toldSum
@@ -87,11 +87,11 @@
 
 // due tells whether a sum is worth telling at all.
 func (s *Totals) due(now time.Time, l peer.EndpointLoad) bool {
-	if s.Matters == nil {
+	if s.Significant == nil {
 		return true
 	}
 	t, told := s.told[l.Endpoint]
-	return s.Matters(l, t.EndpointLoad) || told && now.Sub(t.at) >= retell
+	return s.Significant(l, t.EndpointLoad) || told && now.Sub(t.at) >= retell
 }
 
 // Significant returns what matters of an endpoint with so many places, to others that are told
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -251,7 +251,7 @@
 		linkBytes:      n.cfg.Limits.LinkMbps * bytesPerMbit,
 		totals:         totals{holderLost: n.cfg.Fresh.holderLost()},
 	}
-	m.hubSums.Matters = broadcast.Significant(n.router.Places, m.hubPause)
+	m.hubSums.Significant = broadcast.Significant(n.router.Places, m.hubPause)
 	return m
 }
 
