--- a/broadcast/broadcast_test.go
+++ b/broadcast/broadcast_test.go
@@ -183,7 +183,7 @@
 	now := time.Unix(1000, 0)
 	sent := 0
 	for range 1000 {
-		for b.Left(now) > 0 {
+		for b.Available(now) > 0 {
 			b.Take(150)
 			sent += 150
 		}
--- a/broadcast/budget.go
+++ b/broadcast/budget.go
@@ -15,8 +15,8 @@
 	b.perSecond, b.most = perSecond, perSecond*kept.Seconds()
 }
 
-// Left is what may be sent at now, below 0 where more was sent.
-func (b *Budget) Left(now time.Time) float64 {
+// Available is what may be sent at now, below 0 where more was sent.
+func (b *Budget) Available(now time.Time) float64 {
 	if b.at.IsZero() {
 		b.level, b.at = b.most, now
 	}
--- a/daemon/meshtell.go
+++ b/daemon/meshtell.go
@@ -187,9 +187,9 @@
 	m.repeats.SetRate(perInstance*hubLinkShare, linkShareKept)
 	now := m.now()
 	switch {
-	case m.changes.Left(now) <= 0:
+	case m.changes.Available(now) <= 0:
 		return broadcast.Withdrawn
-	case m.repeats.Left(now) <= 0:
+	case m.repeats.Available(now) <= 0:
 		return broadcast.Changed
 	default:
 		return broadcast.Repeat
