--- a/broadcast/broadcast_test.go
+++ b/broadcast/broadcast_test.go
@@ -184,7 +184,7 @@
 	sent := 0
 	for range 1000 {
 		for b.Available(now) > 0 {
-			b.Take(150)
+			b.Spend(150)
 			sent += 150
 		}
 		now = now.Add(10 * time.Millisecond)
--- a/broadcast/budget.go
+++ b/broadcast/budget.go
@@ -25,5 +25,5 @@
 	return b.level
 }
 
-// Take counts what was sent.
-func (b *Budget) Take(bytes int) { b.level -= float64(bytes) }
+// Spend counts what was sent.
+func (b *Budget) Spend(bytes int) { b.level -= float64(bytes) }
--- a/daemon/meshtell.go
+++ b/daemon/meshtell.go
@@ -174,8 +174,8 @@
 	}
 	next := m.unsent.Next(room, least)
 	if len(next) > 0 {
-		m.changes.Take(peer.MaxPacketBytes)
-		m.repeats.Take(peer.MaxPacketBytes)
+		m.changes.Spend(peer.MaxPacketBytes)
+		m.repeats.Spend(peer.MaxPacketBytes)
 	}
 	return next
 }
