--- a/broadcast/broadcast_test.go
+++ b/broadcast/broadcast_test.go
@@ -130,14 +130,14 @@
 // TestWithdrawnGoFirst lets words of each urgency wait.
 func TestWithdrawnGoFirst(t *testing.T) {
 	var r Residency
-	r.Put(placement("a", "m"), Repeat)
+	r.Put(placement("a", "m"), Refresh)
 	r.Put(placement("b", "m"), Changed)
 	r.Put(placement("c", "m"), Withdrawn)
 	r.Put(placement("a"), Withdrawn)
-	r.Put(placement("d", "m"), Repeat)
+	r.Put(placement("d", "m"), Refresh)
 	require.Equal(t, []string{"c", "a"}, endpointsOf(r.Next(everything, Withdrawn)))
-	require.Equal(t, []string{"b"}, endpointsOf(r.Next(1, Repeat)), "one at least")
-	require.Equal(t, []string{"d"}, endpointsOf(r.Next(everything, Repeat)))
+	require.Equal(t, []string{"b"}, endpointsOf(r.Next(1, Refresh)), "one at least")
+	require.Equal(t, []string{"d"}, endpointsOf(r.Next(everything, Refresh)))
 	require.Zero(t, r.Len())
 }
 
@@ -145,7 +145,7 @@
 func TestUrgencyIsKept(t *testing.T) {
 	var r Residency
 	r.Put(placement("a"), Withdrawn)
-	r.Put(placement("a", "m"), Repeat)
+	r.Put(placement("a", "m"), Refresh)
 	require.Equal(t, []peer.Placement{placement("a", "m")}, r.Next(everything, Withdrawn))
 }
 
@@ -171,7 +171,7 @@
 				require.LessOrEqual(t, len(queue), 2*10+staleEntries+1)
 			}
 		}
-		hear(r.Next(everything, Repeat))
+		hear(r.Next(everything, Refresh))
 		require.Equal(t, last, heard)
 	})
 }
--- a/broadcast/residency.go
+++ b/broadcast/residency.go
@@ -11,8 +11,8 @@
 
 // Urgencies, the least first.
 const (
-	// Repeat: they know it, unless they have missed it.
-	Repeat Urgency = iota
+	// Refresh: they know it, unless they have missed it.
+	Refresh Urgency = iota
 	// Changed: they would go on without a replica.
 	Changed
 	// Withdrawn: requests that go on there would be turned away.
--- a/daemon/fleetwords_test.go
+++ b/daemon/fleetwords_test.go
@@ -106,7 +106,7 @@
 	next := f.at.Add(meshTick)
 	for i := range endpoints / 50 {
 		p := peer.Placement{Epoch: 1, Endpoint: fmt.Sprintf("i-%010x", (f.next+i)%endpoints), Units: f.units, StartedAtMS: 1_782_399_000_000}
-		urgency := broadcast.Repeat
+		urgency := broadcast.Refresh
 		switch {
 		case i == 0:
 			p.Going, urgency = f.units[:1], broadcast.Withdrawn
--- a/daemon/mesh_test.go
+++ b/daemon/mesh_test.go
@@ -127,7 +127,7 @@
 		}
 		for queue.Len() > 0 {
 			p := peer.Packet{Version: 1, From: "edge-pnw-hillsboro-13", Address: "10.1.0.38:7380", Seq: 1 << 40}
-			p.Placements = queue.Next(roomIn(p), broadcast.Repeat)
+			p.Placements = queue.Next(roomIn(p), broadcast.Refresh)
 			requireFilled(t, p, most+30, queue.Len() == 0)
 		}
 	}
--- a/daemon/meshtell.go
+++ b/daemon/meshtell.go
@@ -168,7 +168,7 @@
 	small := m.small()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	least := broadcast.Repeat
+	least := broadcast.Refresh
 	if !small {
 		least = m.leastUrgency()
 	}
@@ -192,7 +192,7 @@
 	case m.repeats.Available(now) <= 0:
 		return broadcast.Changed
 	default:
-		return broadcast.Repeat
+		return broadcast.Refresh
 	}
 }
 
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -168,7 +168,7 @@
 	case counted.Gained:
 		return broadcast.Changed
 	default:
-		return broadcast.Repeat
+		return broadcast.Refresh
 	}
 }
 
@@ -330,8 +330,8 @@
 			_, held := d.runner.Hold()
 			return p.campaigns(pool, held)
 		},
-		Observe:  func() bool { return p.looks(pool) },
-		Lease: lease.Config{Holder: p.holder, Duration: leaseDuration, RenewEvery: leaseRenewal, ClockDrift: leaseDrift},
+		Observe: func() bool { return p.looks(pool) },
+		Lease:   lease.Config{Holder: p.holder, Duration: leaseDuration, RenewEvery: leaseRenewal, ClockDrift: leaseDrift},
 	})
 	d.tell(counted.Alone{Alone: p.isAlone})
 	p.done.Go(func() { d.run(p.ctx) })
