--- a/bench/slopes_test.go
+++ b/bench/slopes_test.go
@@ -65,7 +65,7 @@
 	for _, n := range []int{26, 100, 400, 950} {
 		b.Run(fmt.Sprintf("models=%d", n), func(b *testing.B) {
 			text := settingsOf(n)
-			chunks, err := revision.Cut(text)
+			chunks, err := revision.Split(text)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/revision/chunk.go
+++ b/revision/chunk.go
@@ -30,8 +30,8 @@
 // the skeleton. In their place stands an array with the hashes of the chunks.
 var cutPaths = [][]string{{"pools", wildcard, "models"}, {"services"}, {"callers"}}
 
-// Cut cuts a JWCC text. The first chunk is the skeleton.
-func Cut(text []byte) ([]Chunk, error) {
+// Split cuts a JWCC text. The first chunk is the skeleton.
+func Split(text []byte) ([]Chunk, error) {
 	root, err := hujson.Parse(text)
 	if err != nil {
 		return nil, &TextError{Err: err}
--- a/revision/publish.go
+++ b/revision/publish.go
@@ -28,7 +28,7 @@
 	if _, err := settings.Load(file, text); err != nil {
 		return Entry{}, err
 	}
-	chunks, err := Cut(text)
+	chunks, err := Split(text)
 	if err != nil {
 		return Entry{}, err
 	}
--- a/revision/revision_test.go
+++ b/revision/revision_test.go
@@ -32,7 +32,7 @@
 
 func TestCutAndJoinKeepEveryByte(t *testing.T) {
 	for _, text := range [][]byte{examples.Tideline, examples.Liege} {
-		chunks, err := Cut(text)
+		chunks, err := Split(text)
 		require.NoError(t, err)
 		require.Equal(t, string(text), join(t, chunks))
 	}
@@ -43,7 +43,7 @@
 			fmt.Fprintf(&b, "\n\t// about %d\n\t\"s%d\": {\"model\": %q},", i, i, rapid.StringMatching(`[a-z]{0,5}`).Draw(t, "model"))
 		}
 		b.WriteString("\n}, \"callers\": {}}")
-		chunks, err := Cut([]byte(b.String()))
+		chunks, err := Split([]byte(b.String()))
 		require.NoError(t, err)
 		require.Equal(t, b.String(), join(t, chunks))
 	})
@@ -52,9 +52,9 @@
 // TestEditTouchesFewChunks checks that a change to one model changes the
 // skeleton and the chunk that holds the model, and no other.
 func TestEditTouchesFewChunks(t *testing.T) {
-	before, err := Cut(examples.Liege)
+	before, err := Split(examples.Liege)
 	require.NoError(t, err)
-	after, err := Cut([]byte(strings.Replace(string(examples.Liege), `"weightsMB": 16384`, `"weightsMB": 16385`, 1)))
+	after, err := Split([]byte(strings.Replace(string(examples.Liege), `"weightsMB": 16384`, `"weightsMB": 16385`, 1)))
 	require.NoError(t, err)
 	old := map[string]bool{}
 	for _, c := range before {
