--- a/cmd/eiderspring/settings.go
+++ b/cmd/eiderspring/settings.go
@@ -219,7 +219,7 @@
 		return err
 	}
 	fmt.Printf("revision %d accepted\n", entry.Revision)
-	if _, err := publisher.Collect(ctx); err != nil {
+	if _, err := publisher.CollectGarbage(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "eiderspring: old revisions were not collected:", err)
 	}
 	return nil
--- a/revision/history.go
+++ b/revision/history.go
@@ -79,9 +79,9 @@
 	return fmt.Sprintf("revision %d is not in the history", e.Revision)
 }
 
-// Collect deletes revisions beyond the bound of the history, and the chunks
+// CollectGarbage deletes revisions beyond the bound of the history, and the chunks
 // that none of the rest needs. It returns how many objects it deleted.
-func (p *Publisher) Collect(ctx context.Context) (int, error) {
+func (p *Publisher) CollectGarbage(ctx context.Context) (int, error) {
 	entries, err := History(ctx, p.client)
 	if err != nil {
 		return 0, err
--- a/revision/revision_test.go
+++ b/revision/revision_test.go
@@ -150,7 +150,7 @@
 	require.NoError(t, err)
 	require.Contains(t, string(old.Text), `"firstTokenMS": 1009`)
 	now = now.Add(2 * chunkGrace)
-	deleted, err := p.Collect(ctx)
+	deleted, err := p.CollectGarbage(ctx)
 	require.NoError(t, err)
 	require.Equal(t, 4+4, deleted, "4 revisions and the skeleton of each")
 	_, err = ReadRevision(ctx, client, 1)
