--- a/clock/clock.go
+++ b/clock/clock.go
@@ -110,5 +110,5 @@
 // Suspensions is how often the machine was suspended, and Slept for how long in all.
 func (c *Clock) Suspensions() int64 { return c.counted.Load() }
 
-// Slept is how long the machine has been suspended since the clock was made.
-func (c *Clock) Slept() time.Duration { return time.Duration(c.slept.Load()) }
+// Suspended is how long the machine has been suspended since the clock was made.
+func (c *Clock) Suspended() time.Duration { return time.Duration(c.slept.Load()) }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -54,7 +54,7 @@
 	m.run(time.Second)
 	require.Equal(t, epoch.Add(12*time.Second), c.Now())
 	require.EqualValues(t, 1, c.Suspensions())
-	require.Equal(t, 10*time.Second, c.Slept())
+	require.Equal(t, 10*time.Second, c.Suspended())
 }
 
 func TestSettingTheTimeOfDayIsNoSuspension(t *testing.T) {
@@ -121,7 +121,7 @@
 	before := time.Now()
 	now := c.Exact()
 	require.False(t, now.Before(before))
-	require.Zero(t, c.Slept())
+	require.Zero(t, c.Suspended())
 }
 
 func BenchmarkNow(b *testing.B) {
