--- a/clock/clock.go
+++ b/clock/clock.go
@@ -9,8 +9,8 @@
 // Source is where a Clock reads the time.
 type Source struct {
 	// Now is the steady clock; WallOf is the time of day of one of its readings.
-	Now    func() time.Time
-	WallOf func(time.Time) time.Duration
+	Now       func() time.Time
+	WallClock func(time.Time) time.Duration
 	// Boot is a steady clock that counts suspension. An error says that the system has
 	// none; then suspension is not noticed.
 	Boot func() (time.Duration, error)
@@ -18,7 +18,7 @@
 
 // System is the system's clocks.
 func System() Source {
-	return Source{Now: time.Now, WallOf: func(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }, Boot: bootTime}
+	return Source{Now: time.Now, WallClock: func(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }, Boot: bootTime}
 }
 
 // noticed is the least suspension that counts, and the least jump between the steady
@@ -55,7 +55,7 @@
 		woken = func(time.Duration) {}
 	}
 	c := &Clock{source: s, woken: woken, base: s.Now()}
-	c.wallBase = s.WallOf(c.base)
+	c.wallBase = s.WallClock(c.base)
 	var err error
 	c.bootBase, err = s.Boot()
 	c.broken = err != nil
@@ -67,7 +67,7 @@
 // system call.
 func (c *Clock) Now() time.Time {
 	t := c.source.Now()
-	drift := c.source.WallOf(t) - c.wallBase - t.Sub(c.base)
+	drift := c.source.WallClock(t) - c.wallBase - t.Sub(c.base)
 	if moved := drift - time.Duration(c.drift.Load()); moved >= noticed || moved <= -noticed {
 		c.drift.Store(int64(drift))
 		c.look()
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -20,8 +20,8 @@
 
 func (m *machine) source() Source {
 	return Source{
-		Now:    func() time.Time { return epoch.Add(m.steady) },
-		WallOf: func(time.Time) time.Duration { return m.wall },
+		Now:       func() time.Time { return epoch.Add(m.steady) },
+		WallClock: func(time.Time) time.Duration { return m.wall },
 		Boot: func() (time.Duration, error) {
 			if m.broken {
 				return 0, errors.ErrUnsupported
--- a/lease/suspended_test.go
+++ b/lease/suspended_test.go
@@ -44,9 +44,9 @@
 	})}
 	start := time.Unix(1_000, 0)
 	i.clock = clock.New(clock.Source{
-		Now:    func() time.Time { return start.Add(i.steady) },
-		WallOf: func(time.Time) time.Duration { return i.boot },
-		Boot:   func() (time.Duration, error) { return i.boot, nil },
+		Now:       func() time.Time { return start.Add(i.steady) },
+		WallClock: func(time.Time) time.Duration { return i.boot },
+		Boot:      func() (time.Duration, error) { return i.boot, nil },
 	}, nil)
 	return i
 }
