--- a/clock/clock.go
+++ b/clock/clock.go
@@ -75,9 +75,9 @@
 	return c.base.Round(0).Add(t.Sub(c.base) + time.Duration(c.slept.Load()))
 }
 
-// Exact is the time where a right to act rests on it: a machine that is suspended while
+// NowExact is the time where a right to act rests on it: a machine that is suspended while
 // somebody sets the time of day back by as much shows no jump.
-func (c *Clock) Exact() time.Time {
+func (c *Clock) NowExact() time.Time {
 	c.look()
 	return c.Now()
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -65,7 +65,7 @@
 		m.run(time.Second)
 		before := c.Now()
 		m.run(time.Second)
-		require.Equal(t, before.Add(time.Second), c.Exact())
+		require.Equal(t, before.Add(time.Second), c.NowExact())
 	}
 	require.Zero(t, c.Suspensions())
 }
@@ -77,7 +77,7 @@
 	c := New(m.source(), nil)
 	m.suspend(3 * time.Second)
 	m.wall -= 3 * time.Second
-	require.Equal(t, epoch.Add(3*time.Second), c.Exact())
+	require.Equal(t, epoch.Add(3*time.Second), c.NowExact())
 }
 
 func TestWithoutBootClockTheSteadyOneIsGiven(t *testing.T) {
@@ -85,7 +85,7 @@
 	c := New(m.source(), nil)
 	m.suspend(3 * time.Second)
 	m.run(time.Second)
-	require.Equal(t, epoch.Add(time.Second), c.Exact())
+	require.Equal(t, epoch.Add(time.Second), c.NowExact())
 }
 
 // TestClockFollowsTheBootClock draws runs, suspensions and steps of the time of day: the
@@ -106,7 +106,7 @@
 			default:
 				m.run(d)
 			}
-			now := c.Exact()
+			now := c.NowExact()
 			require.False(t, now.Before(last), "seed %d", seed)
 			behind := epoch.Add(m.boot).Sub(now)
 			require.Less(t, behind, noticed, "seed %d", seed)
@@ -119,7 +119,7 @@
 func TestSystemsClocks(t *testing.T) {
 	c := New(System(), nil)
 	before := time.Now()
-	now := c.Exact()
+	now := c.NowExact()
 	require.False(t, now.Before(before))
 	require.Zero(t, c.Suspended())
 }
--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -100,7 +100,7 @@
 	exact := deps.Now
 	if deps.Now == nil {
 		c := clock.New(clock.System(), func(slept time.Duration) { _ = wakes.Put(context.Background(), slept) })
-		deps.Now, exact = c.Now, c.Exact
+		deps.Now, exact = c.Now, c.NowExact
 	}
 	if deps.Dial == nil {
 		deps.Dial = (&net.Dialer{}).DialContext
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -224,7 +224,7 @@
 	address, process := net.JoinHostPort(host, strconv.Itoa(n.cfg.PeerPorts[0])), rand.Text()
 	holds := func() bool { return n.placers.holds() }
 	n.rights = &keyRights{
-		keeper: authority.NewTracker(n.cfg.Fresh.keysAge()), now: n.now, exact: n.clock.Exact, revision: n.revision, answers: holds,
+		keeper: authority.NewTracker(n.cfg.Fresh.keysAge()), now: n.now, exact: n.clock.NowExact, revision: n.revision, answers: holds,
 		send: func(p peer.Packet, to []string) { n.mesh.send(n.mesh.stamp(p), to) }, log: n.log,
 	}
 	n.allowances = newAllowances(n.cfg.Allowances, process, holds, func() int { return n.mesh.size() }, n.now)
@@ -405,7 +405,7 @@
 	n.vars.Set("settings_revision", expvar.Func(func() any { return n.revision() }))
 	objects := n.ports.Store(store.Config{URL: n.cfg.ObjectStore, Calls: calls, Phase: n.phase, WatchWait: n.cfg.Fresh.settingsWait(), BehindWait: n.cfg.Fresh.behindWait(), Asked: n.link.asked, Answered: n.link.answered, Transport: n.storeCalls, Eras: n.eras})
 	n.placers = &placers{
-		ctx: n.work, cfg: n.cfg.Orders, instance: n.cfg.Instance, holder: n.holder(), client: objects, log: n.log, now: n.clock.Exact, done: &n.done,
+		ctx: n.work, cfg: n.cfg.Orders, instance: n.cfg.Instance, holder: n.holder(), client: objects, log: n.log, now: n.clock.NowExact, done: &n.done,
 		controls: n.ports.Controls(n.control, n.cfg.Instance), campaigns: n.campaigns, looks: n.looks, place: n.mesh.place, running: map[string]*placer{}, era: n.eras.Newest,
 	}
 	n.presence = &presenceDuty{
--- a/lease/suspended_test.go
+++ b/lease/suspended_test.go
@@ -53,7 +53,7 @@
 
 func (i *instance) now() time.Time {
 	if i.counts {
-		return i.clock.Exact()
+		return i.clock.NowExact()
 	}
 	return time.Unix(1_000, 0).Add(i.steady)
 }
