--- a/daemon/vouch_test.go
+++ b/daemon/vouch_test.go
@@ -101,7 +101,7 @@
 	for _, ms := range boundsForNews {
 		f := NodeFresh{LeavingMS: ms, SettingsMS: 10_000, ContactMS: 4000}
 		for range 2 {
-			noticed := f.vouchAge() + f.holderLost() + max(f.behindWait(), wait.Look)
+			noticed := f.vouchAge() + f.holderLost() + max(f.behindWait(), wait.PollInterval)
 			require.LessOrEqual(t, noticed+newsReserve, milliseconds(ms), "%d ms", ms)
 			f.LeavingMS, f.SettingsMS = f.SettingsMS, f.LeavingMS
 		}
--- a/store/reflector_test.go
+++ b/store/reflector_test.go
@@ -153,7 +153,7 @@
 		synctest.Wait()
 		require.Equal(t, 1, c.listed(), "the others tell")
 		behind.Store(false)
-		time.Sleep(wait.Look)
+		time.Sleep(wait.PollInterval)
 		synctest.Wait()
 		require.Equal(t, 2, c.listed(), "nobody tells any more")
 		stop()
--- a/wait/wait.go
+++ b/wait/wait.go
@@ -21,14 +21,14 @@
 	}
 }
 
-// Look is the time between two looks of While at its condition.
-const Look = 100 * time.Millisecond
+// PollInterval is the time between two looks of While at its condition.
+const PollInterval = 100 * time.Millisecond
 
 // While waits for d, but no longer than keep holds. It reports false if ctx ended
 // first.
 func While(ctx context.Context, d time.Duration, keep func() bool) bool {
 	for d > 0 && keep() {
-		step := min(d, Look)
+		step := min(d, PollInterval)
 		if !For(ctx, step) {
 			return false
 		}
