--- a/claim/shard.go
+++ b/claim/shard.go
@@ -80,11 +80,11 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Submitted) isEvent()  {}
+func (Submitted) isEvent() {}
 func (Abandoned) isEvent() {}
-func (Loaded) isEvent() {}
-func (Wrote) isEvent()  {}
-func (Tick) isEvent()   {}
+func (Loaded) isEvent()    {}
+func (Wrote) isEvent()     {}
+func (Tick) isEvent()      {}
 
 // Action is an output of a Shard.
 type Action interface{ isAction() }
@@ -106,8 +106,8 @@
 	Result  *Result
 }
 
-func (Load) isAction()     {}
-func (Write) isAction()    {}
+func (Load) isAction()    {}
+func (Write) isAction()   {}
 func (Replied) isAction() {}
 
 // Shard decides on the keys of one shard. Any number of instances may run the
--- a/lease/record.go
+++ b/lease/record.go
@@ -33,7 +33,7 @@
 const (
 	DefaultDuration   = 6 * time.Second
 	DefaultRenewEvery = 2 * time.Second
-	DefaultClockDrift      = 250 * time.Millisecond
+	DefaultClockDrift = 250 * time.Millisecond
 )
 
 // NewConfig returns the defaults for a holder.
@@ -80,12 +80,12 @@
 	Observe bool
 }
 
-func (Seen) isEvent()     {}
-func (Missing) isEvent()  {}
-func (Wrote) isEvent()    {}
-func (EraChanged) isEvent()    {}
-func (Tick) isEvent()     {}
-func (Campaign) isEvent() {}
+func (Seen) isEvent()       {}
+func (Missing) isEvent()    {}
+func (Wrote) isEvent()      {}
+func (EraChanged) isEvent() {}
+func (Tick) isEvent()       {}
+func (Campaign) isEvent()   {}
 
 // Action is an output of a Machine.
 type Action interface{ isAction() }
--- a/membership/entries.go
+++ b/membership/entries.go
@@ -34,12 +34,12 @@
 // EntriesTick lets time pass.
 type EntriesTick struct{}
 
-func (EntriesListed) isEntryEvent()  {}
-func (EntriesChanged) isEntryEvent() {}
-func (StoreUnreachable) isEntryEvent()      {}
-func (StoreAnswered) isEntryEvent()     {}
+func (EntriesListed) isEntryEvent()    {}
+func (EntriesChanged) isEntryEvent()   {}
+func (StoreUnreachable) isEntryEvent() {}
+func (StoreAnswered) isEntryEvent()    {}
 func (StoreRestored) isEntryEvent()    {}
-func (EntriesTick) isEntryEvent()    {}
+func (EntriesTick) isEntryEvent()      {}
 
 // StoreReturnGrace is how long after the store's return an entry that lapsed while
 // it was away may take to come back here: its member renews it within about two
