--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -138,7 +138,7 @@
 	var told []placedNews
 	for _, a := range actions {
 		switch a := a.(type) {
-		case counted.Ask:
+		case counted.RequestReport:
 			go p.ask(ctx, a)
 		case counted.Send:
 			go p.send(ctx, a)
@@ -177,7 +177,7 @@
 	return h.Epoch
 }
 
-func (p *placer) ask(ctx context.Context, a counted.Ask) {
+func (p *placer) ask(ctx context.Context, a counted.RequestReport) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	askedAt := p.now()
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -251,7 +251,7 @@
 		}
 		e.asking = true
 		asking++
-		actions = append(actions, Ask{Endpoint: e.Name, StartedAtMS: e.StartedAtMS, Address: e.Address})
+		actions = append(actions, RequestReport{Endpoint: e.Name, StartedAtMS: e.StartedAtMS, Address: e.Address})
 	}
 	return actions
 }
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -172,8 +172,8 @@
 // Action is an output of a Controller.
 type Action interface{ isAction() }
 
-// Ask asks an endpoint for its report. StartedAtMS is its start, by what is known.
-type Ask struct {
+// RequestReport asks an endpoint for its report. StartedAtMS is its start, by what is known.
+type RequestReport struct {
 	Endpoint, Address string
 	StartedAtMS       int64
 }
@@ -214,8 +214,8 @@
 // Noted is something that happened, to log.
 type Noted struct{ What, Endpoint, Unit, Detail string }
 
-func (Ask) isAction()     {}
-func (Send) isAction()    {}
-func (Tell) isAction()    {}
-func (Decided) isAction() {}
-func (Noted) isAction()   {}
+func (RequestReport) isAction() {}
+func (Send) isAction()          {}
+func (Tell) isAction()          {}
+func (Decided) isAction()       {}
+func (Noted) isAction()         {}
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -234,7 +234,7 @@
 			s.now = s.now.Add(time.Minute)
 			for _, a := range s.step(demandNow(s.now, map[string]float64{"m0": 9000}, map[string]int{"m0": 1})) {
 				switch a := a.(type) {
-				case Ask:
+				case RequestReport:
 					require.NotEqual(t, "e1", a.Endpoint)
 				case Send:
 					require.NotEqual(t, "e1", a.Endpoint)
--- a/placement/counted/restart_test.go
+++ b/placement/counted/restart_test.go
@@ -66,7 +66,7 @@
 	for actions := c.Step(now, LeaseAcquired{Epoch: 2}); len(actions) > 0; actions = c.Step(now, Tick{}) {
 		asking := 0
 		for _, a := range actions {
-			ask, is := a.(Ask)
+			ask, is := a.(RequestReport)
 			if !is {
 				continue
 			}
--- a/placement/counted/simulation_test.go
+++ b/placement/counted/simulation_test.go
@@ -311,7 +311,7 @@
 	}
 	for _, a := range p.c.Step(p.w.now, e) {
 		switch a := a.(type) {
-		case Ask:
+		case RequestReport:
 			p.ask(a)
 		case Send:
 			p.send(a)
@@ -319,7 +319,7 @@
 	}
 }
 
-func (p *player) ask(a Ask) {
+func (p *player) ask(a RequestReport) {
 	w, asked := p.w, p.w.now
 	w.after(time.Millisecond, 30*time.Millisecond, func() {
 		var r *Report
