--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -185,7 +185,7 @@
 	if err != nil {
 		p.log.V(1).Info("no report", "endpoint", a.Endpoint, "error", err.Error())
 	}
-	p.put(counted.Reported{
+	p.put(counted.ReportReply{
 		Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, AskedAt: askedAt, Report: r, Refused: errors.Is(err, syscall.ECONNREFUSED),
 	})
 }
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -102,7 +102,7 @@
 		c.configure(e)
 	case Listed:
 		c.list(now, e)
-	case Reported:
+	case ReportReply:
 		actions = c.reported(now, e)
 	case Suspected:
 		c.suspect(now, e)
@@ -137,7 +137,7 @@
 func (c *Controller) concerned(e Event) []*endpoint {
 	name := ""
 	switch e := e.(type) {
-	case Reported:
+	case ReportReply:
 		name = e.Endpoint
 	case OrderEnded:
 		name = e.Endpoint
@@ -256,7 +256,7 @@
 	return actions
 }
 
-func (c *Controller) reported(now time.Time, r Reported) []Action {
+func (c *Controller) reported(now time.Time, r ReportReply) []Action {
 	e := c.endpoints[r.Endpoint]
 	if e == nil || r.StartedAtMS < e.StartedAtMS {
 		return nil
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -68,9 +68,9 @@
 	InMemory, OnDisk []string
 }
 
-// Reported is the end of an Ask; a nil Report means that none came, and Refused
+// ReportReply is the end of an Ask; a nil Report means that none came, and Refused
 // that the endpoint's machine refused the connection.
-type Reported struct {
+type ReportReply struct {
 	Endpoint string
 	// StartedAtMS is that of the Ask.
 	StartedAtMS int64
@@ -147,7 +147,7 @@
 
 func (Configured) isEvent()    {}
 func (Listed) isEvent()        {}
-func (Reported) isEvent()      {}
+func (ReportReply) isEvent()   {}
 func (Suspected) isEvent()     {}
 func (Gone) isEvent()          {}
 func (Alone) isEvent()         {}
--- a/placement/counted/simulation_test.go
+++ b/placement/counted/simulation_test.go
@@ -288,7 +288,7 @@
 			e.Members[i].StartedAtMS = 0
 		}
 		return e
-	case Reported:
+	case ReportReply:
 		if e.Report != nil {
 			e.Report.StartedAtMS = 0
 		}
@@ -330,7 +330,7 @@
 			r = nil
 		}
 		w.after(0, 30*time.Millisecond, func() {
-			p.step(Reported{Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, AskedAt: asked, Report: r})
+			p.step(ReportReply{Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, AskedAt: asked, Report: r})
 		})
 	})
 }
