--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -266,7 +266,7 @@
 	if r.Refused {
 		return c.refusedReport(now, e)
 	}
-	if r.Report == nil || e.sending != nil || r.AskedAt.Before(e.endedAt.Add(settleTime)) {
+	if r.Report == nil || e.sending != nil || r.RequestedAt.Before(e.endedAt.Add(settleTime)) {
 		return nil
 	}
 	if r.Report.StartedAtMS > e.StartedAtMS {
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -74,7 +74,7 @@
 	Endpoint string
 	// StartedAtMS is that of the Ask.
 	StartedAtMS int64
-	AskedAt     time.Time
+	RequestedAt time.Time
 	Report      *Report
 	Refused     bool
 }
--- a/placement/counted/plan_bench_test.go
+++ b/placement/counted/plan_bench_test.go
@@ -27,7 +27,7 @@
 			c, now := benchController(endpoints, 196, 12)
 			for i, e := range c.ordered {
 				resident := []string{"m000", fmt.Sprintf("m%03d", 1+i%7), fmt.Sprintf("m%03d", 8+i%(196-8))}
-				c.Step(now, ReportReply{Endpoint: e.Name, AskedAt: now, Report: &Report{Resident: resident, OnDisk: resident}})
+				c.Step(now, ReportReply{Endpoint: e.Name, RequestedAt: now, Report: &Report{Resident: resident, OnDisk: resident}})
 			}
 			rate := map[string]float64{}
 			for i := range 196 {
@@ -59,7 +59,7 @@
 			c.planAt = now.Add(time.Hour)
 			for i := 0; b.Loop(); i++ {
 				name := names[i%len(names)]
-				c.Step(now, ReportReply{Endpoint: name, AskedAt: now, Report: &Report{Resident: []string{"m000"}}})
+				c.Step(now, ReportReply{Endpoint: name, RequestedAt: now, Report: &Report{Resident: []string{"m000"}}})
 			}
 		})
 	}
@@ -106,7 +106,7 @@
 		for k := range 3 {
 			resident = append(resident, fmt.Sprintf("m%03d", (i*3+k)%models))
 		}
-		c.Step(now, ReportReply{Endpoint: name, AskedAt: now, Report: &Report{Resident: resident, OnDisk: resident}})
+		c.Step(now, ReportReply{Endpoint: name, RequestedAt: now, Report: &Report{Resident: resident, OnDisk: resident}})
 	}
 	for i := range models / 3 {
 		d.Rate[fmt.Sprintf("m%03d", i)] = float64(1000 * (i%50 + 1))
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -33,7 +33,7 @@
 	s.step(l)
 	s.step(LeaseAcquired{Epoch: 1})
 	for _, name := range sortedNames(held) {
-		s.step(ReportReply{Endpoint: name, AskedAt: s.now, Report: &Report{Resident: held[name], OnDisk: append(slices.Clone(held[name]), disk[name]...)}})
+		s.step(ReportReply{Endpoint: name, RequestedAt: s.now, Report: &Report{Resident: held[name], OnDisk: append(slices.Clone(held[name]), disk[name]...)}})
 	}
 	return s
 }
@@ -176,10 +176,10 @@
 func TestRefusedReportsProveALoss(t *testing.T) {
 	s := newCell(3, map[string][]string{"e1": {"m0"}, "e2": {"m1"}}, map[string][]string{"e2": {"m0"}})
 	s.step(Suspected{Endpoints: []string{"e1"}})
-	s.step(ReportReply{Endpoint: "e1", AskedAt: s.now, Refused: true})
+	s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, Refused: true})
 	require.False(t, s.c.endpoints["e1"].lost, "once may be chance")
 	s.now = s.now.Add(suspectRetry)
-	s.step(ReportReply{Endpoint: "e1", AskedAt: s.now, Refused: true})
+	s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, Refused: true})
 	require.True(t, s.c.endpoints["e1"].lost)
 	s.demand(map[string]float64{"m0": 5000}, map[string]int{"m0": 1})
 	m := find(s.plan(), OpLoad, "m0")
@@ -193,7 +193,7 @@
 	s := newCell(3, map[string][]string{"e1": {"m0"}}, map[string][]string{"e1": {"m1"}})
 	s.step(LeaseLost{})
 	s.step(LeaseAcquired{Epoch: 2, Succeeds: true, Wait: time.Second})
-	s.step(ReportReply{Endpoint: "e1", AskedAt: s.now, Report: &Report{Resident: []string{"m0"}, OnDisk: []string{"m1"}}})
+	s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, Report: &Report{Resident: []string{"m0"}, OnDisk: []string{"m1"}}})
 	sends := func() int {
 		n := 0
 		for _, a := range s.step(demandNow(s.now, map[string]float64{"m1": 9000}, map[string]int{"m1": 1})) {
@@ -222,9 +222,9 @@
 		"its process was gone and a new one reports": func(s *cell) {
 			s.c.endpoints["e1"].count = 5
 			for range lostAfter {
-				s.step(ReportReply{Endpoint: "e1", AskedAt: s.now, Refused: true})
+				s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, Refused: true})
 			}
-			s.step(ReportReply{Endpoint: "e1", AskedAt: s.now, Report: &Report{}})
+			s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, Report: &Report{}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -320,7 +320,7 @@
 	for i, e := range c.ordered {
 		*e = *newEndpoint(e.Member, now)
 		resident := []string{"m000", "m001", fmt.Sprintf("m%03d", 2+i%(models-3))}
-		c.Step(now, ReportReply{Endpoint: e.Name, AskedAt: now, Report: &Report{Resident: resident, OnDisk: append(resident, "m195", "m002", "m003")}})
+		c.Step(now, ReportReply{Endpoint: e.Name, RequestedAt: now, Report: &Report{Resident: resident, OnDisk: append(resident, "m195", "m002", "m003")}})
 	}
 	rate := map[string]float64{}
 	for i := range models {
@@ -370,8 +370,8 @@
 		}
 		return sent
 	}
-	sent := loads(c.Step(now, ReportReply{Endpoint: "e1", AskedAt: now, Report: &Report{}}))
-	sent = append(sent, loads(c.Step(now.Add(planEvery), ReportReply{Endpoint: "e2", AskedAt: now, Report: &Report{}}))...)
+	sent := loads(c.Step(now, ReportReply{Endpoint: "e1", RequestedAt: now, Report: &Report{}}))
+	sent = append(sent, loads(c.Step(now.Add(planEvery), ReportReply{Endpoint: "e2", RequestedAt: now, Report: &Report{}}))...)
 	require.Len(t, sent, 1, "the rate allows one in five seconds")
 	const late = 2 * time.Second
 	c.Step(now.Add(late), OrderEnded{Endpoint: sent[0].Endpoint, Order: sent[0].Order, Result: Taken})
--- a/placement/counted/restart_test.go
+++ b/placement/counted/restart_test.go
@@ -72,7 +72,7 @@
 			}
 			asking++
 			asked[ask.Endpoint] = true
-			c.Step(now, ReportReply{Endpoint: ask.Endpoint, AskedAt: now, Report: &Report{}})
+			c.Step(now, ReportReply{Endpoint: ask.Endpoint, RequestedAt: now, Report: &Report{}})
 		}
 		require.LessOrEqual(t, asking, mostAsking)
 		now = now.Add(50 * time.Millisecond)
--- a/placement/counted/simulation_test.go
+++ b/placement/counted/simulation_test.go
@@ -330,7 +330,7 @@
 			r = nil
 		}
 		w.after(0, 30*time.Millisecond, func() {
-			p.step(ReportReply{Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, AskedAt: asked, Report: r})
+			p.step(ReportReply{Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, RequestedAt: asked, Report: r})
 		})
 	})
 }
