--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -186,7 +186,7 @@
 		p.log.V(1).Info("no report", "endpoint", a.Endpoint, "error", err.Error())
 	}
 	p.put(counted.ReportReply{
-		Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, RequestedAt: askedAt, Report: r, Refused: errors.Is(err, syscall.ECONNREFUSED),
+		Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, RequestedAt: askedAt, Report: r, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED),
 	})
 }
 
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -263,7 +263,7 @@
 	}
 	e.asking = false
 	e.askAt = now.Add(askRetry)
-	if r.Refused {
+	if r.ConnectionRefused {
 		return c.refusedReport(now, e)
 	}
 	if r.Report == nil || e.sending != nil || r.RequestedAt.Before(e.endedAt.Add(settleTime)) {
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -73,10 +73,10 @@
 type ReportReply struct {
 	Endpoint string
 	// StartedAtMS is that of the Ask.
-	StartedAtMS int64
-	RequestedAt time.Time
-	Report      *Report
-	Refused     bool
+	StartedAtMS       int64
+	RequestedAt       time.Time
+	Report            *Report
+	ConnectionRefused bool
 }
 
 // Suspected says that requests to endpoints have failed.
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -176,10 +176,10 @@
 func TestRefusedReportsProveALoss(t *testing.T) {
 	s := newCell(3, map[string][]string{"e1": {"m0"}, "e2": {"m1"}}, map[string][]string{"e2": {"m0"}})
 	s.step(Suspected{Endpoints: []string{"e1"}})
-	s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, Refused: true})
+	s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, ConnectionRefused: true})
 	require.False(t, s.c.endpoints["e1"].lost, "once may be chance")
 	s.now = s.now.Add(suspectRetry)
-	s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, Refused: true})
+	s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, ConnectionRefused: true})
 	require.True(t, s.c.endpoints["e1"].lost)
 	s.demand(map[string]float64{"m0": 5000}, map[string]int{"m0": 1})
 	m := find(s.plan(), OpLoad, "m0")
@@ -222,7 +222,7 @@
 		"its process was gone and a new one reports": func(s *cell) {
 			s.c.endpoints["e1"].count = 5
 			for range lostAfter {
-				s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, Refused: true})
+				s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, ConnectionRefused: true})
 			}
 			s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, Report: &Report{}})
 		},
