--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -140,7 +140,7 @@
 		switch a := a.(type) {
 		case counted.RequestReport:
 			go p.ask(ctx, a)
-		case counted.Send:
+		case counted.SendOrder:
 			go p.send(ctx, a)
 		case counted.Tell:
 			told = append(told, placedNews{
@@ -195,7 +195,7 @@
 
 // send sends an order if the lease stands, by this instance's clock right
 // before the send: the process may have been paused since the decision.
-func (p *placer) send(ctx context.Context, s counted.Send) {
+func (p *placer) send(ctx context.Context, s counted.SendOrder) {
 	result, err := counted.Refused, errNotHeld
 	hold, held := p.runner.Hold()
 	if held && hold.Epoch == s.Order.Epoch && p.now().Before(hold.Until.Add(-orderMargin)) {
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -477,8 +477,8 @@
 	return []Action{c.send(e, Order{Op: m.Op, Unit: m.Unit})}
 }
 
-func (c *Controller) send(e *endpoint, o Order) Send {
+func (c *Controller) send(e *endpoint, o Order) SendOrder {
 	o.Count, o.Epoch, o.StartedAtMS = e.count, c.epoch, e.StartedAtMS
 	e.sending = &o
-	return Send{Endpoint: e.Name, Address: e.Address, Order: o}
+	return SendOrder{Endpoint: e.Name, Address: e.Address, Order: o}
 }
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -178,8 +178,8 @@
 	StartedAtMS       int64
 }
 
-// Send sends an order, once.
-type Send struct {
+// SendOrder sends an order, once.
+type SendOrder struct {
 	Endpoint, Address string
 	Order             Order
 }
@@ -215,7 +215,7 @@
 type Noted struct{ What, Endpoint, Unit, Detail string }
 
 func (RequestReport) isAction() {}
-func (Send) isAction()          {}
+func (SendOrder) isAction()     {}
 func (Tell) isAction()          {}
 func (Decided) isAction()       {}
 func (Noted) isAction()         {}
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -165,12 +165,12 @@
 		if tell, ok := a.(Tell); ok {
 			told = tell
 		}
-		_, sent := a.(Send)
+		_, sent := a.(SendOrder)
 		require.False(t, sent, "nothing is sent before the others know")
 	}
 	require.Equal(t, []string{"m0/a2"}, told.Going, "the one that nobody asks for")
 	s.now = s.now.Add(withdrawTime)
-	require.Contains(t, s.step(Tick{}), Send{Endpoint: "e1", Order: Order{Op: OpUnload, Unit: "m0/a2", Epoch: 1}})
+	require.Contains(t, s.step(Tick{}), SendOrder{Endpoint: "e1", Order: Order{Op: OpUnload, Unit: "m0/a2", Epoch: 1}})
 }
 
 func TestRefusedReportsProveALoss(t *testing.T) {
@@ -197,7 +197,7 @@
 	sends := func() int {
 		n := 0
 		for _, a := range s.step(demandNow(s.now, map[string]float64{"m1": 9000}, map[string]int{"m1": 1})) {
-			if _, sent := a.(Send); sent {
+			if _, sent := a.(SendOrder); sent {
 				n++
 			}
 		}
@@ -236,7 +236,7 @@
 				switch a := a.(type) {
 				case RequestReport:
 					require.NotEqual(t, "e1", a.Endpoint)
-				case Send:
+				case SendOrder:
 					require.NotEqual(t, "e1", a.Endpoint)
 				}
 			}
@@ -362,9 +362,9 @@
 	c.Step(now, cfg)
 	c.Step(now, Listed{Members: []Member{{Name: "e1"}, {Name: "e2"}}})
 	c.Step(now, LeaseAcquired{Epoch: 1})
-	loads := func(actions []Action) (sent []Send) {
+	loads := func(actions []Action) (sent []SendOrder) {
 		for _, a := range actions {
-			if s, is := a.(Send); is && s.Order.Op == OpLoad {
+			if s, is := a.(SendOrder); is && s.Order.Op == OpLoad {
 				sent = append(sent, s)
 			}
 		}
--- a/placement/counted/simulation_test.go
+++ b/placement/counted/simulation_test.go
@@ -313,7 +313,7 @@
 		switch a := a.(type) {
 		case RequestReport:
 			p.ask(a)
-		case Send:
+		case SendOrder:
 			p.send(a)
 		}
 	}
@@ -336,7 +336,7 @@
 }
 
 // send delivers an order at once, late, or not at all; its answer may be lost.
-func (p *player) send(s Send) {
+func (p *player) send(s SendOrder) {
 	w := p.w
 	ended := func(r Result) func() {
 		return func() { p.step(OrderEnded{Endpoint: s.Endpoint, Order: s.Order, Result: r}) }
