--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -142,7 +142,7 @@
 			go p.ask(ctx, a)
 		case counted.SendOrder:
 			go p.send(ctx, a)
-		case counted.Tell:
+		case counted.AnnounceUnits:
 			told = append(told, placedNews{
 				Placement: peer.Placement{Epoch: p.heldEpoch(), Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, Units: a.Units, Going: a.Going},
 				urgency:   urgencyOf(a.News),
--- a/placement/counted/endpoint.go
+++ b/placement/counted/endpoint.go
@@ -53,7 +53,7 @@
 	// replaced is set once another incarnation has answered at its address.
 	replaced bool
 	// told is what routing was told last, at toldAt.
-	told   Tell
+	told   AnnounceUnits
 	toldAt time.Time
 	// behind counts reports in a row that were older than what is known.
 	behind int
@@ -260,7 +260,7 @@
 // tell is what routing is to know of the endpoint; nothing if it was told that
 // lately.
 func (e *endpoint) tell(now time.Time) []Action {
-	t := Tell{Endpoint: e.Name, StartedAtMS: e.StartedAtMS, Units: slices.Sorted(maps.Keys(e.resident)), Going: slices.Sorted(maps.Keys(e.going))}
+	t := AnnounceUnits{Endpoint: e.Name, StartedAtMS: e.StartedAtMS, Units: slices.Sorted(maps.Keys(e.resident)), Going: slices.Sorted(maps.Keys(e.going))}
 	if now.Sub(e.toldAt) < tellEvery && slices.Equal(t.Units, e.told.Units) && slices.Equal(t.Going, e.told.Going) {
 		return nil
 	}
@@ -271,7 +271,7 @@
 
 // news is what a word brings that is to be told. Behind a takeover routing goes by the
 // endpoint's entry.
-func (e *endpoint) news(t Tell) News {
+func (e *endpoint) news(t AnnounceUnits) News {
 	known := e.told.Units
 	if e.toldAt.IsZero() {
 		known = e.Member.Resident
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -184,9 +184,9 @@
 	Order             Order
 }
 
-// Tell says what an endpoint holds and takes requests for; routing everywhere
+// AnnounceUnits says what an endpoint holds and takes requests for; routing everywhere
 // is to go by it.
-type Tell struct {
+type AnnounceUnits struct {
 	Endpoint    string
 	StartedAtMS int64
 	Units       []string
@@ -216,6 +216,6 @@
 
 func (RequestReport) isAction() {}
 func (SendOrder) isAction()     {}
-func (Tell) isAction()          {}
+func (AnnounceUnits) isAction() {}
 func (Decided) isAction()       {}
 func (Noted) isAction()         {}
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -160,9 +160,9 @@
 	s := newCell(1, map[string][]string{"e1": {"m0", "m0/a1", "m0/a2"}}, nil)
 	s.demand(map[string]float64{"m0/a3": 5000, "m0/a1": 4000}, map[string]int{"m0/a3": 1})
 	actions := s.step(Tick{})
-	var told Tell
+	var told AnnounceUnits
 	for _, a := range actions {
-		if tell, ok := a.(Tell); ok {
+		if tell, ok := a.(AnnounceUnits); ok {
 			told = tell
 		}
 		_, sent := a.(SendOrder)
@@ -385,7 +385,7 @@
 	e := newEndpoint(Member{Name: "e1", Resident: []string{"m1"}}, now)
 	news := func() News {
 		now = now.Add(tellEvery)
-		return e.tell(now)[0].(Tell).News
+		return e.tell(now)[0].(AnnounceUnits).News
 	}
 	e.resident = setOf([]string{"m1"})
 	require.Equal(t, NoNews, news(), "the entry tells the same")
