--- a/placement/counted/endpoint.go
+++ b/placement/counted/endpoint.go
@@ -260,8 +260,8 @@
 // tell is what routing is to know of the endpoint; nothing if it was told that
 // lately.
 func (e *endpoint) tell(now time.Time) []Action {
-	t := AnnounceUnits{Endpoint: e.Name, StartedAtMS: e.StartedAtMS, Units: slices.Sorted(maps.Keys(e.resident)), Going: slices.Sorted(maps.Keys(e.going))}
-	if now.Sub(e.toldAt) < tellEvery && slices.Equal(t.Units, e.told.Units) && slices.Equal(t.Going, e.told.Going) {
+	t := AnnounceUnits{Endpoint: e.Name, StartedAtMS: e.StartedAtMS, Units: slices.Sorted(maps.Keys(e.resident)), Draining: slices.Sorted(maps.Keys(e.going))}
+	if now.Sub(e.toldAt) < tellEvery && slices.Equal(t.Units, e.told.Units) && slices.Equal(t.Draining, e.told.Draining) {
 		return nil
 	}
 	t.News = e.news(t)
@@ -279,7 +279,7 @@
 	units := setOf(t.Units)
 	lost := slices.ContainsFunc(known, func(unit string) bool { return !units[unit] })
 	switch {
-	case lost || len(t.Going) > 0:
+	case lost || len(t.Draining) > 0:
 		return Withdrew
 	case len(units) > len(known):
 		return Gained
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -190,9 +190,9 @@
 	Endpoint    string
 	StartedAtMS int64
 	Units       []string
-	// Going are units that are about to be unloaded.
-	Going []string
-	News  News
+	// Draining are units that are about to be unloaded.
+	Draining []string
+	News     News
 }
 
 // News is what a Tell brings to those that have heard the former ones.
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -168,7 +168,7 @@
 		_, sent := a.(SendOrder)
 		require.False(t, sent, "nothing is sent before the others know")
 	}
-	require.Equal(t, []string{"m0/a2"}, told.Going, "the one that nobody asks for")
+	require.Equal(t, []string{"m0/a2"}, told.Draining, "the one that nobody asks for")
 	s.now = s.now.Add(withdrawTime)
 	require.Contains(t, s.step(Tick{}), SendOrder{Endpoint: "e1", Order: Order{Op: OpUnload, Unit: "m0/a2", Epoch: 1}})
 }
