--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -161,7 +161,7 @@
 }
 
 // urgencyOf is how soon the others need to know.
-func urgencyOf(news counted.News) broadcast.Urgency {
+func urgencyOf(news counted.Change) broadcast.Urgency {
 	switch news {
 	case counted.Withdrew:
 		return broadcast.Withdrawn
--- a/placement/counted/endpoint.go
+++ b/placement/counted/endpoint.go
@@ -271,7 +271,7 @@
 
 // news is what a word brings that is to be told. Behind a takeover routing goes by the
 // endpoint's entry.
-func (e *endpoint) news(t AnnounceUnits) News {
+func (e *endpoint) news(t AnnounceUnits) Change {
 	known := e.told.Units
 	if e.toldAt.IsZero() {
 		known = e.Member.Resident
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -192,16 +192,16 @@
 	Units       []string
 	// Draining are units that are about to be unloaded.
 	Draining []string
-	News     News
+	News     Change
 }
 
-// News is what a Tell brings to those that have heard the former ones.
-type News int
+// Change is what a Tell brings to those that have heard the former ones.
+type Change int
 
 // News of a Tell, the most urgent last.
 const (
 	// NoNews repeats what was told.
-	NoNews News = iota
+	NoNews Change = iota
 	// Gained brings units.
 	Gained
 	// Withdrew takes units from routing.
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -383,7 +383,7 @@
 func TestNewsOfATell(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := newEndpoint(Member{Name: "e1", Resident: []string{"m1"}}, now)
-	news := func() News {
+	news := func() Change {
 		now = now.Add(tellEvery)
 		return e.tell(now)[0].(AnnounceUnits).News
 	}
