--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -145,7 +145,7 @@
 		case counted.AnnounceUnits:
 			told = append(told, placedNews{
 				Placement: peer.Placement{Epoch: p.heldEpoch(), Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, Units: a.Units, Going: a.Draining},
-				urgency:   urgencyOf(a.News),
+				urgency:   urgencyOf(a.Change),
 			})
 		case counted.Decided:
 			m := a.Move
--- a/placement/counted/endpoint.go
+++ b/placement/counted/endpoint.go
@@ -264,7 +264,7 @@
 	if now.Sub(e.toldAt) < tellEvery && slices.Equal(t.Units, e.told.Units) && slices.Equal(t.Draining, e.told.Draining) {
 		return nil
 	}
-	t.News = e.news(t)
+	t.Change = e.news(t)
 	e.told, e.toldAt = t, now
 	return []Action{t}
 }
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -192,7 +192,7 @@
 	Units       []string
 	// Draining are units that are about to be unloaded.
 	Draining []string
-	News     Change
+	Change   Change
 }
 
 // Change is what a Tell brings to those that have heard the former ones.
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -385,7 +385,7 @@
 	e := newEndpoint(Member{Name: "e1", Resident: []string{"m1"}}, now)
 	news := func() Change {
 		now = now.Add(tellEvery)
-		return e.tell(now)[0].(AnnounceUnits).News
+		return e.tell(now)[0].(AnnounceUnits).Change
 	}
 	e.resident = setOf([]string{"m1"})
 	require.Equal(t, NoNews, news(), "the entry tells the same")
