--- a/placement/counted/endpoint.go
+++ b/placement/counted/endpoint.go
@@ -284,7 +284,7 @@
 	case len(units) > len(known):
 		return Gained
 	default:
-		return NoNews
+		return Unchanged
 	}
 }
 
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -200,8 +200,8 @@
 
 // News of a Tell, the most urgent last.
 const (
-	// NoNews repeats what was told.
-	NoNews Change = iota
+	// Unchanged repeats what was told.
+	Unchanged Change = iota
 	// Gained brings units.
 	Gained
 	// Withdrew takes units from routing.
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -388,10 +388,10 @@
 		return e.tell(now)[0].(AnnounceUnits).Change
 	}
 	e.resident = setOf([]string{"m1"})
-	require.Equal(t, NoNews, news(), "the entry tells the same")
+	require.Equal(t, Unchanged, news(), "the entry tells the same")
 	e.resident["m2"] = true
 	require.Equal(t, Gained, news())
-	require.Equal(t, NoNews, news())
+	require.Equal(t, Unchanged, news())
 	e.going["m2"] = now
 	require.Equal(t, Withdrew, news())
 	delete(e.going, "m2")
