--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -165,7 +165,7 @@
 	switch news {
 	case counted.Withdrew:
 		return broadcast.Withdrawn
-	case counted.Gained:
+	case counted.UnitsAdded:
 		return broadcast.Changed
 	default:
 		return broadcast.Refresh
--- a/placement/counted/endpoint.go
+++ b/placement/counted/endpoint.go
@@ -282,7 +282,7 @@
 	case lost || len(t.Draining) > 0:
 		return Withdrew
 	case len(units) > len(known):
-		return Gained
+		return UnitsAdded
 	default:
 		return Unchanged
 	}
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -202,8 +202,8 @@
 const (
 	// Unchanged repeats what was told.
 	Unchanged Change = iota
-	// Gained brings units.
-	Gained
+	// UnitsAdded brings units.
+	UnitsAdded
 	// Withdrew takes units from routing.
 	Withdrew
 )
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -390,7 +390,7 @@
 	e.resident = setOf([]string{"m1"})
 	require.Equal(t, Unchanged, news(), "the entry tells the same")
 	e.resident["m2"] = true
-	require.Equal(t, Gained, news())
+	require.Equal(t, UnitsAdded, news())
 	require.Equal(t, Unchanged, news())
 	e.going["m2"] = now
 	require.Equal(t, Withdrew, news())
