--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -163,7 +163,7 @@
 // urgencyOf is how soon the others need to know.
 func urgencyOf(news counted.Change) broadcast.Urgency {
 	switch news {
-	case counted.Withdrew:
+	case counted.UnitsWithdrawn:
 		return broadcast.Withdrawn
 	case counted.UnitsAdded:
 		return broadcast.Changed
--- a/placement/counted/endpoint.go
+++ b/placement/counted/endpoint.go
@@ -280,7 +280,7 @@
 	lost := slices.ContainsFunc(known, func(unit string) bool { return !units[unit] })
 	switch {
 	case lost || len(t.Draining) > 0:
-		return Withdrew
+		return UnitsWithdrawn
 	case len(units) > len(known):
 		return UnitsAdded
 	default:
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -204,8 +204,8 @@
 	Unchanged Change = iota
 	// UnitsAdded brings units.
 	UnitsAdded
-	// Withdrew takes units from routing.
-	Withdrew
+	// UnitsWithdrawn takes units from routing.
+	UnitsWithdrawn
 )
 
 // Decided is a decision to log, with the numbers that led to it.
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -393,10 +393,10 @@
 	require.Equal(t, UnitsAdded, news())
 	require.Equal(t, Unchanged, news())
 	e.going["m2"] = now
-	require.Equal(t, Withdrew, news())
+	require.Equal(t, UnitsWithdrawn, news())
 	delete(e.going, "m2")
 	delete(e.resident, "m2")
-	require.Equal(t, Withdrew, news())
+	require.Equal(t, UnitsWithdrawn, news())
 }
 
 // TestOneRequestIsWorthNoReplica has 400 endpoints that are hardly asked: a few requests a second
