--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -270,7 +270,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, placer := range p.running {
-		placer.tell(counted.Suspected{Endpoints: endpoints})
+		placer.tell(counted.RequestsFailed{Endpoints: endpoints})
 	}
 }
 
--- a/daemon/placernews.go
+++ b/daemon/placernews.go
@@ -37,7 +37,7 @@
 		n.demanded = &e
 	case counted.Gone:
 		n.addGone(e)
-	case counted.Suspected:
+	case counted.RequestsFailed:
 		if n.suspected == nil {
 			n.suspected = map[string]bool{}
 		}
@@ -71,7 +71,7 @@
 		events = append(events, counted.Gone{Endpoints: slices.Sorted(maps.Keys(n.gone)), StartedAtMS: n.gone})
 	}
 	if len(n.suspected) > 0 {
-		events = append(events, counted.Suspected{Endpoints: slices.Sorted(maps.Keys(n.suspected))})
+		events = append(events, counted.RequestsFailed{Endpoints: slices.Sorted(maps.Keys(n.suspected))})
 	}
 	if n.alone != nil {
 		events = append(events, *n.alone)
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -104,7 +104,7 @@
 		c.list(now, e)
 	case ReportReply:
 		actions = c.reported(now, e)
-	case Suspected:
+	case RequestsFailed:
 		c.suspect(now, e)
 	case Gone:
 		actions = c.gone(e)
@@ -294,7 +294,7 @@
 }
 
 // suspect looks at endpoints at which requests have failed.
-func (c *Controller) suspect(now time.Time, s Suspected) {
+func (c *Controller) suspect(now time.Time, s RequestsFailed) {
 	for _, name := range s.Endpoints {
 		if e := c.endpoints[name]; e != nil && !e.lost && now.Sub(e.suspectedAt) >= suspectEvery {
 			e.suspectedAt, e.askAt = now, now
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -79,8 +79,8 @@
 	ConnectionRefused bool
 }
 
-// Suspected says that requests to endpoints have failed.
-type Suspected struct{ Endpoints []string }
+// RequestsFailed says that requests to endpoints have failed.
+type RequestsFailed struct{ Endpoints []string }
 
 // Gone says that other incarnations have answered at the endpoints' addresses.
 // StartedAtMS tells of which start of each that is said; 0 for any.
@@ -145,17 +145,17 @@
 // Event is an input of a Controller.
 type Event interface{ isEvent() }
 
-func (Configured) isEvent()    {}
-func (Listed) isEvent()        {}
-func (ReportReply) isEvent()   {}
-func (Suspected) isEvent()     {}
-func (Gone) isEvent()          {}
-func (Alone) isEvent()         {}
-func (OrderEnded) isEvent()    {}
-func (Demanded) isEvent()      {}
-func (LeaseAcquired) isEvent() {}
-func (LeaseLost) isEvent()     {}
-func (Tick) isEvent()          {}
+func (Configured) isEvent()     {}
+func (Listed) isEvent()         {}
+func (ReportReply) isEvent()    {}
+func (RequestsFailed) isEvent() {}
+func (Gone) isEvent()           {}
+func (Alone) isEvent()          {}
+func (OrderEnded) isEvent()     {}
+func (Demanded) isEvent()       {}
+func (LeaseAcquired) isEvent()  {}
+func (LeaseLost) isEvent()      {}
+func (Tick) isEvent()           {}
 
 // Order is one order to an endpoint.
 type Order struct {
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -175,7 +175,7 @@
 
 func TestRefusedReportsProveALoss(t *testing.T) {
 	s := newCell(3, map[string][]string{"e1": {"m0"}, "e2": {"m1"}}, map[string][]string{"e2": {"m0"}})
-	s.step(Suspected{Endpoints: []string{"e1"}})
+	s.step(RequestsFailed{Endpoints: []string{"e1"}})
 	s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, ConnectionRefused: true})
 	require.False(t, s.c.endpoints["e1"].lost, "once may be chance")
 	s.now = s.now.Add(suspectRetry)
