--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -290,7 +290,7 @@
 
 // gone passes endpoints on at whose addresses others have answered.
 func (p *placers) gone(starts []endpointStart) {
-	gone := counted.Gone{StartedAtMS: map[string]int64{}}
+	gone := counted.EndpointsReplaced{StartedAtMS: map[string]int64{}}
 	for _, s := range starts {
 		gone.Endpoints = append(gone.Endpoints, s.name)
 		gone.StartedAtMS[s.name] = s.startedAtMS
--- a/daemon/placernews.go
+++ b/daemon/placernews.go
@@ -35,7 +35,7 @@
 		n.alone = &e
 	case counted.Demanded:
 		n.demanded = &e
-	case counted.Gone:
+	case counted.EndpointsReplaced:
 		n.addGone(e)
 	case counted.RequestsFailed:
 		if n.suspected == nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-func (n *placerNews) addGone(e counted.Gone) {
+func (n *placerNews) addGone(e counted.EndpointsReplaced) {
 	if n.gone == nil {
 		n.gone = map[string]int64{}
 	}
@@ -68,7 +68,7 @@
 		events = append(events, *n.listed)
 	}
 	if len(n.gone) > 0 {
-		events = append(events, counted.Gone{Endpoints: slices.Sorted(maps.Keys(n.gone)), StartedAtMS: n.gone})
+		events = append(events, counted.EndpointsReplaced{Endpoints: slices.Sorted(maps.Keys(n.gone)), StartedAtMS: n.gone})
 	}
 	if len(n.suspected) > 0 {
 		events = append(events, counted.RequestsFailed{Endpoints: slices.Sorted(maps.Keys(n.suspected))})
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -106,7 +106,7 @@
 		actions = c.reported(now, e)
 	case RequestsFailed:
 		c.suspect(now, e)
-	case Gone:
+	case EndpointsReplaced:
 		actions = c.gone(e)
 	case Alone:
 		c.alone = e.Alone
@@ -303,7 +303,7 @@
 }
 
 // gone takes endpoints off whose addresses others have.
-func (c *Controller) gone(g Gone) []Action {
+func (c *Controller) gone(g EndpointsReplaced) []Action {
 	var actions []Action
 	for _, name := range g.Endpoints {
 		e := c.endpoints[name]
@@ -383,7 +383,7 @@
 		c.holding = false
 		return []Action{Noted{What: "superseded", Endpoint: o.Endpoint}}
 	case Replaced:
-		return c.gone(Gone{Endpoints: []string{o.Endpoint}})
+		return c.gone(EndpointsReplaced{Endpoints: []string{o.Endpoint}})
 	case Unknown:
 		doubt := o.Order
 		e.doubt = &doubt
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -82,9 +82,9 @@
 // RequestsFailed says that requests to endpoints have failed.
 type RequestsFailed struct{ Endpoints []string }
 
-// Gone says that other incarnations have answered at the endpoints' addresses.
+// EndpointsReplaced says that other incarnations have answered at the endpoints' addresses.
 // StartedAtMS tells of which start of each that is said; 0 for any.
-type Gone struct {
+type EndpointsReplaced struct {
 	Endpoints   []string
 	StartedAtMS map[string]int64
 }
@@ -145,17 +145,17 @@
 // Event is an input of a Controller.
 type Event interface{ isEvent() }
 
-func (Configured) isEvent()     {}
-func (Listed) isEvent()         {}
-func (ReportReply) isEvent()    {}
-func (RequestsFailed) isEvent() {}
-func (Gone) isEvent()           {}
-func (Alone) isEvent()          {}
-func (OrderEnded) isEvent()     {}
-func (Demanded) isEvent()       {}
-func (LeaseAcquired) isEvent()  {}
-func (LeaseLost) isEvent()      {}
-func (Tick) isEvent()           {}
+func (Configured) isEvent()        {}
+func (Listed) isEvent()            {}
+func (ReportReply) isEvent()       {}
+func (RequestsFailed) isEvent()    {}
+func (EndpointsReplaced) isEvent() {}
+func (Alone) isEvent()             {}
+func (OrderEnded) isEvent()        {}
+func (Demanded) isEvent()          {}
+func (LeaseAcquired) isEvent()     {}
+func (LeaseLost) isEvent()         {}
+func (Tick) isEvent()              {}
 
 // Order is one order to an endpoint.
 type Order struct {
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -213,7 +213,7 @@
 // endpoint's address: nothing is asked of it or placed there any more.
 func TestReplacedEndpointIsGivenUp(t *testing.T) {
 	for name, find := range map[string]func(s *cell){
-		"told by an instance": func(s *cell) { s.step(Gone{Endpoints: []string{"e1"}}) },
+		"told by an instance": func(s *cell) { s.step(EndpointsReplaced{Endpoints: []string{"e1"}}) },
 		"an order was misdirected": func(s *cell) {
 			e := s.c.endpoints["e1"]
 			send := s.c.send(e, Order{Op: OpLoad, Unit: "m2"})
