--- a/daemon/placernews.go
+++ b/daemon/placernews.go
@@ -15,7 +15,7 @@
 	mu         sync.Mutex
 	configured *counted.Configured
 	listed     *counted.Listed
-	alone      *counted.Alone
+	alone      *counted.IsolationChanged
 	demanded   *counted.Demanded
 	// gone are endpoints, and when each was started; suspected are endpoints.
 	gone      map[string]int64
@@ -31,7 +31,7 @@
 		n.configured = &e
 	case counted.Listed:
 		n.listed = &e
-	case counted.Alone:
+	case counted.IsolationChanged:
 		n.alone = &e
 	case counted.Demanded:
 		n.demanded = &e
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -108,7 +108,7 @@
 		c.suspect(now, e)
 	case EndpointsReplaced:
 		actions = c.gone(e)
-	case Alone:
+	case IsolationChanged:
 		c.alone = e.Alone
 	case OrderEnded:
 		actions = c.orderEnded(now, e)
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -89,9 +89,9 @@
 	StartedAtMS map[string]int64
 }
 
-// Alone says whether this instance hears none of the others, and so may not be heard
+// IsolationChanged says whether this instance hears none of the others, and so may not be heard
 // by them.
-type Alone struct{ Alone bool }
+type IsolationChanged struct{ Alone bool }
 
 // Result is what became of an order.
 type Result int
@@ -150,7 +150,7 @@
 func (ReportReply) isEvent()       {}
 func (RequestsFailed) isEvent()    {}
 func (EndpointsReplaced) isEvent() {}
-func (Alone) isEvent()             {}
+func (IsolationChanged) isEvent()  {}
 func (OrderEnded) isEvent()        {}
 func (Demanded) isEvent()          {}
 func (LeaseAcquired) isEvent()     {}
