--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -284,7 +284,7 @@
 	p.isAlone = alone
 	p.log.Info("others heard", "any", !alone)
 	for _, placer := range p.running {
-		placer.tell(counted.IsolationChanged{Alone: alone})
+		placer.tell(counted.IsolationChanged{Isolated: alone})
 	}
 }
 
@@ -333,7 +333,7 @@
 		Observe: func() bool { return p.looks(pool) },
 		Lease:   lease.Config{Holder: p.holder, Duration: leaseDuration, RenewEvery: leaseRenewal, ClockDrift: leaseDrift},
 	})
-	d.tell(counted.IsolationChanged{Alone: p.isAlone})
+	d.tell(counted.IsolationChanged{Isolated: p.isAlone})
 	p.done.Go(func() { d.run(p.ctx) })
 	p.done.Go(func() { d.runner.Run(p.ctx) })
 	return d
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -109,7 +109,7 @@
 	case EndpointsReplaced:
 		actions = c.gone(e)
 	case IsolationChanged:
-		c.alone = e.Alone
+		c.alone = e.Isolated
 	case OrderEnded:
 		actions = c.orderEnded(now, e)
 	case Demanded:
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -91,7 +91,7 @@
 
 // IsolationChanged says whether this instance hears none of the others, and so may not be heard
 // by them.
-type IsolationChanged struct{ Alone bool }
+type IsolationChanged struct{ Isolated bool }
 
 // Result is what became of an order.
 type Result int
