--- a/daemon/placer_test.go
+++ b/daemon/placer_test.go
@@ -33,6 +33,6 @@
 	require.Len(t, events, 5, "of each kind the last word")
 	require.Equal(t, counted.EndpointsReplaced{Endpoints: []string{"e3"}, StartedAtMS: map[string]int64{"e3": 2}}, events[2])
 	require.Equal(t, counted.RequestsFailed{Endpoints: []string{"e1", "e2"}}, events[3])
-	require.Equal(t, 2, events[4].(counted.Demanded).Waiting["m"])
+	require.Equal(t, 2, events[4].(counted.DemandReport).Waiting["m"])
 	require.Empty(t, busy.news.take())
 }
--- a/daemon/placernews.go
+++ b/daemon/placernews.go
@@ -16,7 +16,7 @@
 	configured *counted.Configured
 	listed     *counted.Listed
 	alone      *counted.IsolationChanged
-	demanded   *counted.Demanded
+	demanded   *counted.DemandReport
 	// gone are endpoints, and when each was started; suspected are endpoints.
 	gone      map[string]int64
 	suspected map[string]bool
@@ -33,7 +33,7 @@
 		n.listed = &e
 	case counted.IsolationChanged:
 		n.alone = &e
-	case counted.Demanded:
+	case counted.DemandReport:
 		n.demanded = &e
 	case counted.EndpointsReplaced:
 		n.addGone(e)
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -112,7 +112,7 @@
 		c.alone = e.Isolated
 	case OrderEnded:
 		actions = c.orderEnded(now, e)
-	case Demanded:
+	case DemandReport:
 		c.demand.observe(now, e)
 		c.hurry(now, e)
 	case LeaseAcquired:
@@ -141,7 +141,7 @@
 		name = e.Endpoint
 	case OrderEnded:
 		name = e.Endpoint
-	case Demanded:
+	case DemandReport:
 		return nil
 	default:
 		return c.ordered
@@ -397,7 +397,7 @@
 
 // hurry brings the next plan forward if a request waits for a unit that nobody
 // has.
-func (c *Controller) hurry(now time.Time, d Demanded) {
+func (c *Controller) hurry(now time.Time, d DemandReport) {
 	soon := c.plannedAt.Add(hurriedPlan)
 	if c.planAt.After(soon) && !c.reachable(d.Waiting) {
 		c.planAt = soon
--- a/placement/counted/demand.go
+++ b/placement/counted/demand.go
@@ -45,7 +45,7 @@
 	return demand{rate: map[string]float64{}, lasting: map[string]float64{}, waiting: map[string]int{}, askedAt: map[string]time.Time{}}
 }
 
-func (d *demand) observe(now time.Time, e Demanded) {
+func (d *demand) observe(now time.Time, e DemandReport) {
 	elapsed := now.Sub(d.at).Seconds()
 	d.average(math.Exp(-elapsed/lastingTime.Seconds()), e.Rate)
 	kept := math.Exp(-elapsed / fallTime.Seconds())
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -117,8 +117,8 @@
 	Result   Result
 }
 
-// Demanded is the demand for units as all instances together tell it.
-type Demanded struct {
+// DemandReport is the demand for units as all instances together tell it.
+type DemandReport struct {
 	// Rate is the work a second that is asked for, by unit, in tokens.
 	Rate map[string]float64
 	// Waiting is the requests that wait for a replica, by unit.
@@ -152,7 +152,7 @@
 func (EndpointsReplaced) isEvent() {}
 func (IsolationChanged) isEvent()  {}
 func (OrderEnded) isEvent()        {}
-func (Demanded) isEvent()          {}
+func (DemandReport) isEvent()      {}
 func (LeaseAcquired) isEvent()     {}
 func (LeaseLost) isEvent()         {}
 func (Tick) isEvent()              {}
--- a/placement/counted/plan_bench_test.go
+++ b/placement/counted/plan_bench_test.go
@@ -100,7 +100,7 @@
 	}
 	c.Step(now, l)
 	c.Step(now, LeaseAcquired{Epoch: 1})
-	d := Demanded{Rate: map[string]float64{}, Waiting: map[string]int{}}
+	d := DemandReport{Rate: map[string]float64{}, Waiting: map[string]int{}}
 	for i, name := range sortedNames(c.endpoints) {
 		var resident []string
 		for k := range 3 {
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -51,8 +51,8 @@
 }
 
 // demandNow is a demand for units that are all being asked for.
-func demandNow(now time.Time, rate map[string]float64, waiting map[string]int) Demanded {
-	d := Demanded{Rate: rate, Waiting: waiting, AskedAt: map[string]time.Time{}}
+func demandNow(now time.Time, rate map[string]float64, waiting map[string]int) DemandReport {
+	d := DemandReport{Rate: rate, Waiting: waiting, AskedAt: map[string]time.Time{}}
 	for unit := range rate {
 		d.AskedAt[unit] = now
 	}
--- a/placement/counted/simulation_test.go
+++ b/placement/counted/simulation_test.go
@@ -264,7 +264,7 @@
 	w *world
 	c *Controller
 	// sees is the demand it is told.
-	demand Demanded
+	demand DemandReport
 	// blind passes over the starts of endpoints, forgetful keeps no room for late
 	// orders, slow is how old its list may be.
 	blind, forgetful bool
@@ -399,7 +399,7 @@
 	holder, epoch := 0, int64(1)
 	players[0].step(LeaseAcquired{Epoch: epoch})
 	changeAt := w.now.Add(15 * time.Second)
-	var demand Demanded
+	var demand DemandReport
 	for step := range 2400 {
 		w.now = w.now.Add(25 * time.Millisecond)
 		calm := step > 1500
@@ -457,8 +457,8 @@
 	w.after(100*time.Millisecond, 3*time.Second, func() { w.startAs(e.name, e.disk) })
 }
 
-func (w *world) drawDemand() Demanded {
-	d := Demanded{Rate: map[string]float64{}, Waiting: map[string]int{}}
+func (w *world) drawDemand() DemandReport {
+	d := DemandReport{Rate: map[string]float64{}, Waiting: map[string]int{}}
 	first := w.rnd.IntN(5)
 	for i := range 2 {
 		model := fmt.Sprintf("m%d", first+i)
@@ -490,7 +490,7 @@
 }
 
 // judgeReach checks that the calm span has brought what is asked for.
-func (w *world) judgeReach(d Demanded) {
+func (w *world) judgeReach(d DemandReport) {
 	for unit, rate := range d.Rate {
 		if rate < 1 || slices.ContainsFunc(sortedNames(w.engines), func(n string) bool { return w.engines[n].resident[unit] }) {
 			continue
