--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -304,9 +304,9 @@
 
 // demanded passes the demand of all instances on.
 func (p *placers) demanded(demands map[string]peer.Demand) {
-	told := counted.DemandReport{Rate: map[string]float64{}, Waiting: map[string]int{}, AskedAt: map[string]time.Time{}}
+	told := counted.DemandReport{Rate: map[string]float64{}, Waiting: map[string]int{}, LastRequestAt: map[string]time.Time{}}
 	for unit, d := range demands {
-		told.Rate[unit], told.Waiting[unit], told.AskedAt[unit] = d.Rate, d.Waiting, d.AskedAt
+		told.Rate[unit], told.Waiting[unit], told.LastRequestAt[unit] = d.Rate, d.Waiting, d.AskedAt
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/placement/counted/demand.go
+++ b/placement/counted/demand.go
@@ -63,7 +63,7 @@
 	for unit, rate := range e.Rate {
 		d.rate[unit] = max(d.rate[unit], rate)
 	}
-	for unit, at := range e.AskedAt {
+	for unit, at := range e.LastRequestAt {
 		if at.After(d.askedAt[unit]) {
 			d.askedAt[unit] = at
 		}
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -123,8 +123,8 @@
 	Rate map[string]float64
 	// Waiting is the requests that wait for a replica, by unit.
 	Waiting map[string]int
-	// AskedAt is when each unit was last asked for.
-	AskedAt map[string]time.Time
+	// LastRequestAt is when each unit was last asked for.
+	LastRequestAt map[string]time.Time
 }
 
 // LeaseAcquired says that this instance may order until it hears LeaseLost.
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -52,12 +52,12 @@
 
 // demandNow is a demand for units that are all being asked for.
 func demandNow(now time.Time, rate map[string]float64, waiting map[string]int) DemandReport {
-	d := DemandReport{Rate: rate, Waiting: waiting, AskedAt: map[string]time.Time{}}
+	d := DemandReport{Rate: rate, Waiting: waiting, LastRequestAt: map[string]time.Time{}}
 	for unit := range rate {
-		d.AskedAt[unit] = now
+		d.LastRequestAt[unit] = now
 	}
 	for unit := range waiting {
-		d.AskedAt[unit] = now
+		d.LastRequestAt[unit] = now
 	}
 	return d
 }
