--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -340,9 +340,9 @@
 }
 
 // countedCell is what the settings say of a pool.
-func countedCell(catalog *settings.Catalog, pool string) counted.Configured {
+func countedCell(catalog *settings.Catalog, pool string) counted.CellSettings {
 	t := catalog.Tree.Pools[pool]
-	c := counted.Configured{
+	c := counted.CellSettings{
 		CapacityMB: t.MemoryMB, KVTokens: t.KVTokens, AdapterSlots: t.AdapterSlots, LoadsPerSecond: catalog.Tree.WeightStore.LoadsPerSecond,
 	}
 	for name, u := range catalog.Units {
--- a/daemon/placernews.go
+++ b/daemon/placernews.go
@@ -13,7 +13,7 @@
 // that did, duties of the whole instance stood still.
 type placerNews struct {
 	mu         sync.Mutex
-	configured *counted.Configured
+	configured *counted.CellSettings
 	listed     *counted.Listed
 	alone      *counted.IsolationChanged
 	demanded   *counted.DemandReport
@@ -27,7 +27,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch e := e.(type) {
-	case counted.Configured:
+	case counted.CellSettings:
 		n.configured = &e
 	case counted.Listed:
 		n.listed = &e
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -59,7 +59,7 @@
 // Controller places the units of one cell while its instance may order.
 type Controller struct {
 	cfg      Config
-	settings Configured
+	settings CellSettings
 	units    map[string]Unit
 	// largestMB is the memory that the largest unit takes.
 	largestMB int64
@@ -98,7 +98,7 @@
 func (c *Controller) Step(now time.Time, e Event) []Action {
 	var actions []Action
 	switch e := e.(type) {
-	case Configured:
+	case CellSettings:
 		c.configure(e)
 	case Listed:
 		c.list(now, e)
@@ -155,7 +155,7 @@
 // Holding tells whether the controller decides.
 func (c *Controller) Holding() bool { return c.holding }
 
-func (c *Controller) configure(e Configured) {
+func (c *Controller) configure(e CellSettings) {
 	c.settings = e
 	c.units = make(map[string]Unit, len(e.Units))
 	c.models, c.adapters = nil, map[string][]string{}
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -25,8 +25,8 @@
 	FromStore, FromDisk, FromMemory time.Duration
 }
 
-// Configured is what the settings say of the cell.
-type Configured struct {
+// CellSettings is what the settings say of the cell.
+type CellSettings struct {
 	Units []Unit
 	// CapacityMB and AdapterSlots are those of each endpoint; 0 slots means
 	// that only memory bounds adapters.
@@ -145,7 +145,7 @@
 // Event is an input of a Controller.
 type Event interface{ isEvent() }
 
-func (Configured) isEvent()        {}
+func (CellSettings) isEvent()      {}
 func (Listed) isEvent()            {}
 func (ReportReply) isEvent()       {}
 func (RequestsFailed) isEvent()    {}
--- a/placement/counted/plan_bench_test.go
+++ b/placement/counted/plan_bench_test.go
@@ -85,7 +85,7 @@
 func benchController(endpoints, models, adapters int) (*Controller, time.Time) {
 	now := time.Unix(1000, 0)
 	c := NewController(Config{RateWindow: 5 * time.Second, RateOver: 1.1})
-	cfg := Configured{CapacityMB: 220, AdapterSlots: 8, LoadsPerSecond: 20}
+	cfg := CellSettings{CapacityMB: 220, AdapterSlots: 8, LoadsPerSecond: 20}
 	for i := range models {
 		name := fmt.Sprintf("m%03d", i)
 		cfg.Units = append(cfg.Units, Unit{Name: name, MemoryMB: 70, Rank: i, FromStore: 9 * time.Second, FromDisk: 2 * time.Second})
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -20,7 +20,7 @@
 // newCell takes what each endpoint holds, and what is on its disk besides.
 func newCell(models int, held map[string][]string, disk map[string][]string) *cell {
 	s := &cell{c: NewController(Config{RateWindow: 5 * time.Second, RateOver: 1}), now: planStart}
-	cfg := Configured{CapacityMB: 220, AdapterSlots: 2, LoadsPerSecond: 2}
+	cfg := CellSettings{CapacityMB: 220, AdapterSlots: 2, LoadsPerSecond: 2}
 	for i := range models {
 		cfg.Units = append(cfg.Units, Unit{Name: modelName(i), MemoryMB: 70, Rank: i, FromStore: 9 * time.Second, FromDisk: 2 * time.Second})
 	}
@@ -355,7 +355,7 @@
 func TestLoadsAreCountedFromWhenTheyBegin(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := NewController(Config{RateWindow: 5 * time.Second, RateOver: 1})
-	cfg := Configured{CapacityMB: 100, LoadsPerSecond: 0.2}
+	cfg := CellSettings{CapacityMB: 100, LoadsPerSecond: 0.2}
 	for _, name := range []string{"m1", "m2"} {
 		cfg.Units = append(cfg.Units, Unit{Name: name, MemoryMB: 70, FromStore: time.Second})
 	}
@@ -405,7 +405,7 @@
 func TestOneRequestIsWorthNoReplica(t *testing.T) {
 	const endpoints, models = 400, 40
 	held := map[string][]string{}
-	cfg := Configured{CapacityMB: 220, AdapterSlots: 8, LoadsPerSecond: 60, KVTokens: 120_000}
+	cfg := CellSettings{CapacityMB: 220, AdapterSlots: 8, LoadsPerSecond: 60, KVTokens: 120_000}
 	for i := range models {
 		cfg.Units = append(cfg.Units, Unit{Name: fmt.Sprintf("u%02d", i), MemoryMB: 70, Rank: i, FromStore: 9 * time.Second, FromDisk: 2 * time.Second})
 	}
--- a/placement/counted/simulation_test.go
+++ b/placement/counted/simulation_test.go
@@ -19,7 +19,7 @@
 	t   *testing.T
 	rnd *rand.Rand
 	now time.Time
-	cfg Configured
+	cfg CellSettings
 	// over is the rate window's allowance, for the judge.
 	limit int
 
@@ -79,7 +79,7 @@
 func newWorld(t *testing.T, seed uint64) *world {
 	w := &world{
 		t: t, rnd: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), engines: map[string]*simEngine{},
-		cfg: Configured{Units: simUnits(), CapacityMB: 160, AdapterSlots: 2, LoadsPerSecond: 1},
+		cfg: CellSettings{Units: simUnits(), CapacityMB: 160, AdapterSlots: 2, LoadsPerSecond: 1},
 	}
 	for range 4 {
 		w.start(nil)
