--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -361,8 +361,8 @@
 	return c
 }
 
-func countedMembers(list *membership.List, pool string) counted.Listed {
-	var l counted.Listed
+func countedMembers(list *membership.List, pool string) counted.MemberList {
+	var l counted.MemberList
 	for _, m := range list.Pool(pool) {
 		l.Members = append(l.Members, counted.Member{
 			Name: m.Name, StartedAtMS: m.StartedAtMS, Address: m.Address, FailureDomain: m.FailureDomain,
--- a/daemon/placernews.go
+++ b/daemon/placernews.go
@@ -14,7 +14,7 @@
 type placerNews struct {
 	mu         sync.Mutex
 	configured *counted.CellSettings
-	listed     *counted.Listed
+	listed     *counted.MemberList
 	alone      *counted.IsolationChanged
 	demanded   *counted.DemandReport
 	// gone are endpoints, and when each was started; suspected are endpoints.
@@ -29,7 +29,7 @@
 	switch e := e.(type) {
 	case counted.CellSettings:
 		n.configured = &e
-	case counted.Listed:
+	case counted.MemberList:
 		n.listed = &e
 	case counted.IsolationChanged:
 		n.alone = &e
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -100,7 +100,7 @@
 	switch e := e.(type) {
 	case CellSettings:
 		c.configure(e)
-	case Listed:
+	case MemberList:
 		c.list(now, e)
 	case ReportReply:
 		actions = c.reported(now, e)
@@ -175,7 +175,7 @@
 	c.window.configure(e.LoadsPerSecond, c.cfg.RateWindow, c.cfg.RateOver)
 }
 
-func (c *Controller) list(now time.Time, l Listed) {
+func (c *Controller) list(now time.Time, l MemberList) {
 	present := make(map[string]bool, len(l.Members))
 	joined := false
 	for _, m := range l.Members {
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -51,8 +51,8 @@
 	Resident []string
 }
 
-// Listed is the endpoints of the cell.
-type Listed struct{ Members []Member }
+// MemberList is the endpoints of the cell.
+type MemberList struct{ Members []Member }
 
 // Report is an endpoint's account of itself, a little behind the truth.
 type Report struct {
@@ -146,7 +146,7 @@
 type Event interface{ isEvent() }
 
 func (CellSettings) isEvent()      {}
-func (Listed) isEvent()            {}
+func (MemberList) isEvent()        {}
 func (ReportReply) isEvent()       {}
 func (RequestsFailed) isEvent()    {}
 func (EndpointsReplaced) isEvent() {}
--- a/placement/counted/plan_bench_test.go
+++ b/placement/counted/plan_bench_test.go
@@ -94,7 +94,7 @@
 		}
 	}
 	c.Step(now, cfg)
-	var l Listed
+	var l MemberList
 	for i := range endpoints {
 		l.Members = append(l.Members, Member{Name: fmt.Sprintf("e%03d", i), FailureDomain: fmt.Sprint(i % 3)})
 	}
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -26,7 +26,7 @@
 	}
 	cfg.Units = append(cfg.Units, Unit{Name: "m0/a1", Base: "m0", MemoryMB: 1}, Unit{Name: "m0/a2", Base: "m0", MemoryMB: 1}, Unit{Name: "m0/a3", Base: "m0", MemoryMB: 1})
 	s.step(cfg)
-	var l Listed
+	var l MemberList
 	for _, name := range sortedNames(held) {
 		l.Members = append(l.Members, Member{Name: name})
 	}
@@ -360,7 +360,7 @@
 		cfg.Units = append(cfg.Units, Unit{Name: name, MemoryMB: 70, FromStore: time.Second})
 	}
 	c.Step(now, cfg)
-	c.Step(now, Listed{Members: []Member{{Name: "e1"}, {Name: "e2"}}})
+	c.Step(now, MemberList{Members: []Member{{Name: "e1"}, {Name: "e2"}}})
 	c.Step(now, LeaseAcquired{Epoch: 1})
 	loads := func(actions []Action) (sent []SendOrder) {
 		for _, a := range actions {
--- a/placement/counted/simulation_test.go
+++ b/placement/counted/simulation_test.go
@@ -270,7 +270,7 @@
 	blind, forgetful bool
 	slow             time.Duration
 	// listed is the last list, shown at listedAt.
-	listed   Listed
+	listed   MemberList
 	listedAt time.Time
 }
 
@@ -283,7 +283,7 @@
 // blinded takes from an event what tells starts apart.
 func blinded(e Event) Event {
 	switch e := e.(type) {
-	case Listed:
+	case MemberList:
 		for i := range e.Members {
 			e.Members[i].StartedAtMS = 0
 		}
@@ -363,14 +363,14 @@
 	if p.listedAt.IsZero() || p.w.now.Sub(p.listedAt) >= p.slow {
 		p.listed, p.listedAt = p.w.list(), p.w.now
 	}
-	p.step(Listed{Members: slices.Clone(p.listed.Members)})
+	p.step(MemberList{Members: slices.Clone(p.listed.Members)})
 	p.step(demandNow(p.w.now, p.demand.Rate, p.demand.Waiting))
 	p.step(Tick{})
 }
 
 // list is the endpoints as they enter themselves.
-func (w *world) list() Listed {
-	var l Listed
+func (w *world) list() MemberList {
+	var l MemberList
 	for _, name := range sortedNames(w.engines) {
 		if e := w.engines[name]; !e.down {
 			l.Members = append(l.Members, Member{
