--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -218,7 +218,7 @@
 
 func (c *Controller) acquired(now time.Time, e LeaseAcquired) []Action {
 	c.holding, c.epoch, c.orderFrom, c.knowsOrdersFrom = true, e.Epoch, now, time.Time{}
-	if e.Succeeds {
+	if e.HasPredecessor {
 		c.knowsOrdersFrom = now.Add(lateOrderTime)
 		c.orderFrom = now.Add(e.Wait)
 		c.window.begin(now, max(0, c.window.limit-spentAtTakeover))
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -130,10 +130,10 @@
 // LeaseAcquired says that this instance may order until it hears LeaseLost.
 type LeaseAcquired struct {
 	Epoch int64
-	// Succeeds tells that another holder may have ordered before, and Wait for
+	// HasPredecessor tells that another holder may have ordered before, and Wait for
 	// how long the first order must wait for that.
-	Succeeds bool
-	Wait     time.Duration
+	HasPredecessor bool
+	Wait           time.Duration
 }
 
 // LeaseLost says that it may no longer.
