--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -86,7 +86,7 @@
 	switch a := a.(type) {
 	case lease.Acquired:
 		p.log.Info("lease acquired", "epoch", a.Epoch)
-		p.put(counted.LeaseAcquired{Epoch: a.Epoch, HasPredecessor: a.Epoch > 1, Wait: p.takeoverWait(a.Expired)})
+		p.put(counted.LeaseAcquired{Epoch: a.Epoch, HasPredecessor: a.Epoch > 1, OrderDelay: p.takeoverWait(a.Expired)})
 	case lease.Lost:
 		p.log.Info("lease lost", "epoch", a.Epoch)
 		p.put(counted.LeaseLost{})
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -220,7 +220,7 @@
 	c.holding, c.epoch, c.orderFrom, c.knowsOrdersFrom = true, e.Epoch, now, time.Time{}
 	if e.HasPredecessor {
 		c.knowsOrdersFrom = now.Add(lateOrderTime)
-		c.orderFrom = now.Add(e.Wait)
+		c.orderFrom = now.Add(e.OrderDelay)
 		c.window.begin(now, max(0, c.window.limit-spentAtTakeover))
 	}
 	for _, ep := range c.endpoints {
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -133,7 +133,7 @@
 	// HasPredecessor tells that another holder may have ordered before, and Wait for
 	// how long the first order must wait for that.
 	HasPredecessor bool
-	Wait           time.Duration
+	OrderDelay     time.Duration
 }
 
 // LeaseLost says that it may no longer.
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -192,7 +192,7 @@
 func TestSuccessorWaits(t *testing.T) {
 	s := newCell(3, map[string][]string{"e1": {"m0"}}, map[string][]string{"e1": {"m1"}})
 	s.step(LeaseLost{})
-	s.step(LeaseAcquired{Epoch: 2, HasPredecessor: true, Wait: time.Second})
+	s.step(LeaseAcquired{Epoch: 2, HasPredecessor: true, OrderDelay: time.Second})
 	s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, Report: &Report{Resident: []string{"m0"}, OnDisk: []string{"m1"}}})
 	sends := func() int {
 		n := 0
--- a/placement/counted/simulation_test.go
+++ b/placement/counted/simulation_test.go
@@ -413,7 +413,7 @@
 			// The former holder stops, but what it has sent may still arrive.
 			players[holder].step(LeaseLost{})
 			holder, epoch = 1-holder, epoch+1
-			players[holder].step(LeaseAcquired{Epoch: epoch, HasPredecessor: true, Wait: time.Second})
+			players[holder].step(LeaseAcquired{Epoch: epoch, HasPredecessor: true, OrderDelay: time.Second})
 			changeAt = w.now.Add(time.Duration(5+w.rnd.IntN(15)) * time.Second)
 		}
 		w.deliver()
