--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -147,7 +147,7 @@
 				Placement: peer.Placement{Epoch: p.heldEpoch(), Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, Units: a.Units, Going: a.Draining},
 				urgency:   urgencyOf(a.Change),
 			})
-		case counted.Decided:
+		case counted.LogMove:
 			m := a.Move
 			p.log.Info("place", "op", m.Op, "unit", m.Unit, "endpoint", m.Endpoint, "reason", m.Reason, "for", m.For,
 				"replicas", m.Replicas, "share", m.Share, "waiting", m.Waiting)
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -432,7 +432,7 @@
 	}
 	c.planAt, c.plannedAt = now.Add(planEvery), now
 	for _, m := range c.plan(now) {
-		actions = append(actions, Decided{Move: m})
+		actions = append(actions, LogMove{Move: m})
 		actions = append(actions, c.carryOut(now, m)...)
 	}
 	return actions
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -208,8 +208,8 @@
 	UnitsWithdrawn
 )
 
-// Decided is a decision to log, with the numbers that led to it.
-type Decided struct{ Move Move }
+// LogMove is a decision to log, with the numbers that led to it.
+type LogMove struct{ Move Move }
 
 // Noted is something that happened, to log.
 type Noted struct{ What, Endpoint, Unit, Detail string }
@@ -217,5 +217,5 @@
 func (RequestReport) isAction() {}
 func (SendOrder) isAction()     {}
 func (AnnounceUnits) isAction() {}
-func (Decided) isAction()       {}
+func (LogMove) isAction()       {}
 func (Noted) isAction()         {}
