--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -151,7 +151,7 @@
 			m := a.Move
 			p.log.Info("place", "op", m.Op, "unit", m.Unit, "endpoint", m.Endpoint, "reason", m.Reason, "for", m.For,
 				"replicas", m.Replicas, "share", m.Share, "waiting", m.Waiting)
-		case counted.Noted:
+		case counted.LogEvent:
 			p.log.Info("placement", "event", a.What, "endpoint", a.Endpoint, "unit", a.Unit, "detail", a.Detail)
 		}
 	}
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -211,11 +211,11 @@
 // LogMove is a decision to log, with the numbers that led to it.
 type LogMove struct{ Move Move }
 
-// Noted is something that happened, to log.
-type Noted struct{ What, Endpoint, Unit, Detail string }
+// LogEvent is something that happened, to log.
+type LogEvent struct{ What, Endpoint, Unit, Detail string }
 
 func (RequestReport) isAction() {}
 func (SendOrder) isAction()     {}
 func (AnnounceUnits) isAction() {}
 func (LogMove) isAction()       {}
-func (Noted) isAction()         {}
+func (LogEvent) isAction()      {}
