--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -152,7 +152,7 @@
 			p.log.Info("place", "op", m.Op, "unit", m.Unit, "endpoint", m.Endpoint, "reason", m.Reason, "for", m.For,
 				"replicas", m.Replicas, "share", m.Share, "waiting", m.Waiting)
 		case counted.LogEvent:
-			p.log.Info("placement", "event", a.What, "endpoint", a.Endpoint, "unit", a.Unit, "detail", a.Detail)
+			p.log.Info("placement", "event", a.Event, "endpoint", a.Endpoint, "unit", a.Unit, "detail", a.Detail)
 		}
 	}
 	if len(told) > 0 {
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -230,7 +230,7 @@
 		clear(ep.going)
 		ep.toldAt = time.Time{}
 	}
-	return []Action{LogEvent{What: "placement taken over", Detail: "epoch " + strconv.FormatInt(e.Epoch, 10)}}
+	return []Action{LogEvent{Event: "placement taken over", Detail: "epoch " + strconv.FormatInt(e.Epoch, 10)}}
 }
 
 // ask asks those of the endpoints whose state is not known, or at which something is due.
@@ -290,7 +290,7 @@
 		return nil
 	}
 	e.lost = true
-	return []Action{LogEvent{What: "endpoint lost", Endpoint: e.Name}}
+	return []Action{LogEvent{Event: "endpoint lost", Endpoint: e.Name}}
 }
 
 // suspect looks at endpoints at which requests have failed.
@@ -311,7 +311,7 @@
 			continue
 		}
 		e.replaced = true
-		actions = append(actions, LogEvent{What: "endpoint replaced", Endpoint: name})
+		actions = append(actions, LogEvent{Event: "endpoint replaced", Endpoint: name})
 	}
 	return actions
 }
@@ -381,17 +381,17 @@
 		return e.tell(now)
 	case Superseded:
 		c.holding = false
-		return []Action{LogEvent{What: "superseded", Endpoint: o.Endpoint}}
+		return []Action{LogEvent{Event: "superseded", Endpoint: o.Endpoint}}
 	case Replaced:
 		return c.gone(EndpointsReplaced{Endpoints: []string{o.Endpoint}})
 	case Unknown:
 		doubt := o.Order
 		e.doubt = &doubt
 		e.mayArrive(now, o.Order)
-		return []Action{LogEvent{What: "order unanswered", Endpoint: o.Endpoint, Unit: o.Order.Unit, Detail: string(o.Order.Op)}}
+		return []Action{LogEvent{Event: "order unanswered", Endpoint: o.Endpoint, Unit: o.Order.Unit, Detail: string(o.Order.Op)}}
 	default:
 		e.known = false
-		return []Action{LogEvent{What: "order refused", Endpoint: o.Endpoint, Unit: o.Order.Unit, Detail: string(o.Order.Op)}}
+		return []Action{LogEvent{Event: "order refused", Endpoint: o.Endpoint, Unit: o.Order.Unit, Detail: string(o.Order.Op)}}
 	}
 }
 
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -212,7 +212,7 @@
 type LogMove struct{ Move Move }
 
 // LogEvent is something that happened, to log.
-type LogEvent struct{ What, Endpoint, Unit, Detail string }
+type LogEvent struct{ Event, Endpoint, Unit, Detail string }
 
 func (RequestReport) isAction() {}
 func (SendOrder) isAction()     {}
