--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -375,7 +375,7 @@
 	c.window.late(e.storeLoadAt, now)
 	e.storeLoadAt = time.Time{}
 	switch o.Result {
-	case Taken:
+	case Accepted:
 		e.took(now, o.Order, c.units, c.duration(e, o.Order))
 		e.askAt = now.Add(max(c.duration(e, o.Order), settleTime))
 		return e.tell(now)
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -98,8 +98,8 @@
 
 // Results of orders.
 const (
-	// Taken: the endpoint has it and carries it out.
-	Taken Result = iota
+	// Accepted: the endpoint has it and carries it out.
+	Accepted Result = iota
 	// Refused: it has no effect and never will.
 	Refused
 	// Superseded: the endpoint has seen a later holder.
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -374,7 +374,7 @@
 	sent = append(sent, loads(c.Step(now.Add(planEvery), ReportReply{Endpoint: "e2", RequestedAt: now, Report: &Report{}}))...)
 	require.Len(t, sent, 1, "the rate allows one in five seconds")
 	const late = 2 * time.Second
-	c.Step(now.Add(late), OrderEnded{Endpoint: sent[0].Endpoint, Order: sent[0].Order, Result: Taken})
+	c.Step(now.Add(late), OrderEnded{Endpoint: sent[0].Endpoint, Order: sent[0].Order, Result: Accepted})
 	require.Empty(t, loads(c.Step(now.Add(5*time.Second+planEvery), Tick{})), "the first may have begun two seconds late")
 	require.Len(t, loads(c.Step(now.Add(late+5*time.Second), Tick{})), 1)
 }
--- a/placement/counted/simulation_test.go
+++ b/placement/counted/simulation_test.go
@@ -212,7 +212,7 @@
 		delete(e.resident, o.Unit)
 	}
 	w.judge(e)
-	return Taken
+	return Accepted
 }
 
 func (w *world) load(e *simEngine, u Unit) {
