--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -352,7 +352,7 @@
 		unit := counted.Unit{Name: name, Base: u.Base, MemoryMB: u.MemoryMB}
 		if m := t.Models[name]; m != nil {
 			unit.Rank = m.Rank
-			unit.FromStore = time.Duration(m.LoadMS) * time.Millisecond
+			unit.StoreLoadTime = time.Duration(m.LoadMS) * time.Millisecond
 			unit.FromDisk = time.Duration(m.DiskMS) * time.Millisecond
 			unit.FromMemory = time.Duration(m.WarmMS) * time.Millisecond
 		}
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -343,8 +343,8 @@
 		return u.FromMemory
 	case e.onDisk[o.Unit] && u.FromDisk > 0:
 		return u.FromDisk
-	case u.FromStore > 0:
-		return u.FromStore
+	case u.StoreLoadTime > 0:
+		return u.StoreLoadTime
 	default:
 		return unknownLoadTime
 	}
