--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -353,7 +353,7 @@
 		if m := t.Models[name]; m != nil {
 			unit.Rank = m.Rank
 			unit.StoreLoadTime = time.Duration(m.LoadMS) * time.Millisecond
-			unit.FromDisk = time.Duration(m.DiskMS) * time.Millisecond
+			unit.DiskLoadTime = time.Duration(m.DiskMS) * time.Millisecond
 			unit.FromMemory = time.Duration(m.WarmMS) * time.Millisecond
 		}
 		c.Units = append(c.Units, unit)
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -341,8 +341,8 @@
 		return adapterTime
 	case e.inMemory[o.Unit] && u.FromMemory > 0:
 		return u.FromMemory
-	case e.onDisk[o.Unit] && u.FromDisk > 0:
-		return u.FromDisk
+	case e.onDisk[o.Unit] && u.DiskLoadTime > 0:
+		return u.DiskLoadTime
 	case u.StoreLoadTime > 0:
 		return u.StoreLoadTime
 	default:
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -22,7 +22,7 @@
 	s := &cell{c: NewController(Config{RateWindow: 5 * time.Second, RateOver: 1}), now: planStart}
 	cfg := CellSettings{CapacityMB: 220, AdapterSlots: 2, LoadsPerSecond: 2}
 	for i := range models {
-		cfg.Units = append(cfg.Units, Unit{Name: modelName(i), MemoryMB: 70, Rank: i, StoreLoadTime: 9 * time.Second, FromDisk: 2 * time.Second})
+		cfg.Units = append(cfg.Units, Unit{Name: modelName(i), MemoryMB: 70, Rank: i, StoreLoadTime: 9 * time.Second, DiskLoadTime: 2 * time.Second})
 	}
 	cfg.Units = append(cfg.Units, Unit{Name: "m0/a1", Base: "m0", MemoryMB: 1}, Unit{Name: "m0/a2", Base: "m0", MemoryMB: 1}, Unit{Name: "m0/a3", Base: "m0", MemoryMB: 1})
 	s.step(cfg)
@@ -407,7 +407,7 @@
 	held := map[string][]string{}
 	cfg := CellSettings{CapacityMB: 220, AdapterSlots: 8, LoadsPerSecond: 60, KVTokens: 120_000}
 	for i := range models {
-		cfg.Units = append(cfg.Units, Unit{Name: fmt.Sprintf("u%02d", i), MemoryMB: 70, Rank: i, StoreLoadTime: 9 * time.Second, FromDisk: 2 * time.Second})
+		cfg.Units = append(cfg.Units, Unit{Name: fmt.Sprintf("u%02d", i), MemoryMB: 70, Rank: i, StoreLoadTime: 9 * time.Second, DiskLoadTime: 2 * time.Second})
 	}
 	for i := range endpoints {
 		held[fmt.Sprintf("e%03d", i)] = []string{fmt.Sprintf("u%02d", i%models)}
