--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -354,7 +354,7 @@
 			unit.Rank = m.Rank
 			unit.StoreLoadTime = time.Duration(m.LoadMS) * time.Millisecond
 			unit.DiskLoadTime = time.Duration(m.DiskMS) * time.Millisecond
-			unit.FromMemory = time.Duration(m.WarmMS) * time.Millisecond
+			unit.MemoryLoadTime = time.Duration(m.WarmMS) * time.Millisecond
 		}
 		c.Units = append(c.Units, unit)
 	}
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -339,8 +339,8 @@
 		return unloadTime
 	case u.Base != "":
 		return adapterTime
-	case e.inMemory[o.Unit] && u.FromMemory > 0:
-		return u.FromMemory
+	case e.inMemory[o.Unit] && u.MemoryLoadTime > 0:
+		return u.MemoryLoadTime
 	case e.onDisk[o.Unit] && u.DiskLoadTime > 0:
 		return u.DiskLoadTime
 	case u.StoreLoadTime > 0:
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -20,9 +20,9 @@
 	MemoryMB int64
 	// Rank is the unit's place in the operator's list.
 	Rank int
-	// StoreLoadTime, DiskLoadTime and FromMemory are the times of a load from the
+	// StoreLoadTime, DiskLoadTime and MemoryLoadTime are the times of a load from the
 	// weight store, the endpoint's disk and its host memory; 0 where unknown.
-	StoreLoadTime, DiskLoadTime, FromMemory time.Duration
+	StoreLoadTime, DiskLoadTime, MemoryLoadTime time.Duration
 }
 
 // CellSettings is what the settings say of the cell.
