--- a/placement/counted/endpoint.go
+++ b/placement/counted/endpoint.go
@@ -143,8 +143,8 @@
 	if !moved {
 		e.moving = nil
 	}
-	coming := make(map[string]time.Time, len(r.Coming))
-	for _, u := range r.Coming {
+	coming := make(map[string]time.Time, len(r.Loading))
+	for _, u := range r.Loading {
 		coming[u] = now
 		if at, known := e.coming[u]; known {
 			coming[u] = at
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -62,8 +62,8 @@
 	Count int64
 	// Busy tells that a load or unload of a model is under way.
 	Busy bool
-	// Resident are the units it holds, Coming the adapters on their way.
-	Resident, Coming []string
+	// Resident are the units it holds, Loading the adapters on their way.
+	Resident, Loading []string
 	// InMemory and OnDisk are the models of which it keeps copies.
 	InMemory, OnDisk []string
 }
--- a/placement/counted/simulation_test.go
+++ b/placement/counted/simulation_test.go
@@ -161,7 +161,7 @@
 func (e *simEngine) report() Report {
 	r := Report{StartedAtMS: e.born, Count: e.count, Busy: e.moving != ""}
 	r.Resident = sortedNames(e.resident)
-	r.Coming = sortedNames(e.coming)
+	r.Loading = sortedNames(e.coming)
 	r.OnDisk = sortedNames(e.disk)
 	return r
 }
