--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -320,7 +320,7 @@
 		pool: pool, controls: p.controls, now: p.now, log: p.log.WithValues("pool", pool), place: p.place,
 		events: ring.New[counted.Event](placerEvents, ring.Block), orderLease: milliseconds(p.cfg.LeaseMS),
 		controller: counted.NewController(counted.Config{
-			RateOver:   p.cfg.RateOver,
+			RateFactor: p.cfg.RateOver,
 			RateWindow: time.Duration(p.cfg.RateWindowS * float64(time.Second)),
 		}),
 	}
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -13,7 +13,7 @@
 	// RateWindow and RateOver bound the loads from the weight store: RateOver
 	// times its rate in any RateWindow.
 	RateWindow time.Duration
-	RateOver   float64
+	RateFactor float64
 }
 
 // Times of a Controller.
@@ -172,7 +172,7 @@
 	for _, u := range e.Units {
 		c.largestMB = max(c.largestMB, u.MemoryMB)
 	}
-	c.window.configure(e.LoadsPerSecond, c.cfg.RateWindow, c.cfg.RateOver)
+	c.window.configure(e.LoadsPerSecond, c.cfg.RateWindow, c.cfg.RateFactor)
 }
 
 func (c *Controller) list(now time.Time, l MemberList) {
--- a/placement/counted/plan_bench_test.go
+++ b/placement/counted/plan_bench_test.go
@@ -84,7 +84,7 @@
 
 func benchController(endpoints, models, adapters int) (*Controller, time.Time) {
 	now := time.Unix(1000, 0)
-	c := NewController(Config{RateWindow: 5 * time.Second, RateOver: 1.1})
+	c := NewController(Config{RateWindow: 5 * time.Second, RateFactor: 1.1})
 	cfg := CellSettings{CapacityMB: 220, AdapterSlots: 8, LoadsPerSecond: 20}
 	for i := range models {
 		name := fmt.Sprintf("m%03d", i)
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -19,7 +19,7 @@
 
 // newCell takes what each endpoint holds, and what is on its disk besides.
 func newCell(models int, held map[string][]string, disk map[string][]string) *cell {
-	s := &cell{c: NewController(Config{RateWindow: 5 * time.Second, RateOver: 1}), now: planStart}
+	s := &cell{c: NewController(Config{RateWindow: 5 * time.Second, RateFactor: 1}), now: planStart}
 	cfg := CellSettings{CapacityMB: 220, AdapterSlots: 2, LoadsPerSecond: 2}
 	for i := range models {
 		cfg.Units = append(cfg.Units, Unit{Name: modelName(i), MemoryMB: 70, Rank: i, StoreLoadTime: 9 * time.Second, DiskLoadTime: 2 * time.Second})
@@ -354,7 +354,7 @@
 // took seconds: the weight store's rate counts the load from then on, not from the decision.
 func TestLoadsAreCountedFromWhenTheyBegin(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := NewController(Config{RateWindow: 5 * time.Second, RateOver: 1})
+	c := NewController(Config{RateWindow: 5 * time.Second, RateFactor: 1})
 	cfg := CellSettings{CapacityMB: 100, LoadsPerSecond: 0.2}
 	for _, name := range []string{"m1", "m2"} {
 		cfg.Units = append(cfg.Units, Unit{Name: name, MemoryMB: 70, StoreLoadTime: time.Second})
--- a/placement/counted/simulation_test.go
+++ b/placement/counted/simulation_test.go
@@ -275,7 +275,7 @@
 }
 
 func (w *world) newPlayer() *player {
-	p := &player{w: w, c: NewController(Config{RateWindow: 5 * time.Second, RateOver: 1.1})}
+	p := &player{w: w, c: NewController(Config{RateWindow: 5 * time.Second, RateFactor: 1.1})}
 	p.step(w.cfg)
 	return p
 }
