--- a/daemon/cell.go
+++ b/daemon/cell.go
@@ -86,7 +86,7 @@
 
 func (d *cellDuty) carryOut(ctx context.Context, a placement.Action) {
 	switch a := a.(type) {
-	case placement.Decided:
+	case placement.LogMove:
 		m := a.Move
 		d.log.Info("place", "op", m.Op, "unit", m.Unit, "endpoint", m.Endpoint, "reason", m.Reason, "for", m.For,
 			"replicas", m.Replicas, "demand", m.Demand, "memory_mb", m.MemoryMB, "free_mb", m.FreeMB)
--- a/placement/applier.go
+++ b/placement/applier.go
@@ -31,7 +31,7 @@
 		if m.Op == OpLoad {
 			c.budget.spend()
 		}
-		actions = append(actions, Decided{Move: m})
+		actions = append(actions, LogMove{Move: m})
 	}
 	c.trackOrders()
 	return actions
--- a/placement/controller_test.go
+++ b/placement/controller_test.go
@@ -109,7 +109,7 @@
 	step := func(e Event) {
 		for _, a := range c.Step(now, e) {
 			switch a := a.(type) {
-			case Decided:
+			case LogMove:
 				decided++
 			case Commit:
 				c.Step(now, CommitEnded{Seq: a.Seq, Result: commit.Done, Version: "2"})
--- a/placement/events.go
+++ b/placement/events.go
@@ -145,8 +145,8 @@
 	Epoch  int64
 }
 
-// Decided is a decision to log.
-type Decided struct{ Move Move }
+// LogMove is a decision to log.
+type LogMove struct{ Move Move }
 
 // Noted is something that happened, to log.
 type Noted struct {
@@ -162,5 +162,5 @@
 func (AskInventory) isAction() {}
 func (ReadSettled) isAction()  {}
 func (WriteSettled) isAction() {}
-func (Decided) isAction()      {}
+func (LogMove) isAction()      {}
 func (Noted) isAction()        {}
