--- a/daemon/cell.go
+++ b/daemon/cell.go
@@ -90,7 +90,7 @@
 		m := a.Move
 		d.log.Info("place", "op", m.Op, "unit", m.Unit, "endpoint", m.Endpoint, "reason", m.Reason, "for", m.For,
 			"replicas", m.Replicas, "demand", m.Demand, "memory_mb", m.MemoryMB, "free_mb", m.FreeMB)
-	case placement.Noted:
+	case placement.LogEvent:
 		d.log.Info("placement", "event", a.What, "endpoint", a.Endpoint, "unit", a.Unit, "detail", a.Detail)
 	case placement.ReadLedger:
 		go d.readLedger(ctx)
--- a/placement/events.go
+++ b/placement/events.go
@@ -148,8 +148,8 @@
 // LogMove is a decision to log.
 type LogMove struct{ Move Move }
 
-// Noted is something that happened, to log.
-type Noted struct {
+// LogEvent is something that happened, to log.
+type LogEvent struct {
 	What     string
 	Endpoint string
 	Unit     string
@@ -163,4 +163,4 @@
 func (ReadSettled) isAction()  {}
 func (WriteSettled) isAction() {}
 func (LogMove) isAction()      {}
-func (Noted) isAction()        {}
+func (LogEvent) isAction()     {}
