--- a/daemon/cell.go
+++ b/daemon/cell.go
@@ -91,7 +91,7 @@
 		d.log.Info("place", "op", m.Op, "unit", m.Unit, "endpoint", m.Endpoint, "reason", m.Reason, "for", m.For,
 			"replicas", m.Replicas, "demand", m.Demand, "memory_mb", m.MemoryMB, "free_mb", m.FreeMB)
 	case placement.LogEvent:
-		d.log.Info("placement", "event", a.What, "endpoint", a.Endpoint, "unit", a.Unit, "detail", a.Detail)
+		d.log.Info("placement", "event", a.Event, "endpoint", a.Endpoint, "unit", a.Unit, "detail", a.Detail)
 	case placement.ReadLedger:
 		go d.readLedger(ctx)
 	case placement.Commit:
--- a/placement/applier.go
+++ b/placement/applier.go
@@ -24,7 +24,7 @@
 	var actions []Action
 	for _, m := range Plan(c.snapshot(now)) {
 		if err := c.apply(now, m); err != nil {
-			actions = append(actions, LogEvent{What: "move refused", Endpoint: m.Endpoint, Unit: m.Unit, Detail: err.Error()})
+			actions = append(actions, LogEvent{Event: "move refused", Endpoint: m.Endpoint, Unit: m.Unit, Detail: err.Error()})
 			continue
 		}
 		c.dirty = true
--- a/placement/controller.go
+++ b/placement/controller.go
@@ -201,7 +201,7 @@
 		l = NewLedger()
 	}
 	if l.Epoch > c.epoch || l.Epoch == c.epoch && l.Holder != c.cfg.Holder {
-		return []Action{LogEvent{What: "ledger has a newer epoch", Detail: strconv.FormatInt(l.Epoch, 10)}}
+		return []Action{LogEvent{Event: "ledger has a newer epoch", Detail: strconv.FormatInt(l.Epoch, 10)}}
 	}
 	c.working, c.version, c.committed = l.Clone(), e.Version, nil
 	c.noteList()
@@ -264,14 +264,14 @@
 		c.committed, c.version = sent, e.Version
 		if c.phase == phaseTakingOver {
 			c.phase = phaseRunning
-			return []Action{LogEvent{What: "took the cell over", Detail: strconv.FormatInt(c.epoch, 10)}}
+			return []Action{LogEvent{Event: "took the cell over", Detail: strconv.FormatInt(c.epoch, 10)}}
 		}
 		return nil
 	}
 	// What is stored is no longer known. Reading tells; until then nothing that
 	// is not committed may be sent, and the takeover is made anew.
 	c.phase, c.readAt = phaseReading, time.Time{}
-	return []Action{LogEvent{What: "commit not confirmed"}}
+	return []Action{LogEvent{Event: "commit not confirmed"}}
 }
 
 // noteList records the version of the list that is acted on, and tells whether
--- a/placement/events.go
+++ b/placement/events.go
@@ -150,7 +150,7 @@
 
 // LogEvent is something that happened, to log.
 type LogEvent struct {
-	What     string
+	Event    string
 	Endpoint string
 	Unit     string
 	Detail   string
--- a/placement/inventory.go
+++ b/placement/inventory.go
@@ -76,7 +76,7 @@
 	c.working.Reset(e.Endpoint, use)
 	c.dirty = true
 	c.trackOrders()
-	return []Action{LogEvent{What: "adopted inventory", Endpoint: e.Endpoint}}
+	return []Action{LogEvent{Event: "adopted inventory", Endpoint: e.Endpoint}}
 }
 
 // found is the record of a unit that an endpoint holds though no order for it
@@ -108,14 +108,14 @@
 		if use.Units[r.Name] == nil {
 			c.working.AddFound(e.Endpoint, r.Name, *c.found(r))
 			c.dirty = true
-			actions = append(actions, LogEvent{What: "found a unit not on record", Endpoint: e.Endpoint, Unit: r.Name})
+			actions = append(actions, LogEvent{Event: "found a unit not on record", Endpoint: e.Endpoint, Unit: r.Name})
 		}
 	}
 	for _, unit := range use.UnitNames() {
 		r, resident := seen[unit]
 		if what := c.compareUnit(e, unit, use.Units[unit], resident, r.Ready); what != "" {
 			c.dirty = true
-			actions = append(actions, LogEvent{What: what, Endpoint: e.Endpoint, Unit: unit})
+			actions = append(actions, LogEvent{Event: what, Endpoint: e.Endpoint, Unit: unit})
 		}
 	}
 	c.trackOrders()
@@ -180,7 +180,7 @@
 		delete(c.fences, name)
 		delete(c.unlisted, name)
 		c.dirty = true
-		actions = append(actions, LogEvent{What: "endpoint gone", Endpoint: name})
+		actions = append(actions, LogEvent{Event: "endpoint gone", Endpoint: name})
 	}
 	if len(actions) > 0 {
 		c.trackOrders()
--- a/placement/sending.go
+++ b/placement/sending.go
@@ -215,7 +215,7 @@
 		return nil
 	}
 	c.phase = phaseIdle
-	return []Action{LogEvent{What: "superseded", Detail: e.Order}}
+	return []Action{LogEvent{Event: "superseded", Detail: e.Order}}
 }
 
 // known tells whether the record of an endpoint may be acted on: an endpoint
