--- a/daemon/cell.go
+++ b/daemon/cell.go
@@ -98,7 +98,7 @@
 		go d.commit(ctx, a)
 	case placement.SendOrder:
 		go d.send(ctx, a)
-	case placement.AskInventory:
+	case placement.RequestInventory:
 		go d.askInventory(ctx, a)
 	case placement.ReadSettled:
 		go d.readSettled(ctx, a)
@@ -153,7 +153,7 @@
 	d.put(placement.OrderEnded{Order: s.Order.ID, Result: result})
 }
 
-func (d *cellDuty) askInventory(ctx context.Context, a placement.AskInventory) {
+func (d *cellDuty) askInventory(ctx context.Context, a placement.RequestInventory) {
 	ctx, cancel := context.WithTimeout(ctx, inventoryTimeout)
 	defer cancel()
 	askedAt := d.now()
--- a/placement/events.go
+++ b/placement/events.go
@@ -133,8 +133,8 @@
 	Order             engine.Order
 }
 
-// AskInventory asks an endpoint for its inventory.
-type AskInventory struct{ Endpoint, Address string }
+// RequestInventory asks an endpoint for its inventory.
+type RequestInventory struct{ Endpoint, Address string }
 
 // ReadSettled asks for an earlier controller's HolderSettled.
 type ReadSettled struct{ Holder string }
@@ -156,11 +156,11 @@
 	Detail   string
 }
 
-func (ReadLedger) isAction()   {}
-func (Commit) isAction()       {}
-func (SendOrder) isAction()    {}
-func (AskInventory) isAction() {}
-func (ReadSettled) isAction()  {}
-func (WriteSettled) isAction() {}
-func (LogMove) isAction()      {}
-func (LogEvent) isAction()     {}
+func (ReadLedger) isAction()       {}
+func (Commit) isAction()           {}
+func (SendOrder) isAction()        {}
+func (RequestInventory) isAction() {}
+func (ReadSettled) isAction()      {}
+func (WriteSettled) isAction()     {}
+func (LogMove) isAction()          {}
+func (LogEvent) isAction()         {}
--- a/placement/inventory.go
+++ b/placement/inventory.go
@@ -22,7 +22,7 @@
 			continue
 		}
 		c.asking[m.Name], c.asked[m.Name] = true, now
-		actions = append(actions, AskInventory{Endpoint: m.Name, Address: m.Address})
+		actions = append(actions, RequestInventory{Endpoint: m.Name, Address: m.Address})
 	}
 	return actions
 }
--- a/placement/simulation_test.go
+++ b/placement/simulation_test.go
@@ -201,7 +201,7 @@
 				n.queue = append(n.queue, n.controller.send(s.now)...)
 			}
 			n.queue = append(n.queue, a)
-		case ReadLedger, SendOrder, AskInventory, ReadSettled, WriteSettled:
+		case ReadLedger, SendOrder, RequestInventory, ReadSettled, WriteSettled:
 			n.queue = append(n.queue, a)
 		}
 	}
@@ -350,7 +350,7 @@
 		}
 	case Commit:
 		s.carryOutCommit(n, a, fate)
-	case AskInventory:
+	case RequestInventory:
 		answer := Inventory{Endpoint: a.Endpoint, AskedAt: s.now, Report: s.device(a.Endpoint).report()}
 		switch fate {
 		case 0:
@@ -558,7 +558,7 @@
 	case Commit:
 		result, version := s.write(a)
 		s.step(n, CommitEnded{Seq: a.Seq, Result: result, Version: version})
-	case AskInventory:
+	case RequestInventory:
 		s.step(n, Inventory{Endpoint: a.Endpoint, AskedAt: s.now, Report: s.device(a.Endpoint).report()})
 	case SendOrder:
 		s.step(n, OrderEnded{Order: a.Order.ID, Result: s.deliver(a)})
