--- a/placement/controller.go
+++ b/placement/controller.go
@@ -143,7 +143,7 @@
 		c.members, c.instances, c.listVersion = e.Endpoints, e.Instances, e.Version
 	case HolderSettled:
 		c.holderSettled(now, e)
-	case Inventory:
+	case InventoryReply:
 		actions = c.inventory(now, e)
 	case OrderEnded:
 		actions = c.orderEnded(now, e)
--- a/placement/events.go
+++ b/placement/events.go
@@ -64,8 +64,8 @@
 	Instances map[string]string
 }
 
-// Inventory is an endpoint's account of what it holds, asked for at AskedAt.
-type Inventory struct {
+// InventoryReply is an endpoint's account of what it holds, asked for at AskedAt.
+type InventoryReply struct {
 	Endpoint string
 	AskedAt  time.Time
 	// Report is nil if the endpoint gave none.
@@ -101,16 +101,16 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (LeaseAcquired) isEvent() {}
-func (LeaseLost) isEvent()     {}
-func (LedgerRead) isEvent()    {}
-func (CommitEnded) isEvent()   {}
-func (Configured) isEvent()    {}
-func (Listed) isEvent()        {}
-func (Inventory) isEvent()     {}
-func (OrderEnded) isEvent()    {}
-func (HolderSettled) isEvent() {}
-func (Tick) isEvent()          {}
+func (LeaseAcquired) isEvent()  {}
+func (LeaseLost) isEvent()      {}
+func (LedgerRead) isEvent()     {}
+func (CommitEnded) isEvent()    {}
+func (Configured) isEvent()     {}
+func (Listed) isEvent()         {}
+func (InventoryReply) isEvent() {}
+func (OrderEnded) isEvent()     {}
+func (HolderSettled) isEvent()  {}
+func (Tick) isEvent()           {}
 
 // Action is an output of a Controller.
 type Action interface{ isAction() }
--- a/placement/inventory.go
+++ b/placement/inventory.go
@@ -27,7 +27,7 @@
 	return actions
 }
 
-func (c *Controller) inventory(now time.Time, e Inventory) []Action {
+func (c *Controller) inventory(now time.Time, e InventoryReply) []Action {
 	delete(c.asking, e.Endpoint)
 	m, listed := c.member(e.Endpoint)
 	if c.phase != phaseRunning || e.Report == nil || !listed || e.Report.Incarnation != m.Incarnation {
@@ -50,7 +50,7 @@
 
 // mustAdopt tells whether the inventory is the first since the endpoint was
 // fenced: it then replaces the record, as no earlier order can take effect.
-func (c *Controller) mustAdopt(e Inventory) bool {
+func (c *Controller) mustAdopt(e InventoryReply) bool {
 	f := c.fences[e.Endpoint]
 	return c.settings.ChecksFencing && f != nil && !f.adopted && !f.takenAt.IsZero() && e.AskedAt.After(f.takenAt)
 }
@@ -58,7 +58,7 @@
 // adopt makes an inventory the record of an endpoint. That is sound for an
 // endpoint that no order of this cell can reach: one that is not on record,
 // one with a new incarnation, and one that was fenced.
-func (c *Controller) adopt(e Inventory) []Action {
+func (c *Controller) adopt(e InventoryReply) []Action {
 	f := c.fences[e.Endpoint]
 	if c.settings.ChecksFencing && (f == nil || f.takenAt.IsZero() || !e.AskedAt.After(f.takenAt)) {
 		return nil
@@ -100,7 +100,7 @@
 }
 
 // compare brings the record up to date with an inventory.
-func (c *Controller) compare(e Inventory, use *EndpointUse) []Action {
+func (c *Controller) compare(e InventoryReply, use *EndpointUse) []Action {
 	var actions []Action
 	seen := make(map[string]engine.UnitReport, len(e.Report.Units))
 	for _, r := range e.Report.Units {
@@ -125,7 +125,7 @@
 // compareUnit applies what an inventory shows of one unit and returns what
 // changed, or "". An order is resolved only when none of its sendings is under
 // way, so that a paused sender cannot follow its resolution.
-func (c *Controller) compareUnit(e Inventory, unit string, u *Unit, resident, ready bool) string {
+func (c *Controller) compareUnit(e InventoryReply, unit string, u *Unit, resident, ready bool) string {
 	o := c.orders[u.Order]
 	switch {
 	case u.Order != "" && (o == nil || !o.sent || !c.history.idle(e.Endpoint, unit)):
@@ -153,7 +153,7 @@
 // stayedAway tells whether the inventory was asked for after every order that
 // could have brought the unit back had arrived, if it ever will. An earlier
 // inventory does not count: the last copy may have come in between.
-func (c *Controller) stayedAway(e Inventory, unit string) bool {
+func (c *Controller) stayedAway(e InventoryReply, unit string) bool {
 	return e.AskedAt.After(c.settledAt) && c.history.quiet(e.AskedAt, e.Endpoint, unit, c.settings.MaxOrderDelay)
 }
 
