--- a/daemon/cell.go
+++ b/daemon/cell.go
@@ -157,7 +157,7 @@
 	ctx, cancel := context.WithTimeout(ctx, inventoryTimeout)
 	defer cancel()
 	askedAt := d.now()
-	answer := placement.InventoryReply{Endpoint: a.Endpoint, AskedAt: askedAt}
+	answer := placement.InventoryReply{Endpoint: a.Endpoint, RequestedAt: askedAt}
 	if report, err := d.engine.Inventory(ctx, a.Endpoint, a.Address); err == nil {
 		answer.Report = &report
 	}
--- a/placement/events.go
+++ b/placement/events.go
@@ -66,8 +66,8 @@
 
 // InventoryReply is an endpoint's account of what it holds, asked for at AskedAt.
 type InventoryReply struct {
-	Endpoint string
-	AskedAt  time.Time
+	Endpoint    string
+	RequestedAt time.Time
 	// Report is nil if the endpoint gave none.
 	Report *engine.Report
 }
--- a/placement/inventory.go
+++ b/placement/inventory.go
@@ -33,7 +33,7 @@
 	if c.phase != phaseRunning || e.Report == nil || !listed || e.Report.Incarnation != m.Incarnation {
 		return nil
 	}
-	if !e.AskedAt.After(c.history.tookOver) {
+	if !e.RequestedAt.After(c.history.tookOver) {
 		// It may be older than what an earlier controller has recorded since.
 		return nil
 	}
@@ -52,7 +52,7 @@
 // fenced: it then replaces the record, as no earlier order can take effect.
 func (c *Controller) mustAdopt(e InventoryReply) bool {
 	f := c.fences[e.Endpoint]
-	return c.settings.ChecksFencing && f != nil && !f.adopted && !f.takenAt.IsZero() && e.AskedAt.After(f.takenAt)
+	return c.settings.ChecksFencing && f != nil && !f.adopted && !f.takenAt.IsZero() && e.RequestedAt.After(f.takenAt)
 }
 
 // adopt makes an inventory the record of an endpoint. That is sound for an
@@ -60,7 +60,7 @@
 // one with a new incarnation, and one that was fenced.
 func (c *Controller) adopt(e InventoryReply) []Action {
 	f := c.fences[e.Endpoint]
-	if c.settings.ChecksFencing && (f == nil || f.takenAt.IsZero() || !e.AskedAt.After(f.takenAt)) {
+	if c.settings.ChecksFencing && (f == nil || f.takenAt.IsZero() || !e.RequestedAt.After(f.takenAt)) {
 		return nil
 	}
 	if f != nil {
@@ -133,12 +133,12 @@
 	case u.State == Loading && ready:
 		c.working.ConfirmLoaded(e.Endpoint, unit)
 		return "loaded"
-	case o != nil && o.taken && e.AskedAt.After(o.endedAt) && o.undone(resident, ready):
+	case o != nil && o.taken && e.RequestedAt.After(o.endedAt) && o.undone(resident, ready):
 		// The endpoint took the order, but its effect is not there: it was lost,
 		// or a late copy of an earlier order undid it. It goes again.
 		o.taken = false
 		return ""
-	case u.State == Unloading && o.taken && e.AskedAt.After(o.endedAt) && !resident:
+	case u.State == Unloading && o.taken && e.RequestedAt.After(o.endedAt) && !resident:
 		c.working.ConfirmUnloaded(e.Endpoint, unit)
 		return "unloaded"
 	case u.State == Absent && !resident && c.stayedAway(e, unit) && c.working.Free(e.Endpoint, unit):
@@ -154,7 +154,7 @@
 // could have brought the unit back had arrived, if it ever will. An earlier
 // inventory does not count: the last copy may have come in between.
 func (c *Controller) stayedAway(e InventoryReply, unit string) bool {
-	return e.AskedAt.After(c.settledAt) && c.history.quiet(e.AskedAt, e.Endpoint, unit, c.settings.MaxOrderDelay)
+	return e.RequestedAt.After(c.settledAt) && c.history.quiet(e.RequestedAt, e.Endpoint, unit, c.settings.MaxOrderDelay)
 }
 
 // reconcileMembers drops endpoints that are gone from the record. One that is
--- a/placement/simulation_test.go
+++ b/placement/simulation_test.go
@@ -351,7 +351,7 @@
 	case Commit:
 		s.carryOutCommit(n, a, fate)
 	case RequestInventory:
-		answer := InventoryReply{Endpoint: a.Endpoint, AskedAt: s.now, Report: s.device(a.Endpoint).report()}
+		answer := InventoryReply{Endpoint: a.Endpoint, RequestedAt: s.now, Report: s.device(a.Endpoint).report()}
 		switch fate {
 		case 0:
 			answer.Report = nil
@@ -559,7 +559,7 @@
 		result, version := s.write(a)
 		s.step(n, CommitEnded{Seq: a.Seq, Result: result, Version: version})
 	case RequestInventory:
-		s.step(n, InventoryReply{Endpoint: a.Endpoint, AskedAt: s.now, Report: s.device(a.Endpoint).report()})
+		s.step(n, InventoryReply{Endpoint: a.Endpoint, RequestedAt: s.now, Report: s.device(a.Endpoint).report()})
 	case SendOrder:
 		s.step(n, OrderEnded{Order: a.Order.ID, Result: s.deliver(a)})
 	default:
