--- a/daemon/cells.go
+++ b/daemon/cells.go
@@ -133,9 +133,9 @@
 }
 
 // configured is what the settings say of a cell.
-func configured(catalog *settings.Catalog, pool string, cells int) placement.Configured {
+func configured(catalog *settings.Catalog, pool string, cells int) placement.CellSettings {
 	p := catalog.Tree.Pools[pool]
-	c := placement.Configured{
+	c := placement.CellSettings{
 		CapacityMB: p.MemoryMB, Concurrency: p.Concurrency, ChecksFencing: p.ChecksFencing,
 		MaxOrderDelay: p.MaxOrderDelay(), Units: []placement.UnitSpec{},
 		LoadsPerSecond:  catalog.Tree.WeightStore.LoadsPerSecond / float64(cells),
--- a/placement/controller.go
+++ b/placement/controller.go
@@ -60,7 +60,7 @@
 	phase phase
 	epoch int64
 
-	settings  Configured
+	settings  CellSettings
 	members   []Member
 	instances map[string]string
 	// listVersion is the version of the list that members and instances are of.
@@ -136,7 +136,7 @@
 		actions = c.ledgerRead(now, e)
 	case CommitEnded:
 		actions = c.commitEnded(now, e)
-	case Configured:
+	case CellSettings:
 		c.settings = e
 		c.budget.configure(now, e.LoadsPerSecond)
 	case Listed:
--- a/placement/controller_test.go
+++ b/placement/controller_test.go
@@ -83,7 +83,7 @@
 		}
 		sent = slices.DeleteFunc(sent, func(a Action) bool { _, isOrder := a.(SendOrder); return !isOrder })
 	}
-	step(Configured{Units: []UnitSpec{{Name: "m", MemoryMB: 10, Replicas: 1}}, CapacityMB: deviceMB, Concurrency: 1, LoadsPerSecond: 1, ConcurrentLoads: 1})
+	step(CellSettings{Units: []UnitSpec{{Name: "m", MemoryMB: 10, Replicas: 1}}, CapacityMB: deviceMB, Concurrency: 1, LoadsPerSecond: 1, ConcurrentLoads: 1})
 	step(Listed{Version: 4, Instances: map[string]string{"n": "1"}, Endpoints: []Member{{Name: "e", Address: "e/1", Incarnation: "1"}}})
 	step(LeaseAcquired{Epoch: 2})
 	step(LedgerRead{Ledger: ledger, Version: "1"})
@@ -116,7 +116,7 @@
 			}
 		}
 	}
-	step(Configured{
+	step(CellSettings{
 		Units:      []UnitSpec{{Name: "m", MemoryMB: 60, Replicas: 1}, {Name: "n", MemoryMB: 60, Replicas: 1}},
 		CapacityMB: deviceMB, Concurrency: 1, LoadsPerSecond: 1, ConcurrentLoads: 1,
 	})
--- a/placement/events.go
+++ b/placement/events.go
@@ -31,8 +31,8 @@
 	Version string
 }
 
-// Configured is what the settings say of the cell.
-type Configured struct {
+// CellSettings is what the settings say of the cell.
+type CellSettings struct {
 	// Units are ordered by name; Demand and Waiting are not set.
 	Units []UnitSpec
 	// CapacityMB, Concurrency and ChecksFencing are those of each endpoint.
@@ -105,7 +105,7 @@
 func (LeaseLost) isEvent()      {}
 func (LedgerRead) isEvent()     {}
 func (CommitEnded) isEvent()    {}
-func (Configured) isEvent()     {}
+func (CellSettings) isEvent()   {}
 func (Listed) isEvent()         {}
 func (InventoryReply) isEvent() {}
 func (OrderEnded) isEvent()     {}
--- a/placement/simulation_test.go
+++ b/placement/simulation_test.go
@@ -166,12 +166,12 @@
 	s.step(n, s.listed())
 }
 
-func (s *sim) configured() Configured {
+func (s *sim) configured() CellSettings {
 	delay := simDelay
 	if s.mutate.trustTime {
 		delay = 0
 	}
-	c := Configured{MaxOrderDelay: delay, CapacityMB: deviceMB, Concurrency: 4, ChecksFencing: s.devices[0].checks, LoadsPerSecond: 100, ConcurrentLoads: 10, Units: []UnitSpec{}}
+	c := CellSettings{MaxOrderDelay: delay, CapacityMB: deviceMB, Concurrency: 4, ChecksFencing: s.devices[0].checks, LoadsPerSecond: 100, ConcurrentLoads: 10, Units: []UnitSpec{}}
 	for _, u := range s.units {
 		if s.wanted[u.Name] {
 			c.Units = append(c.Units, u)
