--- a/daemon/cells.go
+++ b/daemon/cells.go
@@ -153,8 +153,8 @@
 	return c
 }
 
-func listed(list *membership.List, pool string) placement.Listed {
-	l := placement.Listed{Version: list.Version(), Endpoints: []placement.Member{}, Instances: map[string]string{}}
+func listed(list *membership.List, pool string) placement.MemberList {
+	l := placement.MemberList{Version: list.Version(), Endpoints: []placement.Member{}, Instances: map[string]string{}}
 	for _, m := range list.Pool(membership.InstancePool) {
 		l.Instances[m.Name] = m.Incarnation
 	}
--- a/placement/controller.go
+++ b/placement/controller.go
@@ -139,7 +139,7 @@
 	case CellSettings:
 		c.settings = e
 		c.budget.configure(now, e.LoadsPerSecond)
-	case Listed:
+	case MemberList:
 		c.members, c.instances, c.listVersion = e.Endpoints, e.Instances, e.Version
 	case HolderSettled:
 		c.holderSettled(now, e)
--- a/placement/controller_test.go
+++ b/placement/controller_test.go
@@ -84,12 +84,12 @@
 		sent = slices.DeleteFunc(sent, func(a Action) bool { _, isOrder := a.(SendOrder); return !isOrder })
 	}
 	step(CellSettings{Units: []UnitSpec{{Name: "m", MemoryMB: 10, Replicas: 1}}, CapacityMB: deviceMB, Concurrency: 1, LoadsPerSecond: 1, ConcurrentLoads: 1})
-	step(Listed{Version: 4, Instances: map[string]string{"n": "1"}, Endpoints: []Member{{Name: "e", Address: "e/1", Incarnation: "1"}}})
+	step(MemberList{Version: 4, Instances: map[string]string{"n": "1"}, Endpoints: []Member{{Name: "e", Address: "e/1", Incarnation: "1"}}})
 	step(LeaseAcquired{Epoch: 2})
 	step(LedgerRead{Ledger: ledger, Version: "1"})
 	require.True(t, c.Running())
 	require.Empty(t, sent)
-	step(Listed{Version: 4, Instances: map[string]string{"n": "1"}, Endpoints: []Member{{Name: "e", Address: "e/0", Incarnation: "0"}}})
+	step(MemberList{Version: 4, Instances: map[string]string{"n": "1"}, Endpoints: []Member{{Name: "e", Address: "e/0", Incarnation: "0"}}})
 	require.Len(t, sent, 1)
 }
 
@@ -120,7 +120,7 @@
 		Units:      []UnitSpec{{Name: "m", MemoryMB: 60, Replicas: 1}, {Name: "n", MemoryMB: 60, Replicas: 1}},
 		CapacityMB: deviceMB, Concurrency: 1, LoadsPerSecond: 1, ConcurrentLoads: 1,
 	})
-	list := Listed{Version: 4, Instances: map[string]string{"n": "1"}, Endpoints: endpoints}
+	list := MemberList{Version: 4, Instances: map[string]string{"n": "1"}, Endpoints: endpoints}
 	step(list)
 	step(LeaseAcquired{Epoch: 2})
 	step(LedgerRead{Ledger: ledger, Version: "1"})
--- a/placement/events.go
+++ b/placement/events.go
@@ -54,8 +54,8 @@
 	Leaving                                   bool
 }
 
-// Listed is the platform's list. Endpoints are ordered by name.
-type Listed struct {
+// MemberList is the platform's list. Endpoints are ordered by name.
+type MemberList struct {
 	// Version grows with every change of the list.
 	Version   int64
 	Endpoints []Member
@@ -106,7 +106,7 @@
 func (LedgerRead) isEvent()     {}
 func (CommitEnded) isEvent()    {}
 func (CellSettings) isEvent()   {}
-func (Listed) isEvent()         {}
+func (MemberList) isEvent()     {}
 func (InventoryReply) isEvent() {}
 func (OrderEnded) isEvent()     {}
 func (HolderSettled) isEvent()  {}
--- a/placement/simulation_test.go
+++ b/placement/simulation_test.go
@@ -180,8 +180,8 @@
 	return c
 }
 
-func (s *sim) listed() Listed {
-	l := Listed{Version: s.listVersion, Instances: map[string]string{}}
+func (s *sim) listed() MemberList {
+	l := MemberList{Version: s.listVersion, Instances: map[string]string{}}
 	for _, d := range s.devices {
 		l.Endpoints = append(l.Endpoints, Member{Name: d.name, Address: d.address(), FailureDomain: d.name, Incarnation: d.incarnation})
 	}
