--- a/daemon/cell.go
+++ b/daemon/cell.go
@@ -146,7 +146,7 @@
 	result := placement.SendUnknown
 	switch {
 	case err == nil:
-		result = placement.SendTaken
+		result = placement.SendAccepted
 	case errors.As(err, &refused):
 		result = placement.SendRefused
 	}
--- a/placement/events.go
+++ b/placement/events.go
@@ -83,8 +83,8 @@
 
 // Results of a sending.
 const (
-	// SendTaken means that the endpoint answered that it has the order.
-	SendTaken SendResult = iota
+	// SendAccepted means that the endpoint answered that it has the order.
+	SendAccepted SendResult = iota
 	// SendRefused means that the endpoint has seen a newer epoch.
 	SendRefused
 	// SendUnknown means that the order may have arrived, or may yet.
--- a/placement/sending.go
+++ b/placement/sending.go
@@ -190,7 +190,7 @@
 		return nil
 	}
 	o.inFlight, o.endedAt = false, now
-	if e.Result == SendTaken {
+	if e.Result == SendAccepted {
 		o.taken = true
 	}
 	return c.refused(e)
@@ -203,7 +203,7 @@
 		return nil
 	}
 	f.inFlight, f.endedAt = false, now
-	if e.Result == SendTaken {
+	if e.Result == SendAccepted {
 		f.takenAt = now
 	}
 	return c.refused(e)
--- a/placement/simulation_test.go
+++ b/placement/simulation_test.go
@@ -56,7 +56,7 @@
 			delete(d.units, o.Unit)
 		}
 	}
-	return SendTaken
+	return SendAccepted
 }
 
 func (d *device) used() int64 {
