--- a/placement/applier.go
+++ b/placement/applier.go
@@ -67,7 +67,7 @@
 	return s
 }
 
-func (c *Controller) endpointState(now time.Time, m Member, use *EndpointUse) EndpointState {
+func (c *Controller) endpointState(now time.Time, m Member, use *EndpointRecord) EndpointState {
 	// A record of another incarnation says nothing of this one.
 	live := !m.Leaving && m.Incarnation == use.Incarnation
 	e := EndpointState{
--- a/placement/inventory.go
+++ b/placement/inventory.go
@@ -66,7 +66,7 @@
 	if f != nil {
 		f.adopted = true
 	}
-	use := &EndpointUse{
+	use := &EndpointRecord{
 		Incarnation: e.Report.Incarnation, CapacityMB: min(c.settings.CapacityMB, e.Report.CapacityMB),
 		ChecksFencing: c.settings.ChecksFencing, Units: map[string]*Unit{},
 	}
@@ -100,7 +100,7 @@
 }
 
 // compare brings the record up to date with an inventory.
-func (c *Controller) compare(e InventoryReply, use *EndpointUse) []Action {
+func (c *Controller) compare(e InventoryReply, use *EndpointRecord) []Action {
 	var actions []Action
 	seen := make(map[string]engine.UnitReport, len(e.Report.Units))
 	for _, r := range e.Report.Units {
@@ -190,7 +190,7 @@
 
 // unreachable tells whether no order can reach an endpoint that is no longer
 // listed.
-func (c *Controller) unreachable(now time.Time, name string, use *EndpointUse) bool {
+func (c *Controller) unreachable(now time.Time, name string, use *EndpointRecord) bool {
 	c.demand.forget(name)
 	since, known := c.unlisted[name]
 	if !known {
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -32,12 +32,12 @@
 	// ListVersion is the newest version of the platform's list that any
 	// controller has acted on. A controller whose list is older concludes from
 	// it that nothing is gone.
-	ListVersion int64                   `json:"listVersion"`
-	Endpoints   map[string]*EndpointUse `json:"endpoints"`
+	ListVersion int64                      `json:"listVersion"`
+	Endpoints   map[string]*EndpointRecord `json:"endpoints"`
 }
 
-// EndpointUse is the record of one endpoint.
-type EndpointUse struct {
+// EndpointRecord is the record of one endpoint.
+type EndpointRecord struct {
 	Incarnation   string           `json:"incarnation"`
 	CapacityMB    int64            `json:"capacityMB"`
 	ChecksFencing bool             `json:"checksFencing,omitempty"`
@@ -65,11 +65,11 @@
 }
 
 // NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{Endpoints: map[string]*EndpointUse{}} }
+func NewLedger() *Ledger { return &Ledger{Endpoints: map[string]*EndpointRecord{}} }
 
 // Clone returns a deep copy.
 func (l *Ledger) Clone() *Ledger {
-	c := &Ledger{Epoch: l.Epoch, Holder: l.Holder, ListVersion: l.ListVersion, Endpoints: make(map[string]*EndpointUse, len(l.Endpoints))}
+	c := &Ledger{Epoch: l.Epoch, Holder: l.Holder, ListVersion: l.ListVersion, Endpoints: make(map[string]*EndpointRecord, len(l.Endpoints))}
 	for name, e := range l.Endpoints {
 		use := *e
 		use.Units = make(map[string]*Unit, len(e.Units))
@@ -85,7 +85,7 @@
 
 // CountedMB is the memory that the endpoint may come to hold by anything on
 // record.
-func (e *EndpointUse) CountedMB() int64 {
+func (e *EndpointRecord) CountedMB() int64 {
 	var mb int64
 	for _, u := range e.Units {
 		mb += u.MemoryMB
@@ -94,10 +94,10 @@
 }
 
 // FreeMB is what is left for loads.
-func (e *EndpointUse) FreeMB() int64 { return e.CapacityMB - e.CountedMB() }
+func (e *EndpointRecord) FreeMB() int64 { return e.CapacityMB - e.CountedMB() }
 
 // UnitNames returns the names of the units on record, in order.
-func (e *EndpointUse) UnitNames() []string { return slices.Sorted(maps.Keys(e.Units)) }
+func (e *EndpointRecord) UnitNames() []string { return slices.Sorted(maps.Keys(e.Units)) }
 
 // Errors of the ledger's rules.
 var (
@@ -317,7 +317,7 @@
 
 // Reset replaces the record of an endpoint, for one that is new, has a new
 // incarnation, or has been fenced and has given its inventory.
-func (l *Ledger) Reset(endpoint string, use *EndpointUse) { l.Endpoints[endpoint] = use }
+func (l *Ledger) Reset(endpoint string, use *EndpointRecord) { l.Endpoints[endpoint] = use }
 
 // Forget drops an endpoint that is gone.
 func (l *Ledger) Forget(endpoint string) { delete(l.Endpoints, endpoint) }
