--- a/bench/slopes_test.go
+++ b/bench/slopes_test.go
@@ -25,9 +25,9 @@
 	l := placement.NewLedger()
 	l.Epoch, l.Holder = 12, "entry-000/incarnation/process"
 	for e := range endpoints {
-		use := &placement.EndpointRecord{Incarnation: "0a1b2c3d", CapacityMB: 81920, Units: map[string]*placement.Unit{}}
+		use := &placement.EndpointRecord{Incarnation: "0a1b2c3d", CapacityMB: 81920, Units: map[string]*placement.UnitRecord{}}
 		for u := range unitsPerEndpoint {
-			use.Units[fmt.Sprintf("bid-summary-%04d", e*unitsPerEndpoint+u)] = &placement.Unit{State: placement.Ready, MemoryMB: 18432}
+			use.Units[fmt.Sprintf("bid-summary-%04d", e*unitsPerEndpoint+u)] = &placement.UnitRecord{State: placement.Ready, MemoryMB: 18432}
 		}
 		l.Endpoints[fmt.Sprintf("tideline-llm-%03d", e)] = use
 	}
--- a/placement/controller_test.go
+++ b/placement/controller_test.go
@@ -68,7 +68,7 @@
 	c := NewController(NewControllerConfig("c", "n/1"))
 	ledger := NewLedger()
 	ledger.Epoch, ledger.Holder, ledger.ListVersion = 1, "other/1", 5
-	ledger.Reset("e", &EndpointRecord{Incarnation: "0", CapacityMB: deviceMB, Units: map[string]*Unit{
+	ledger.Reset("e", &EndpointRecord{Incarnation: "0", CapacityMB: deviceMB, Units: map[string]*UnitRecord{
 		"m": {State: Loading, MemoryMB: 10, Order: "c.1.1"},
 	}})
 	var sent []Action
@@ -103,7 +103,7 @@
 	ledger.Epoch, ledger.Holder, ledger.ListVersion = 1, "n/1", 5
 	endpoints := []Member{{Name: "a", Incarnation: "0"}, {Name: "b", Incarnation: "0"}}
 	for _, m := range endpoints {
-		ledger.Reset(m.Name, &EndpointRecord{Incarnation: "0", CapacityMB: deviceMB, Units: map[string]*Unit{"m": {State: Ready, MemoryMB: 60}}})
+		ledger.Reset(m.Name, &EndpointRecord{Incarnation: "0", CapacityMB: deviceMB, Units: map[string]*UnitRecord{"m": {State: Ready, MemoryMB: 60}}})
 	}
 	decided := 0
 	step := func(e Event) {
--- a/placement/inventory.go
+++ b/placement/inventory.go
@@ -68,7 +68,7 @@
 	}
 	use := &EndpointRecord{
 		Incarnation: e.Report.Incarnation, CapacityMB: min(c.settings.CapacityMB, e.Report.CapacityMB),
-		ChecksFencing: c.settings.ChecksFencing, Units: map[string]*Unit{},
+		ChecksFencing: c.settings.ChecksFencing, Units: map[string]*UnitRecord{},
 	}
 	for _, r := range e.Report.Units {
 		use.Units[r.Name] = c.found(r)
@@ -82,8 +82,8 @@
 // found is the record of a unit that an endpoint holds though no order for it
 // is on record. One that is still loading is waited for with an order of this
 // controller, which finds it loaded or loads it.
-func (c *Controller) found(r engine.UnitReport) *Unit {
-	u := &Unit{State: Ready, MemoryMB: r.MemoryMB, Base: c.baseOf(r.Name)}
+func (c *Controller) found(r engine.UnitReport) *UnitRecord {
+	u := &UnitRecord{State: Ready, MemoryMB: r.MemoryMB, Base: c.baseOf(r.Name)}
 	if !r.Ready {
 		u.State, u.Order = Loading, c.newOrderID()
 	}
@@ -125,7 +125,7 @@
 // compareUnit applies what an inventory shows of one unit and returns what
 // changed, or "". An order is resolved only when none of its sendings is under
 // way, so that a paused sender cannot follow its resolution.
-func (c *Controller) compareUnit(e InventoryReply, unit string, u *Unit, resident, ready bool) string {
+func (c *Controller) compareUnit(e InventoryReply, unit string, u *UnitRecord, resident, ready bool) string {
 	o := c.orders[u.Order]
 	switch {
 	case u.Order != "" && (o == nil || !o.sent || !c.history.idle(e.Endpoint, unit)):
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -38,14 +38,14 @@
 
 // EndpointRecord is the record of one endpoint.
 type EndpointRecord struct {
-	Incarnation   string           `json:"incarnation"`
-	CapacityMB    int64            `json:"capacityMB"`
-	ChecksFencing bool             `json:"checksFencing,omitempty"`
-	Units         map[string]*Unit `json:"units"`
+	Incarnation   string                 `json:"incarnation"`
+	CapacityMB    int64                  `json:"capacityMB"`
+	ChecksFencing bool                   `json:"checksFencing,omitempty"`
+	Units         map[string]*UnitRecord `json:"units"`
 }
 
-// Unit is the record of one unit at one endpoint.
-type Unit struct {
+// UnitRecord is the record of one unit at one endpoint.
+type UnitRecord struct {
 	State    UnitState `json:"state"`
 	MemoryMB int64     `json:"memoryMB"`
 	// Base is the unit that must be resident with it, or empty.
@@ -72,7 +72,7 @@
 	c := &Ledger{Epoch: l.Epoch, Holder: l.Holder, ListVersion: l.ListVersion, Endpoints: make(map[string]*EndpointRecord, len(l.Endpoints))}
 	for name, e := range l.Endpoints {
 		use := *e
-		use.Units = make(map[string]*Unit, len(e.Units))
+		use.Units = make(map[string]*UnitRecord, len(e.Units))
 		for unit, u := range e.Units {
 			copied := *u
 			copied.LateLoads, copied.LateUnloads = slices.Clone(u.LateLoads), slices.Clone(u.LateUnloads)
@@ -127,7 +127,7 @@
 
 // Certain tells whether the unit is a replica that no order on its way can
 // take away.
-func (u *Unit) Certain() bool { return u.State == Ready && len(u.LateUnloads) == 0 }
+func (u *UnitRecord) Certain() bool { return u.State == Ready && len(u.LateUnloads) == 0 }
 
 // Replicas returns the endpoints at which the unit is certain, in order.
 func (l *Ledger) Replicas(unit string) []string {
@@ -165,7 +165,7 @@
 	if b := e.Units[base]; base != "" && (b == nil || !b.Certain()) {
 		return refuse(ErrNoBase)
 	}
-	next := &Unit{State: Loading, MemoryMB: memoryMB, Base: base, Order: order}
+	next := &UnitRecord{State: Loading, MemoryMB: memoryMB, Base: base, Order: order}
 	if u != nil {
 		next.LateLoads = u.LateLoads
 	}
@@ -245,7 +245,7 @@
 }
 
 // AddFound records a unit that an inventory shows though nothing is on record.
-func (l *Ledger) AddFound(endpoint, unit string, found Unit) {
+func (l *Ledger) AddFound(endpoint, unit string, found UnitRecord) {
 	l.Endpoints[endpoint].Units[unit] = &found
 }
 
@@ -322,7 +322,7 @@
 // Forget drops an endpoint that is gone.
 func (l *Ledger) Forget(endpoint string) { delete(l.Endpoints, endpoint) }
 
-func (l *Ledger) unit(endpoint, unit string) *Unit {
+func (l *Ledger) unit(endpoint, unit string) *UnitRecord {
 	if e := l.Endpoints[endpoint]; e != nil {
 		return e.Units[unit]
 	}
