--- a/demo/warm.go
+++ b/demo/warm.go
@@ -20,7 +20,7 @@
 	for _, e := range endpoints {
 		s.Endpoints = append(s.Endpoints, placement.EndpointState{
 			Name: e.name, FailureDomain: e.domain, CapacityMB: p.MemoryMB, FreeMB: p.MemoryMB,
-			Concurrency: p.Concurrency, Takes: true, Serves: true, Units: map[string]placement.Placed{},
+			Concurrency: p.Concurrency, Takes: true, Serves: true, Units: map[string]placement.PlacedUnit{},
 		})
 	}
 	held := make(map[string]map[string]int64, len(endpoints))
@@ -40,7 +40,7 @@
 			continue
 		}
 		e.FreeMB -= m.MemoryMB
-		e.Units[m.Unit] = placement.Placed{State: placement.Ready, MemoryMB: m.MemoryMB, Base: m.Base, Certain: true}
+		e.Units[m.Unit] = placement.PlacedUnit{State: placement.Ready, MemoryMB: m.MemoryMB, Base: m.Base, Certain: true}
 		if held[e.Name] == nil {
 			held[e.Name] = map[string]int64{}
 		}
--- a/placement/applier.go
+++ b/placement/applier.go
@@ -73,11 +73,11 @@
 	e := EndpointState{
 		Name: m.Name, FailureDomain: m.FailureDomain, CapacityMB: use.CapacityMB, FreeMB: use.FreeMB(),
 		Concurrency: c.settings.Concurrency, Takes: live && c.known(m.Name), Serves: live,
-		Units: make(map[string]Placed, len(use.Units)),
+		Units: make(map[string]PlacedUnit, len(use.Units)),
 	}
 	for name, u := range use.Units {
 		late := len(u.LateLoads)+len(u.LateUnloads) > 0
-		e.Units[name] = Placed{
+		e.Units[name] = PlacedUnit{
 			State: u.State, MemoryMB: u.MemoryMB, Base: u.Base, Certain: u.Certain(),
 			Freeing: !late && (u.State == Absent || u.State == Unloading),
 			Blocked: u.State == Absent && (len(u.LateUnloads) > 0 || !c.history.quiet(now, m.Name, name, c.settings.MaxOrderDelay)),
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -55,7 +55,7 @@
 	}
 	for i := range s.Endpoints {
 		e := s.Endpoints[i]
-		units := make(map[string]Placed, len(e.Units)+4)
+		units := make(map[string]PlacedUnit, len(e.Units)+4)
 		for name, placed := range e.Units {
 			units[name] = placed
 			if e.Serves && placed.here() {
@@ -71,7 +71,7 @@
 }
 
 // here tells whether the unit is, or will be, a replica.
-func (u Placed) here() bool { return u.State == Loading || u.State == Ready }
+func (u PlacedUnit) here() bool { return u.State == Loading || u.State == Ready }
 
 // spreadDemand splits the demand of each unit evenly over its holders.
 func (p *planner) spreadDemand() {
@@ -235,7 +235,7 @@
 		Replicas: len(p.holders[u.Name]), Demand: u.Demand, FreeMB: e.FreeMB,
 	})
 	e.FreeMB -= u.MemoryMB - e.Units[u.Name].MemoryMB
-	e.Units[u.Name] = Placed{State: Loading, MemoryMB: u.MemoryMB, Base: u.Base}
+	e.Units[u.Name] = PlacedUnit{State: Loading, MemoryMB: u.MemoryMB, Base: u.Base}
 	p.holders[u.Name] = append(p.holders[u.Name], e)
 	p.load[e.Name] += u.Demand / float64(len(p.holders[u.Name]))
 }
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -21,7 +21,7 @@
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			switch d.Cmd {
 			case "endpoint":
-				e := EndpointState{Concurrency: 8, Takes: true, Serves: true, Units: map[string]Placed{}}
+				e := EndpointState{Concurrency: 8, Takes: true, Serves: true, Units: map[string]PlacedUnit{}}
 				d.ScanArgs(t, "name", &e.Name)
 				d.ScanArgs(t, "domain", &e.FailureDomain)
 				d.ScanArgs(t, "mb", &e.CapacityMB)
@@ -99,7 +99,7 @@
 			e.FreeMB += m.MemoryMB
 			continue
 		}
-		e.Units[m.Unit] = Placed{State: Ready, MemoryMB: m.MemoryMB, Base: m.Base, Certain: true}
+		e.Units[m.Unit] = PlacedUnit{State: Ready, MemoryMB: m.MemoryMB, Base: m.Base, Certain: true}
 		e.FreeMB -= m.MemoryMB
 	}
 }
@@ -139,7 +139,7 @@
 	for i := range endpoints {
 		s.Endpoints = append(s.Endpoints, EndpointState{
 			Name: fmt.Sprintf("e%03d", i), FailureDomain: fmt.Sprintf("d%d", i%3), CapacityMB: capacity, FreeMB: capacity,
-			Concurrency: 16, Takes: true, Serves: true, Units: map[string]Placed{},
+			Concurrency: 16, Takes: true, Serves: true, Units: map[string]PlacedUnit{},
 		})
 	}
 	for used, i := int64(0), 0; used < int64(endpoints)*capacity/2; i++ {
--- a/placement/snapshot.go
+++ b/placement/snapshot.go
@@ -30,11 +30,11 @@
 	// Serves tells whether its replicas count: it is live.
 	Serves bool
 	// Units is what is on record there, by unit.
-	Units map[string]Placed
+	Units map[string]PlacedUnit
 }
 
-// Placed is a unit on record at an endpoint.
-type Placed struct {
+// PlacedUnit is a unit on record at an endpoint.
+type PlacedUnit struct {
 	State    UnitState
 	MemoryMB int64
 	Base     string
