--- a/placement/place.go
+++ b/placement/place.go
@@ -42,7 +42,7 @@
 // fits tells whether the unit may be loaded at the endpoint now.
 func (p *planner) fits(u *UnitSpec, e *EndpointState) bool {
 	placed, onRecord := e.Units[u.Name]
-	if !e.Takes || onRecord && (placed.State != Absent || placed.Blocked) {
+	if !e.AcceptsLoads || onRecord && (placed.State != Absent || placed.Blocked) {
 		return false
 	}
 	if u.MemoryMB > e.FreeMB+placed.MemoryMB {
@@ -62,7 +62,7 @@
 		if other == e {
 			free -= mb
 		}
-		if other.Takes && free >= reserve {
+		if other.AcceptsLoads && free >= reserve {
 			return true
 		}
 	}
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -89,7 +89,7 @@
 // dropUnwanted unloads units that the settings no longer name.
 func (p *planner) dropUnwanted() {
 	for _, e := range p.endpoints {
-		if !e.Takes {
+		if !e.AcceptsLoads {
 			continue
 		}
 		for _, name := range sortedKeys(e.Units) {
--- a/placement/room.go
+++ b/placement/room.go
@@ -41,7 +41,7 @@
 // mayHold tells whether the unit could be at the endpoint if there were room.
 func (p *planner) mayHold(u *UnitSpec, e *EndpointState) bool {
 	placed := e.Units[u.Name]
-	if !e.Takes || p.evicting[e.Name] || placed.Blocked || u.MemoryMB > e.CapacityMB {
+	if !e.AcceptsLoads || p.evicting[e.Name] || placed.Blocked || u.MemoryMB > e.CapacityMB {
 		return false
 	}
 	return u.Base == "" || e.Units[u.Base].Certain
@@ -50,7 +50,7 @@
 // roomIsComing tells whether unloads under way will let the unit in.
 func (p *planner) roomIsComing(u *UnitSpec) bool {
 	for _, e := range p.endpoints {
-		if !e.Takes || u.Base != "" && !e.Units[u.Base].Certain {
+		if !e.AcceptsLoads || u.Base != "" && !e.Units[u.Base].Certain {
 			continue
 		}
 		coming := e.FreeMB
--- a/placement/snapshot.go
+++ b/placement/snapshot.go
@@ -24,9 +24,9 @@
 	FreeMB        int64
 	// Concurrency is how many requests it runs at once.
 	Concurrency int
-	// Takes tells whether it may be given loads: it is live, and what it
+	// AcceptsLoads tells whether it may be given loads: it is live, and what it
 	// holds is known.
-	Takes bool
+	AcceptsLoads bool
 	// Serves tells whether its replicas count: it is live.
 	Serves bool
 	// Units is what is on record there, by unit.
