--- a/demo/warm.go
+++ b/demo/warm.go
@@ -20,7 +20,7 @@
 	for _, e := range endpoints {
 		s.Endpoints = append(s.Endpoints, placement.EndpointState{
 			Name: e.name, FailureDomain: e.domain, CapacityMB: p.MemoryMB, FreeMB: p.MemoryMB,
-			Concurrency: p.Concurrency, AcceptsLoads: true, Serves: true, Units: map[string]placement.PlacedUnit{},
+			Concurrency: p.Concurrency, AcceptsLoads: true, Live: true, Units: map[string]placement.PlacedUnit{},
 		})
 	}
 	held := make(map[string]map[string]int64, len(endpoints))
--- a/placement/applier.go
+++ b/placement/applier.go
@@ -72,7 +72,7 @@
 	live := !m.Leaving && m.Incarnation == use.Incarnation
 	e := EndpointState{
 		Name: m.Name, FailureDomain: m.FailureDomain, CapacityMB: use.CapacityMB, FreeMB: use.FreeMB(),
-		Concurrency: c.settings.Concurrency, AcceptsLoads: live && c.known(m.Name), Serves: live,
+		Concurrency: c.settings.Concurrency, AcceptsLoads: live && c.known(m.Name), Live: live,
 		Units: make(map[string]PlacedUnit, len(use.Units)),
 	}
 	for name, u := range use.Units {
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -58,7 +58,7 @@
 		units := make(map[string]PlacedUnit, len(e.Units)+4)
 		for name, placed := range e.Units {
 			units[name] = placed
-			if e.Serves && placed.here() {
+			if e.Live && placed.here() {
 				p.holders[name] = append(p.holders[name], &e)
 			}
 		}
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -21,7 +21,7 @@
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			switch d.Cmd {
 			case "endpoint":
-				e := EndpointState{Concurrency: 8, AcceptsLoads: true, Serves: true, Units: map[string]PlacedUnit{}}
+				e := EndpointState{Concurrency: 8, AcceptsLoads: true, Live: true, Units: map[string]PlacedUnit{}}
 				d.ScanArgs(t, "name", &e.Name)
 				d.ScanArgs(t, "domain", &e.FailureDomain)
 				d.ScanArgs(t, "mb", &e.CapacityMB)
@@ -60,7 +60,7 @@
 func loseEndpoint(s *Snapshot, name string, leaving bool) {
 	for i := range s.Endpoints {
 		if s.Endpoints[i].Name == name && leaving {
-			s.Endpoints[i].AcceptsLoads, s.Endpoints[i].Serves = false, false
+			s.Endpoints[i].AcceptsLoads, s.Endpoints[i].Live = false, false
 		} else if s.Endpoints[i].Name == name {
 			s.Endpoints = append(s.Endpoints[:i], s.Endpoints[i+1:]...)
 			return
@@ -139,7 +139,7 @@
 	for i := range endpoints {
 		s.Endpoints = append(s.Endpoints, EndpointState{
 			Name: fmt.Sprintf("e%03d", i), FailureDomain: fmt.Sprintf("d%d", i%3), CapacityMB: capacity, FreeMB: capacity,
-			Concurrency: 16, AcceptsLoads: true, Serves: true, Units: map[string]PlacedUnit{},
+			Concurrency: 16, AcceptsLoads: true, Live: true, Units: map[string]PlacedUnit{},
 		})
 	}
 	for used, i := int64(0), 0; used < int64(endpoints)*capacity/2; i++ {
--- a/placement/snapshot.go
+++ b/placement/snapshot.go
@@ -27,8 +27,8 @@
 	// AcceptsLoads tells whether it may be given loads: it is live, and what it
 	// holds is known.
 	AcceptsLoads bool
-	// Serves tells whether its replicas count: it is live.
-	Serves bool
+	// Live tells whether its replicas count: it is live.
+	Live bool
 	// Units is what is on record there, by unit.
 	Units map[string]PlacedUnit
 }
