--- a/demo/warm.go
+++ b/demo/warm.go
@@ -40,7 +40,7 @@
 			continue
 		}
 		e.FreeMB -= m.MemoryMB
-		e.Units[m.Unit] = placement.PlacedUnit{State: placement.Ready, MemoryMB: m.MemoryMB, Base: m.Base, Certain: true}
+		e.Units[m.Unit] = placement.PlacedUnit{State: placement.Ready, MemoryMB: m.MemoryMB, Base: m.Base, Stable: true}
 		if held[e.Name] == nil {
 			held[e.Name] = map[string]int64{}
 		}
--- a/placement/applier.go
+++ b/placement/applier.go
@@ -78,7 +78,7 @@
 	for name, u := range use.Units {
 		late := len(u.LateLoads)+len(u.LateUnloads) > 0
 		e.Units[name] = PlacedUnit{
-			State: u.State, MemoryMB: u.MemoryMB, Base: u.Base, Certain: u.Certain(),
+			State: u.State, MemoryMB: u.MemoryMB, Base: u.Base, Stable: u.Certain(),
 			Freeing: !late && (u.State == Absent || u.State == Unloading),
 			Blocked: u.State == Absent && (len(u.LateUnloads) > 0 || !c.history.quiet(now, m.Name, name, c.settings.MaxOrderDelay)),
 		}
--- a/placement/place.go
+++ b/placement/place.go
@@ -48,7 +48,7 @@
 	if u.MemoryMB > e.FreeMB+placed.MemoryMB {
 		return false
 	}
-	return u.Base == "" || e.Units[u.Base].Certain
+	return u.Base == "" || e.Units[u.Base].Stable
 }
 
 // leaves tells whether some endpoint keeps reserve free after mb more are used
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -250,7 +250,7 @@
 		move.Demand = u.Demand
 	}
 	p.moves = append(p.moves, move)
-	placed.State, placed.Certain = Unloading, false
+	placed.State, placed.Stable = Unloading, false
 	e.Units[unit] = placed
 	p.holders[unit] = slices.DeleteFunc(p.holders[unit], func(h *EndpointState) bool { return h == e })
 }
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -99,7 +99,7 @@
 			e.FreeMB += m.MemoryMB
 			continue
 		}
-		e.Units[m.Unit] = PlacedUnit{State: Ready, MemoryMB: m.MemoryMB, Base: m.Base, Certain: true}
+		e.Units[m.Unit] = PlacedUnit{State: Ready, MemoryMB: m.MemoryMB, Base: m.Base, Stable: true}
 		e.FreeMB -= m.MemoryMB
 	}
 }
--- a/placement/room.go
+++ b/placement/room.go
@@ -44,13 +44,13 @@
 	if !e.AcceptsLoads || p.evicting[e.Name] || placed.Blocked || u.MemoryMB > e.CapacityMB {
 		return false
 	}
-	return u.Base == "" || e.Units[u.Base].Certain
+	return u.Base == "" || e.Units[u.Base].Stable
 }
 
 // roomIsComing tells whether unloads under way will let the unit in.
 func (p *planner) roomIsComing(u *UnitSpec) bool {
 	for _, e := range p.endpoints {
-		if !e.AcceptsLoads || u.Base != "" && !e.Units[u.Base].Certain {
+		if !e.AcceptsLoads || u.Base != "" && !e.Units[u.Base].Stable {
 			continue
 		}
 		coming := e.FreeMB
@@ -127,7 +127,7 @@
 		return false
 	}
 	for _, h := range p.holders[unit] {
-		if h != e && h.Units[unit].Certain {
+		if h != e && h.Units[unit].Stable {
 			return true
 		}
 	}
@@ -191,7 +191,7 @@
 		}
 		for _, name := range sortedKeys(e.Units) {
 			candidate := p.units[name]
-			if candidate == nil || e.Units[name].Base != "" || name == u.Base || !e.Units[name].Certain {
+			if candidate == nil || e.Units[name].Base != "" || name == u.Base || !e.Units[name].Stable {
 				continue
 			}
 			if e.FreeMB+candidate.MemoryMB < u.MemoryMB || len(p.holders[name]) > 1 {
--- a/placement/snapshot.go
+++ b/placement/snapshot.go
@@ -38,8 +38,8 @@
 	State    UnitState
 	MemoryMB int64
 	Base     string
-	// Certain tells that no order on its way can take the replica away.
-	Certain bool
+	// Stable tells that no order on its way can take the replica away.
+	Stable bool
 	// Blocked tells that the unit may not be loaded there.
 	Blocked bool
 	// Freeing tells that its memory will be free within a bounded time.
