--- a/demo/warm.go
+++ b/demo/warm.go
@@ -11,7 +11,7 @@
 // by inventory.
 func warmPlacement(catalog *settings.Catalog, pool string, endpoints []endpointSpec) map[string]map[string]int64 {
 	p := catalog.Tree.Pools[pool]
-	s := placement.Snapshot{Loads: len(catalog.Units)}
+	s := placement.Snapshot{LoadBudget: len(catalog.Units)}
 	for _, name := range catalog.UnitNames() {
 		if u := catalog.Units[name]; u.Pool == pool {
 			s.Units = append(s.Units, placement.UnitSpec{Name: name, Base: u.Base, MemoryMB: u.MemoryMB, Replicas: u.Policy.Replicas})
--- a/placement/applier.go
+++ b/placement/applier.go
@@ -53,7 +53,7 @@
 
 // snapshot is what the planner sees.
 func (c *Controller) snapshot(now time.Time) Snapshot {
-	s := Snapshot{Units: slices.Clone(c.settings.Units), Loads: c.loadsAllowed(now)}
+	s := Snapshot{Units: slices.Clone(c.settings.Units), LoadBudget: c.loadsAllowed(now)}
 	for i := range s.Units {
 		s.Units[i].Demand = c.demand.of(s.Units[i].Name)
 	}
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -44,7 +44,7 @@
 	p := &planner{
 		units: make(map[string]*UnitSpec, len(s.Units)), byName: make(map[string]*EndpointState, len(s.Endpoints)),
 		load: make(map[string]float64, len(s.Endpoints)), holders: make(map[string][]*EndpointState, len(s.Units)),
-		loads: s.Loads, evicting: map[string]bool{}, companions: map[string]int64{},
+		loads: s.LoadBudget, evicting: map[string]bool{}, companions: map[string]int64{},
 	}
 	for i := range s.Units {
 		if base := s.Units[i].Base; base != "" {
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -49,7 +49,7 @@
 				d.ScanArgs(t, "name", &name)
 				loseEndpoint(&s, name, d.Cmd == "leave")
 			case "plan":
-				s.Loads = 10
+				s.LoadBudget = 10
 				return runPlan(&s)
 			}
 			return ""
@@ -135,7 +135,7 @@
 // randomSnapshot fills half of the memory of the endpoints with units.
 func randomSnapshot(r *rand.Rand, endpoints int) Snapshot {
 	const capacity = 1000
-	s := Snapshot{Loads: 1 << 20}
+	s := Snapshot{LoadBudget: 1 << 20}
 	for i := range endpoints {
 		s.Endpoints = append(s.Endpoints, EndpointState{
 			Name: fmt.Sprintf("e%03d", i), FailureDomain: fmt.Sprintf("d%d", i%3), CapacityMB: capacity, FreeMB: capacity,
--- a/placement/snapshot.go
+++ b/placement/snapshot.go
@@ -50,8 +50,8 @@
 type Snapshot struct {
 	Units     []UnitSpec
 	Endpoints []EndpointState
-	// Loads is how many loads the weight store's budget allows now.
-	Loads int
+	// LoadBudget is how many loads the weight store's budget allows now.
+	LoadBudget int
 }
 
 // Op is what a move does.
