--- a/daemon/cells.go
+++ b/daemon/cells.go
@@ -147,7 +147,7 @@
 			continue
 		}
 		c.Units = append(c.Units, placement.UnitSpec{
-			Name: u.Name, Base: u.Base, MemoryMB: u.MemoryMB, Replicas: u.Policy.Replicas, MovePrice: u.Policy.MovePrice,
+			Name: u.Name, Base: u.Base, MemoryMB: u.MemoryMB, Replicas: u.Policy.Replicas, LoadCost: u.Policy.MovePrice,
 		})
 	}
 	return c
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -216,7 +216,7 @@
 		excess += p.load[e.Name] - limit
 	}
 	own := u.Demand / float64(len(holders))
-	return own >= 1 && min(excess, u.Demand) > u.MovePrice
+	return own >= 1 && min(excess, u.Demand) > u.LoadCost
 }
 
 func (p *planner) placeIdle(u *UnitSpec) *EndpointState {
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -28,7 +28,7 @@
 				e.FreeMB = e.CapacityMB
 				s.Endpoints = append(s.Endpoints, e)
 			case "unit":
-				u := UnitSpec{Replicas: 1, MovePrice: 1}
+				u := UnitSpec{Replicas: 1, LoadCost: 1}
 				d.ScanArgs(t, "name", &u.Name)
 				d.ScanArgs(t, "mb", &u.MemoryMB)
 				d.MaybeScanArgs(t, "base", &u.Base)
@@ -143,7 +143,7 @@
 		})
 	}
 	for used, i := int64(0), 0; used < int64(endpoints)*capacity/2; i++ {
-		u := UnitSpec{Name: fmt.Sprintf("m%04d", i), MemoryMB: int64(100 + r.IntN(200)), Replicas: 1 + r.IntN(2), MovePrice: 1, Demand: r.ExpFloat64() * 3}
+		u := UnitSpec{Name: fmt.Sprintf("m%04d", i), MemoryMB: int64(100 + r.IntN(200)), Replicas: 1 + r.IntN(2), LoadCost: 1, Demand: r.ExpFloat64() * 3}
 		s.Units = append(s.Units, u)
 		used += u.MemoryMB
 	}
--- a/placement/room.go
+++ b/placement/room.go
@@ -141,7 +141,7 @@
 	if u == nil {
 		return 0
 	}
-	return u.MovePrice + u.Demand/float64(max(1, len(p.holders[unit])))
+	return u.LoadCost + u.Demand/float64(max(1, len(p.holders[unit])))
 }
 
 // relocateAdapters loads elsewhere the adapters that alone keep a base from
@@ -201,7 +201,7 @@
 			if target == nil || target == e {
 				continue
 			}
-			if moved == nil || candidate.MovePrice+candidate.Demand < moved.MovePrice+moved.Demand {
+			if moved == nil || candidate.LoadCost+candidate.Demand < moved.LoadCost+moved.Demand {
 				from, to, moved = e, target, candidate
 			}
 		}
--- a/placement/simulation_test.go
+++ b/placement/simulation_test.go
@@ -147,7 +147,7 @@
 		s.devices = append(s.devices, &device{name: fmt.Sprintf("e%d", i), incarnation: "0", checks: checks, units: map[string]*deviceUnit{}})
 	}
 	for i := range 5 {
-		s.units = append(s.units, UnitSpec{Name: fmt.Sprintf("m%d", i), MemoryMB: int64(30 + 5*i), Replicas: 1 + i%2, MovePrice: 1})
+		s.units = append(s.units, UnitSpec{Name: fmt.Sprintf("m%d", i), MemoryMB: int64(30 + 5*i), Replicas: 1 + i%2, LoadCost: 1})
 		s.wanted[s.units[i].Name] = true
 	}
 	for i := range 2 {
--- a/placement/snapshot.go
+++ b/placement/snapshot.go
@@ -8,8 +8,8 @@
 	MemoryMB int64
 	// Replicas is the least number of replicas that is wanted.
 	Replicas int
-	// MovePrice is the cost of one load, in requests that miss their target.
-	MovePrice float64
+	// LoadCost is the cost of one load, in requests that miss their target.
+	LoadCost float64
 	// Demand is the mean number of requests under way or waiting.
 	Demand float64
 	// Waiting is the number of requests that wait for the unit now.
