--- a/daemon/cells.go
+++ b/daemon/cells.go
@@ -120,7 +120,7 @@
 	d := &cellDuty{
 		cell: cell, client: c.client, writer: store.NewWriter(c.client), engine: c.engine, now: c.now,
 		log:        c.log.WithValues("cell", cell),
-		controller: placement.NewController(placement.NewControllerConfig(cell, c.holder)),
+		controller: placement.NewController(placement.DefaultControllerConfig(cell, c.holder)),
 		events:     ring.New[placement.Event](cellEvents, ring.Block),
 	}
 	runner := lease.NewRunner(lease.RunnerConfig{
--- a/placement/controller.go
+++ b/placement/controller.go
@@ -26,8 +26,8 @@
 	PlanEvery time.Duration
 }
 
-// NewControllerConfig returns the defaults for a cell.
-func NewControllerConfig(cell, holder string) ControllerConfig {
+// DefaultControllerConfig returns the defaults for a cell.
+func DefaultControllerConfig(cell, holder string) ControllerConfig {
 	return ControllerConfig{
 		Cell: cell, Holder: holder, ResendEvery: time.Second,
 		InventoryEvery: 2 * time.Second, InventoryFast: 250 * time.Millisecond,
--- a/placement/controller_test.go
+++ b/placement/controller_test.go
@@ -65,7 +65,7 @@
 // the list does not show any more. The order must not go to the new one.
 func TestOrdersGoToTheirIncarnation(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := NewController(NewControllerConfig("c", "n/1"))
+	c := NewController(DefaultControllerConfig("c", "n/1"))
 	ledger := NewLedger()
 	ledger.Epoch, ledger.Holder, ledger.ListVersion = 1, "other/1", 5
 	ledger.Reset("e", &EndpointRecord{Incarnation: "0", CapacityMB: deviceMB, Units: map[string]*UnitRecord{
@@ -98,7 +98,7 @@
 // the other one must not be unloaded for a unit that has no place.
 func TestStaleListDecidesNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := NewController(NewControllerConfig("c", "n/1"))
+	c := NewController(DefaultControllerConfig("c", "n/1"))
 	ledger := NewLedger()
 	ledger.Epoch, ledger.Holder, ledger.ListVersion = 1, "n/1", 5
 	endpoints := []Member{{Name: "a", Incarnation: "0"}, {Name: "b", Incarnation: "0"}}
--- a/placement/simulation_test.go
+++ b/placement/simulation_test.go
@@ -160,7 +160,7 @@
 func (s *sim) holder(n *simNode) string { return fmt.Sprintf("%s/%d", n.name, n.incarnation) }
 
 func (s *sim) start(n *simNode) {
-	cfg := NewControllerConfig("c", s.holder(n))
+	cfg := DefaultControllerConfig("c", s.holder(n))
 	n.controller, n.queue, n.answers, n.leads = NewController(cfg), nil, nil, false
 	s.step(n, s.configured())
 	s.step(n, s.listed())
