--- a/placement/counted/endpoint.go
+++ b/placement/counted/endpoint.go
@@ -122,21 +122,21 @@
 		// A former start's, which came late.
 		return false
 	}
-	if e.lost && r.Count < e.count {
+	if e.lost && r.OrderCount < e.count {
 		// Its process was gone, and this one has taken fewer orders: a new one.
 		e.replaced = true
 		return false
 	}
-	if e.known && r.Count < e.count && e.behind < maxBehind {
+	if e.known && r.OrderCount < e.count && e.behind < maxBehind {
 		e.behind++
 		return false
 	}
 	e.behind, e.refusals, e.lost = 0, 0, false
-	if e.doubt != nil && r.Count > e.doubt.Count {
+	if e.doubt != nil && r.OrderCount > e.doubt.Count {
 		e.doubt = nil
 	}
-	moved := e.known && r.Count == e.count && e.moving != nil && r.Busy
-	e.known, e.count = true, r.Count
+	moved := e.known && r.OrderCount == e.count && e.moving != nil && r.Busy
+	e.known, e.count = true, r.OrderCount
 	e.resident = setOf(r.Resident)
 	e.inMemory, e.onDisk = setOf(r.InMemory), setOf(r.OnDisk)
 	e.foreignBusy = r.Busy && !moved
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -58,8 +58,8 @@
 type Report struct {
 	// StartedAtMS is that of its Member.
 	StartedAtMS int64
-	// Count is how many orders it has taken since its start.
-	Count int64
+	// OrderCount is how many orders it has taken since its start.
+	OrderCount int64
 	// Busy tells that a load or unload of a model is under way.
 	Busy bool
 	// Resident are the units it holds, Loading the adapters on their way.
--- a/placement/counted/simulation_test.go
+++ b/placement/counted/simulation_test.go
@@ -159,7 +159,7 @@
 }
 
 func (e *simEngine) report() Report {
-	r := Report{StartedAtMS: e.born, Count: e.count, Busy: e.moving != ""}
+	r := Report{StartedAtMS: e.born, OrderCount: e.count, Busy: e.moving != ""}
 	r.Resident = sortedNames(e.resident)
 	r.Loading = sortedNames(e.coming)
 	r.OnDisk = sortedNames(e.disk)
