--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -478,7 +478,7 @@
 }
 
 func (c *Controller) send(e *endpoint, o Order) SendOrder {
-	o.Count, o.Epoch, o.StartedAtMS = e.count, c.epoch, e.StartedAtMS
+	o.ExpectedCount, o.Epoch, o.StartedAtMS = e.count, c.epoch, e.StartedAtMS
 	e.sending = &o
 	return SendOrder{Endpoint: e.Name, Address: e.Address, Order: o}
 }
--- a/placement/counted/endpoint.go
+++ b/placement/counted/endpoint.go
@@ -132,7 +132,7 @@
 		return false
 	}
 	e.behind, e.refusals, e.lost = 0, 0, false
-	if e.doubt != nil && r.OrderCount > e.doubt.Count {
+	if e.doubt != nil && r.OrderCount > e.doubt.ExpectedCount {
 		e.doubt = nil
 	}
 	moved := e.known && r.OrderCount == e.count && e.moving != nil && r.Busy
@@ -177,7 +177,7 @@
 
 // took moves the state on by an order that the endpoint has taken.
 func (e *endpoint) took(now time.Time, o Order, units map[string]Unit, eta time.Duration) {
-	e.count = o.Count + 1
+	e.count = o.ExpectedCount + 1
 	e.doubt = nil
 	switch {
 	case units[o.Unit].Base == "":
--- a/placement/counted/events.go
+++ b/placement/counted/events.go
@@ -161,9 +161,9 @@
 type Order struct {
 	Op   Op
 	Unit string
-	// Count is what the endpoint must have taken for the order to count.
-	Count int64
-	Epoch int64
+	// ExpectedCount is what the endpoint must have taken for the order to count.
+	ExpectedCount int64
+	Epoch         int64
 	// StartedAtMS is the start of the endpoint that the order is for. The endpoint
 	// does not check it: one that has started again takes an order of the right count.
 	StartedAtMS int64
--- a/placement/counted/restart.go
+++ b/placement/counted/restart.go
@@ -84,13 +84,13 @@
 	var late []Order
 	counts := map[int64]int{}
 	for _, o := range pending(now, e.unanswered) {
-		if o.StartedAtMS == e.StartedAtMS || e.known && o.Count < e.count || o.Op != OpLoad {
+		if o.StartedAtMS == e.StartedAtMS || e.known && o.ExpectedCount < e.count || o.Op != OpLoad {
 			continue
 		}
-		at, counted := counts[o.Count]
+		at, counted := counts[o.ExpectedCount]
 		switch {
 		case !counted:
-			counts[o.Count] = len(late)
+			counts[o.ExpectedCount] = len(late)
 			late = append(late, o.Order)
 		case c.units[o.Unit].MemoryMB > c.units[late[at].Unit].MemoryMB:
 			late[at] = o.Order
--- a/placement/counted/simulation_test.go
+++ b/placement/counted/simulation_test.go
@@ -184,7 +184,7 @@
 	if e == nil || e.down {
 		return Refused
 	}
-	if o.Count != e.count || e.moving != "" {
+	if o.ExpectedCount != e.count || e.moving != "" {
 		return Refused
 	}
 	u := w.unit(o.Unit)
