--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -458,8 +458,8 @@
 	}
 }
 
-func othersLoad(l peer.EndpointLoad, now time.Time) routing.Others {
-	return routing.Others{Running: l.Running, Prompt: time.Duration(l.Prompt) * time.Microsecond, At: now}
+func othersLoad(l peer.EndpointLoad, now time.Time) routing.PeerLoad {
+	return routing.PeerLoad{Running: l.Running, Prompt: time.Duration(l.Prompt) * time.Microsecond, At: now}
 }
 
 // sums returns what all instances have under way, in a large fleet, and how many
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -41,7 +41,7 @@
 	// gap is the mean time between events of streams; nil for none yet.
 	gap atomic.Pointer[gapMean]
 	// others is what the other instances tell that they have here.
-	others   atomic.Pointer[Others]
+	others   atomic.Pointer[PeerLoad]
 	load     atomic.Pointer[Load]
 	failures atomic.Int64
 	// retryAt is the Unix time in nanoseconds before which an endpoint that
@@ -76,8 +76,8 @@
 // reports whether it is the first one.
 func (e *Endpoint) LimitUnreadable() bool { return !e.limitUnreadable.Swap(true) }
 
-// Others is what the other instances have under way at an endpoint.
-type Others struct {
+// PeerLoad is what the other instances have under way at an endpoint.
+type PeerLoad struct {
 	// Running is requests, Prompt the work of reading the prompts of those that
 	// have had no answer.
 	Running int64
@@ -87,14 +87,14 @@
 }
 
 // SetOthers records what the other instances tell.
-func (e *Endpoint) SetOthers(o Others) { e.others.Store(&o) }
+func (e *Endpoint) SetOthers(o PeerLoad) { e.others.Store(&o) }
 
 // Others returns what the other instances told last.
-func (e *Endpoint) Others() Others {
+func (e *Endpoint) Others() PeerLoad {
 	if o := e.others.Load(); o != nil {
 		return *o
 	}
-	return Others{}
+	return PeerLoad{}
 }
 
 // OthersAge is how old at now what the other instances told is; 0 where they
