--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -438,7 +438,7 @@
 	}
 	for _, pool := range m.router.View().Pools {
 		for _, e := range pool {
-			e.SetOthers(othersLoad(others[e.Name], m.now()))
+			e.SetPeerLoad(othersLoad(others[e.Name], m.now()))
 		}
 	}
 }
@@ -453,7 +453,7 @@
 	now := m.now()
 	for _, l := range told {
 		if e := endpoints[l.Endpoint]; e != nil {
-			e.SetOthers(othersLoad(m.totals.less(l), now))
+			e.SetPeerLoad(othersLoad(m.totals.less(l), now))
 		}
 	}
 }
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -86,8 +86,8 @@
 	At time.Time
 }
 
-// SetOthers records what the other instances tell.
-func (e *Endpoint) SetOthers(o PeerLoad) { e.others.Store(&o) }
+// SetPeerLoad records what the other instances tell.
+func (e *Endpoint) SetPeerLoad(o PeerLoad) { e.others.Store(&o) }
 
 // Others returns what the other instances told last.
 func (e *Endpoint) Others() PeerLoad {
--- a/routing/pace_test.go
+++ b/routing/pace_test.go
@@ -20,7 +20,7 @@
 func TestTimelyTakesTheSoonest(t *testing.T) {
 	a, b := &Endpoint{Name: "a", Concurrency: 8}, &Endpoint{Name: "b", Concurrency: 8}
 	r := timelyRouter(a, b)
-	a.SetOthers(PeerLoad{Running: 2, Prompt: 50 * time.Millisecond})
+	a.SetPeerLoad(PeerLoad{Running: 2, Prompt: 50 * time.Millisecond})
 	req := &Request{Unit: "m", PromptTokens: 400, Now: testNow, FirstBy: testNow.Add(time.Second)}
 	d, err := r.Pick(req)
 	require.NoError(t, err)
@@ -41,11 +41,11 @@
 func TestTimelyRefusesWhatWouldBeLate(t *testing.T) {
 	e := &Endpoint{Name: "a", Concurrency: 8}
 	r := timelyRouter(e)
-	e.SetOthers(PeerLoad{Running: 3, Prompt: 700 * time.Millisecond})
+	e.SetPeerLoad(PeerLoad{Running: 3, Prompt: 700 * time.Millisecond})
 	req := Request{Unit: "m", PromptTokens: 2000, Now: testNow, FirstBy: testNow.Add(800 * time.Millisecond)}
 	_, err := r.Pick(&req)
 	require.ErrorIs(t, err, ErrNoRoom)
-	e.SetOthers(PeerLoad{})
+	e.SetPeerLoad(PeerLoad{})
 	_, err = r.Pick(&req)
 	require.NoError(t, err, "nowhere would be sooner than where nothing is ahead")
 }
@@ -55,7 +55,7 @@
 func TestTimelyRefusesWhereStreamsPause(t *testing.T) {
 	e := &Endpoint{Name: "a", Concurrency: 8}
 	r := timelyRouter(e)
-	e.SetOthers(PeerLoad{Running: 1})
+	e.SetPeerLoad(PeerLoad{Running: 1})
 	for range 100 {
 		e.NoteGap(testNow, 300*time.Millisecond)
 	}
@@ -83,7 +83,7 @@
 func TestSlotsOfAllInstancesCount(t *testing.T) {
 	e := &Endpoint{Name: "a", Concurrency: 2}
 	r := timelyRouter(e)
-	e.SetOthers(PeerLoad{Running: 1})
+	e.SetPeerLoad(PeerLoad{Running: 1})
 	_, err := r.Pick(&Request{Unit: "m", Now: testNow})
 	require.NoError(t, err)
 	_, err = r.Pick(&Request{Unit: "m", Now: testNow})
@@ -116,7 +116,7 @@
 		var known []*Endpoint
 		for i := range endpoints {
 			e := &Endpoint{Name: fmt.Sprint(i), Concurrency: 64}
-			e.SetOthers(PeerLoad{Running: 1, Prompt: time.Duration(50+i) * time.Millisecond})
+			e.SetPeerLoad(PeerLoad{Running: 1, Prompt: time.Duration(50+i) * time.Millisecond})
 			known = append(known, e)
 		}
 		r := NewRouter(Policies()[PolicyTimely], random)
@@ -136,13 +136,13 @@
 	e := &Endpoint{Name: "a", Concurrency: 48}
 	r := timelyRouter(e)
 	req := Request{Unit: "m", PromptTokens: 1000, GapAim: 250 * time.Millisecond, Now: testNow, FirstBy: testNow.Add(time.Second)}
-	e.SetOthers(PeerLoad{Running: 20, Prompt: 120 * time.Millisecond})
+	e.SetPeerLoad(PeerLoad{Running: 20, Prompt: 120 * time.Millisecond})
 	_, err := r.Pick(&req)
 	require.NoError(t, err, "120 and 50 ms of prompts fit into 175")
-	e.SetOthers(PeerLoad{Running: 20, Prompt: 80 * time.Millisecond})
+	e.SetPeerLoad(PeerLoad{Running: 20, Prompt: 80 * time.Millisecond})
 	_, err = r.Pick(&req)
 	require.ErrorIs(t, err, ErrNoRoom, "50 of its own, 80 and 50 do not")
-	e.SetOthers(PeerLoad{Running: 20})
+	e.SetPeerLoad(PeerLoad{Running: 20})
 	e.ownPrompt.Store(0)
 	req.PromptTokens = 6000
 	_, err = r.Pick(&req)
@@ -154,11 +154,11 @@
 func TestLateRequestsLeavePlaces(t *testing.T) {
 	e := &Endpoint{Name: "a", Concurrency: 8}
 	r := timelyRouter(e)
-	e.SetOthers(PeerLoad{Running: 6})
+	e.SetPeerLoad(PeerLoad{Running: 6})
 	late := Request{Unit: "m", PromptTokens: 100, Now: testNow, FirstBy: testNow.Add(-time.Second), Late: true}
 	_, err := r.Pick(&late)
 	require.ErrorIs(t, err, ErrNoRoom)
-	e.SetOthers(PeerLoad{Running: 5})
+	e.SetPeerLoad(PeerLoad{Running: 5})
 	d, err := r.Pick(&late)
 	require.NoError(t, err)
 	require.True(t, d.Late)
--- a/routing/plain_test.go
+++ b/routing/plain_test.go
@@ -99,7 +99,7 @@
 			sum += w.endpoints[i][j].Own()
 		}
 		for i := range w.endpoints {
-			w.endpoints[i][j].SetOthers(PeerLoad{Running: sum - w.endpoints[i][j].Own(), At: w.now})
+			w.endpoints[i][j].SetPeerLoad(PeerLoad{Running: sum - w.endpoints[i][j].Own(), At: w.now})
 		}
 	}
 }
