--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -89,8 +89,8 @@
 // SetPeerLoad records what the other instances tell.
 func (e *Endpoint) SetPeerLoad(o PeerLoad) { e.others.Store(&o) }
 
-// Others returns what the other instances told last.
-func (e *Endpoint) Others() PeerLoad {
+// PeerLoad returns what the other instances told last.
+func (e *Endpoint) PeerLoad() PeerLoad {
 	if o := e.others.Load(); o != nil {
 		return *o
 	}
