--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -97,9 +97,9 @@
 	return PeerLoad{}
 }
 
-// OthersAge is how old at now what the other instances told is; 0 where they
+// PeerLoadAge is how old at now what the other instances told is; 0 where they
 // have told nothing.
-func (e *Endpoint) OthersAge(now time.Time) time.Duration {
+func (e *Endpoint) PeerLoadAge(now time.Time) time.Duration {
 	o := e.others.Load()
 	if o == nil || o.At.IsZero() {
 		return 0
