--- a/daemon/evacuated.go
+++ b/daemon/evacuated.go
@@ -93,7 +93,7 @@
 	}
 	for _, e := range n.router.View().Named {
 		if slices.Contains(s.FailureDomains, e.FailureDomain) {
-			s.Running += e.Own()
+			s.Running += e.InFlight()
 		}
 	}
 	return s
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -111,8 +111,8 @@
 // here that have had no answer yet.
 func (e *Endpoint) OwnPrompt() time.Duration { return time.Duration(e.ownPrompt.Load()) }
 
-// Own returns the number of attempts of this instance at the endpoint.
-func (e *Endpoint) Own() int64 { return e.own.Load() }
+// InFlight returns the number of attempts of this instance at the endpoint.
+func (e *Endpoint) InFlight() int64 { return e.own.Load() }
 
 // Reported returns the last load report, or a zero Load.
 func (e *Endpoint) Reported() Load {
--- a/routing/pace_test.go
+++ b/routing/pace_test.go
@@ -34,7 +34,7 @@
 	r.Release(&d)
 	d2.Answered()
 	require.Zero(t, b.OwnPrompt())
-	require.EqualValues(t, 1, b.Own())
+	require.EqualValues(t, 1, b.InFlight())
 }
 
 // TestTimelyRefusesWhatWouldBeLate lets prompts ahead take all the time left.
--- a/routing/plain_test.go
+++ b/routing/plain_test.go
@@ -96,10 +96,10 @@
 	for j := range plainEndpoints {
 		var sum int64
 		for i := range w.endpoints {
-			sum += w.endpoints[i][j].Own()
+			sum += w.endpoints[i][j].InFlight()
 		}
 		for i := range w.endpoints {
-			w.endpoints[i][j].SetPeerLoad(PeerLoad{Running: sum - w.endpoints[i][j].Own(), At: w.now})
+			w.endpoints[i][j].SetPeerLoad(PeerLoad{Running: sum - w.endpoints[i][j].InFlight(), At: w.now})
 		}
 	}
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -71,9 +71,9 @@
 			}
 			require.NoError(t, err)
 			require.Equal(t, tc.want, d.Endpoint.Name)
-			before := d.Endpoint.Own()
+			before := d.Endpoint.InFlight()
 			r.Release(&d)
-			require.Equal(t, before-1, d.Endpoint.Own())
+			require.Equal(t, before-1, d.Endpoint.InFlight())
 		})
 	}
 }
