--- a/routing/pace_test.go
+++ b/routing/pace_test.go
@@ -33,7 +33,7 @@
 	require.Equal(t, "a", d3.Endpoint.Name)
 	r.Release(&d)
 	d2.Answered()
-	require.Zero(t, b.OwnPrompt())
+	require.Zero(t, b.PendingPromptWork())
 	require.EqualValues(t, 1, b.InFlight())
 }
 
