--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -114,8 +114,8 @@
 // InFlight returns the number of attempts of this instance at the endpoint.
 func (e *Endpoint) InFlight() int64 { return e.own.Load() }
 
-// Reported returns the last load report, or a zero Load.
-func (e *Endpoint) Reported() Load {
+// ReportedLoad returns the last load report, or a zero Load.
+func (e *Endpoint) ReportedLoad() Load {
 	if l := e.load.Load(); l != nil {
 		return *l
 	}
@@ -180,7 +180,7 @@
 // Estimate is the load that the endpoint has now: what it reported, less what
 // was this instance's then, plus what is this instance's now.
 func (e *Endpoint) Estimate() int64 {
-	l := e.Reported()
+	l := e.ReportedLoad()
 	others := int64(l.Running+l.Waiting) - l.OwnAtReport
 	return max(others, 0) + e.own.Load()
 }
--- a/routing/filters.go
+++ b/routing/filters.go
@@ -114,7 +114,7 @@
 	if float64(e.Estimate()) >= limit {
 		return false
 	}
-	l := e.Reported()
+	l := e.ReportedLoad()
 	room := limit - float64(l.Running+l.Waiting)
 	share := max(1, room*f.slack/float64(max(1, r.Instances)))
 	return float64(e.InFlight()-l.OwnAtReport) < share
--- a/routing/scorers.go
+++ b/routing/scorers.go
@@ -7,7 +7,7 @@
 
 func (reportedScorer) Name() string { return "reported" }
 func (reportedScorer) Score(_ *Request, e *Endpoint) float64 {
-	l := e.Reported()
+	l := e.ReportedLoad()
 	return room(int64(l.Running+l.Waiting), e.Concurrency)
 }
 
