--- a/daemon/view.go
+++ b/daemon/view.go
@@ -237,7 +237,7 @@
 	if !known || endpoint.Incarnation != e.report.Incarnation {
 		return false
 	}
-	endpoint.Report(routing.Load{At: d.now(), Running: e.report.Running, Waiting: e.report.Waiting, OwnAtReport: e.own})
+	endpoint.SetReportedLoad(routing.Load{At: d.now(), Running: e.report.Running, Waiting: e.report.Waiting, OwnAtReport: e.own})
 	var ready []string
 	for _, u := range e.report.Units {
 		if u.Ready {
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -122,8 +122,8 @@
 	return Load{}
 }
 
-// Report records a load report.
-func (e *Endpoint) Report(l Load) { e.load.Store(&l) }
+// SetReportedLoad records a load report.
+func (e *Endpoint) SetReportedLoad(l Load) { e.load.Store(&l) }
 
 // SetLeaving marks the endpoint as leaving, or not.
 func (e *Endpoint) SetLeaving(leaving bool) { e.leaving.Store(leaving) }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -19,7 +19,7 @@
 	v := &View{Replicas: map[string][]*Endpoint{}, Instances: 2}
 	for i, l := range loads {
 		e := &Endpoint{Name: fmt.Sprintf("e%d", i), Concurrency: 8, FailureDomain: fmt.Sprintf("d%d", i)}
-		e.Report(l)
+		e.SetReportedLoad(l)
 		v.Replicas["m"] = append(v.Replicas["m"], e)
 	}
 	return v, v.Replicas["m"]
