--- a/daemon/restart_test.go
+++ b/daemon/restart_test.go
@@ -51,7 +51,7 @@
 	e := h.endpointNamed("e1")
 	e.Failed(h.clock)
 	e.SetReplaced()
-	e.SaidFull(h.clock)
+	e.MarkFull(h.clock)
 	e.SetReportedLoad(routing.Load{At: h.clock, Running: 60, Waiting: 9})
 	h.step(placementsTold{[]peer.Placement{{Epoch: 4, Endpoint: "e1", StartedAtMS: 100, Units: []string{"m1", "m2"}}}})
 	h.step(endpointsWithdrawn{[]endpointStart{{"e1", 100}}})
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -260,7 +260,7 @@
 		// wrong.
 		a.Decision.Endpoint.Lacks(unit, p.cfg.Now())
 	case errors.As(err, &notStarted) && notStarted.Busy:
-		a.Decision.Endpoint.SaidFull(p.cfg.Now())
+		a.Decision.Endpoint.MarkFull(p.cfg.Now())
 	case errors.As(err, &notStarted) && notStarted.Unsent:
 		a.Decision.Endpoint.Failed(p.cfg.Now())
 		a.Decision.Endpoint.Unreached(p.cfg.Now())
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -172,8 +172,8 @@
 // about 1.5 s.
 const fullTime = 50 * time.Millisecond
 
-// SaidFull records that the endpoint refused a request for lack of room.
-func (e *Endpoint) SaidFull(now time.Time) { e.fullUntil.Store(now.Add(fullTime).UnixNano()) }
+// MarkFull records that the endpoint refused a request for lack of room.
+func (e *Endpoint) MarkFull(now time.Time) { e.fullUntil.Store(now.Add(fullTime).UnixNano()) }
 
 func (e *Endpoint) saidFull(now time.Time) bool { return now.UnixNano() < e.fullUntil.Load() }
 
--- a/routing/pace_test.go
+++ b/routing/pace_test.go
@@ -175,7 +175,7 @@
 		err    error
 		until  time.Duration
 	}{
-		"full":    {func(e *Endpoint) { e.SaidFull(testNow) }, ErrNoRoom, fullTime},
+		"full":    {func(e *Endpoint) { e.MarkFull(testNow) }, ErrNoRoom, fullTime},
 		"no host": {func(e *Endpoint) { e.Unreached(testNow) }, ErrNoReplica, unreachedTime},
 	} {
 		e := &Endpoint{Name: "a", Concurrency: 8}
--- a/routing/plain_test.go
+++ b/routing/plain_test.go
@@ -115,7 +115,7 @@
 	if len(w.queues[j]) >= plainQueue {
 		w.rejected++
 		d.Endpoint.own.Add(-1)
-		d.Endpoint.SaidFull(w.now)
+		d.Endpoint.MarkFull(w.now)
 		return
 	}
 	w.queues[j] = append(w.queues[j], plainRequest{arrived: w.now, decision: d})
