--- a/pipeline/limits.go
+++ b/pipeline/limits.go
@@ -38,7 +38,7 @@
 	if f.named(d.Endpoint, resp.Header) || resp.StatusCode >= http.StatusMultipleChoices {
 		return
 	}
-	if f.permits.Unlimited(f.now(), d.Endpoint.Start(), d.At) {
+	if f.permits.Unlimited(f.now(), d.Endpoint.PermitKey(), d.At) {
 		f.log.Info("endpoint limit ended", "endpoint", d.Endpoint.Name, "by", "its answer")
 	}
 }
@@ -59,7 +59,7 @@
 	if !told.Named {
 		return false
 	}
-	if f.permits.Named(f.now(), e.Start(), told.PerSecond) {
+	if f.permits.Named(f.now(), e.PermitKey(), told.PerSecond) {
 		f.log.Info("endpoint limit", "endpoint", e.Name, "per_second", told.PerSecond, "by", "its answer")
 	}
 	return true
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -62,8 +62,8 @@
 	missing sync.Map
 }
 
-// Start identifies this start of the endpoint in what it says of itself.
-func (e *Endpoint) Start() permit.Endpoint {
+// PermitKey identifies this start of the endpoint in what it says of itself.
+func (e *Endpoint) PermitKey() permit.Endpoint {
 	return permit.Endpoint{Name: e.Name, StartedAtMS: e.StartedAtMS}
 }
 
