--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -67,8 +67,8 @@
 	return permit.Endpoint{Name: e.Name, StartedAtMS: e.StartedAtMS}
 }
 
-// ColdStart identifies this start of the endpoint in what it takes while it is cold.
-func (e *Endpoint) ColdStart() permit.Endpoint {
+// ColdPermitKey identifies this start of the endpoint in what it takes while it is cold.
+func (e *Endpoint) ColdPermitKey() permit.Endpoint {
 	return permit.Endpoint{Name: e.Name, StartedAtMS: e.StartedAtMS, Cold: true}
 }
 
--- a/routing/router.go
+++ b/routing/router.go
@@ -116,7 +116,7 @@
 func (r *Router) choose(req *Request, scored []Scored) (chosen Scored, found bool) {
 	for len(scored) > 0 {
 		chosen = r.policy.of(req).Picker.Pick(scored, r.random)
-		if r.permits.Take(req.Now, chosen.Endpoint.ColdStart()) && r.permits.Take(req.Now, chosen.Endpoint.PermitKey()) {
+		if r.permits.Take(req.Now, chosen.Endpoint.ColdPermitKey()) && r.permits.Take(req.Now, chosen.Endpoint.PermitKey()) {
 			return chosen, true
 		}
 		// Another request has taken the permit that was there.
@@ -215,7 +215,7 @@
 // rateOf is how many requests a second an endpoint takes; false if nothing bounds them.
 func (r *Router) rateOf(e *Endpoint) (perSecond float64, limited bool) {
 	named, limited := r.permits.Rate(e.PermitKey())
-	cold, isCold := r.permits.Rate(e.ColdStart())
+	cold, isCold := r.permits.Rate(e.ColdPermitKey())
 	switch {
 	case !isCold:
 		return named, limited
@@ -232,7 +232,7 @@
 	if !r.permits.Limited() {
 		return true
 	}
-	return r.permitOf(req, e.ColdStart()) && r.permitOf(req, e.PermitKey())
+	return r.permitOf(req, e.ColdPermitKey()) && r.permitOf(req, e.PermitKey())
 }
 
 // permitOf tells whether there is a permit, and wants one if there is none.
