--- a/daemon/node.go
+++ b/daemon/node.go
@@ -251,7 +251,7 @@
 		linkBytes:      n.cfg.Limits.LinkMbps * bytesPerMbit,
 		totals:         totals{holderLost: n.cfg.Fresh.holderLost()},
 	}
-	m.hubSums.Significant = broadcast.Significant(n.router.Places, m.hubPause)
+	m.hubSums.Significant = broadcast.Significant(n.router.Concurrency, m.hubPause)
 	return m
 }
 
--- a/routing/router.go
+++ b/routing/router.go
@@ -76,8 +76,8 @@
 // View returns the view in force.
 func (r *Router) View() *View { return r.view.Load() }
 
-// Places is how many requests an endpoint runs at once; 0 if it is not listed.
-func (r *Router) Places(endpoint string) int {
+// Concurrency is how many requests an endpoint runs at once; 0 if it is not listed.
+func (r *Router) Concurrency(endpoint string) int {
 	if e := r.View().Named[endpoint]; e != nil {
 		return e.Concurrency
 	}
