--- a/pipeline/refused_test.go
+++ b/pipeline/refused_test.go
@@ -31,7 +31,7 @@
 		&RelayError{Err: cause}, &RelayError{TimedOut: true, Err: cause}, &RelayError{CallerGone: true, Err: cause},
 	}
 	for _, reason := range []admission.Reason{admission.ReasonQueueFull, admission.ReasonTooMany, admission.ReasonStopping} {
-		failures = append(failures, refusalOf(&admission.RefusedError{Reason: reason}, routing.ErrNoRoom))
+		failures = append(failures, refusalOf(&admission.RefusedError{Reason: reason}, routing.ErrNoCapacity))
 	}
 	for _, f := range failures {
 		a := f.Answer()
--- a/pipeline/waiting.go
+++ b/pipeline/waiting.go
@@ -114,7 +114,7 @@
 		refusal.RetryAfter = elsewhereRetryAfter
 	case errors.Is(pickErr, routing.ErrNoReplica):
 		refusal.RetryAfter = spread(loadRetryAfter)
-	case errors.Is(pickErr, routing.ErrNoRoom):
+	case errors.Is(pickErr, routing.ErrNoCapacity):
 		refusal.RetryAfter = spread(roomRetryAfter)
 	}
 	return refusal
--- a/pipeline/waiting_test.go
+++ b/pipeline/waiting_test.go
@@ -59,9 +59,9 @@
 		least, most time.Duration
 	}{
 		"no replica": {expired, routing.ErrNoReplica, 503, loadRetryAfter, 2 * loadRetryAfter},
-		"no room":    {expired, routing.ErrNoRoom, 503, roomRetryAfter, 2 * roomRetryAfter},
-		"queue full": {&admission.RefusedError{Reason: admission.ReasonQueueFull}, routing.ErrNoRoom, 429, roomRetryAfter, 2 * defaultRetryAfter},
-		"stopping":   {&admission.RefusedError{Reason: admission.ReasonStopping}, routing.ErrNoRoom, 503, elsewhereRetryAfter, elsewhereRetryAfter},
+		"no room":    {expired, routing.ErrNoCapacity, 503, roomRetryAfter, 2 * roomRetryAfter},
+		"queue full": {&admission.RefusedError{Reason: admission.ReasonQueueFull}, routing.ErrNoCapacity, 429, roomRetryAfter, 2 * defaultRetryAfter},
+		"stopping":   {&admission.RefusedError{Reason: admission.ReasonStopping}, routing.ErrNoCapacity, 503, elsewhereRetryAfter, elsewhereRetryAfter},
 		"other":      {errors.New("left"), nil, 503, defaultRetryAfter, defaultRetryAfter},
 	} {
 		var failure Failure
--- a/routing/pace_test.go
+++ b/routing/pace_test.go
@@ -44,7 +44,7 @@
 	e.SetPeerLoad(PeerLoad{Running: 3, Prompt: 700 * time.Millisecond})
 	req := Request{Unit: "m", PromptTokens: 2000, Now: testNow, FirstBy: testNow.Add(800 * time.Millisecond)}
 	_, err := r.Pick(&req)
-	require.ErrorIs(t, err, ErrNoRoom)
+	require.ErrorIs(t, err, ErrNoCapacity)
 	e.SetPeerLoad(PeerLoad{})
 	_, err = r.Pick(&req)
 	require.NoError(t, err, "nowhere would be sooner than where nothing is ahead")
@@ -60,7 +60,7 @@
 		e.NoteGap(testNow, 300*time.Millisecond)
 	}
 	_, err := r.Pick(&Request{Unit: "m", PromptTokens: 10, Now: testNow, GapAim: 400 * time.Millisecond})
-	require.ErrorIs(t, err, ErrNoRoom)
+	require.ErrorIs(t, err, ErrNoCapacity)
 	_, err = r.Pick(&Request{Unit: "m", PromptTokens: 10, Now: testNow})
 	require.NoError(t, err, "a request without a target for pauses goes there")
 }
@@ -87,7 +87,7 @@
 	_, err := r.Pick(&Request{Unit: "m", Now: testNow})
 	require.NoError(t, err)
 	_, err = r.Pick(&Request{Unit: "m", Now: testNow})
-	require.ErrorIs(t, err, ErrNoRoom)
+	require.ErrorIs(t, err, ErrNoCapacity)
 }
 
 // TestFirstObservationsWeighMore gives few observations of an engine that takes a
@@ -141,7 +141,7 @@
 	require.NoError(t, err, "120 and 50 ms of prompts fit into 175")
 	e.SetPeerLoad(PeerLoad{Running: 20, Prompt: 80 * time.Millisecond})
 	_, err = r.Pick(&req)
-	require.ErrorIs(t, err, ErrNoRoom, "50 of its own, 80 and 50 do not")
+	require.ErrorIs(t, err, ErrNoCapacity, "50 of its own, 80 and 50 do not")
 	e.SetPeerLoad(PeerLoad{Running: 20})
 	e.ownPrompt.Store(0)
 	req.PromptTokens = 6000
@@ -157,7 +157,7 @@
 	e.SetPeerLoad(PeerLoad{Running: 6})
 	late := Request{Unit: "m", PromptTokens: 100, Now: testNow, FirstBy: testNow.Add(-time.Second), Late: true}
 	_, err := r.Pick(&late)
-	require.ErrorIs(t, err, ErrNoRoom)
+	require.ErrorIs(t, err, ErrNoCapacity)
 	e.SetPeerLoad(PeerLoad{Running: 5})
 	d, err := r.Pick(&late)
 	require.NoError(t, err)
@@ -175,7 +175,7 @@
 		err    error
 		until  time.Duration
 	}{
-		"full":    {func(e *Endpoint) { e.MarkFull(testNow) }, ErrNoRoom, fullTime},
+		"full":    {func(e *Endpoint) { e.MarkFull(testNow) }, ErrNoCapacity, fullTime},
 		"no host": {func(e *Endpoint) { e.Unreached(testNow) }, ErrNoReplica, unreachedTime},
 	} {
 		e := &Endpoint{Name: "a", Concurrency: 8}
--- a/routing/router.go
+++ b/routing/router.go
@@ -19,8 +19,8 @@
 	// ErrClosed means that all endpoints are evacuated, or in regions that the request may
 	// not be served in.
 	ErrClosed = errors.New("no endpoint may get the request")
-	// ErrNoRoom means that the endpoints that hold the unit are full.
-	ErrNoRoom = errors.New("no endpoint has room")
+	// ErrNoCapacity means that the endpoints that hold the unit are full.
+	ErrNoCapacity = errors.New("no endpoint has room")
 )
 
 // Decision is a choice with the numbers that led to it.
@@ -255,7 +255,7 @@
 		}
 		held = true
 		if (untriedFilter{}).Keep(req, e) {
-			return ErrNoRoom
+			return ErrNoCapacity
 		}
 	}
 	if !held && len(req.Excluded) == 0 {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -46,9 +46,9 @@
 			prepare: func(e []*Endpoint) { e[0].Failed(testNow) }, want: "e1"},
 		{name: "ejected is better than none", loads: []Load{{}},
 			prepare: func(e []*Endpoint) { e[0].Failed(testNow) }, want: "e0"},
-		{name: "full", loads: []Load{{Running: 8}, {Running: 9}}, err: ErrNoRoom},
+		{name: "full", loads: []Load{{Running: 8}, {Running: 9}}, err: ErrNoCapacity},
 		{name: "share of the free room is used up", loads: []Load{{Running: 6}},
-			prepare: func(e []*Endpoint) { e[0].own.Store(2) }, err: ErrNoRoom},
+			prepare: func(e []*Endpoint) { e[0].own.Store(2) }, err: ErrNoCapacity},
 		{name: "all leaving", loads: []Load{{}}, prepare: func(e []*Endpoint) { e[0].SetLeaving(true) }, err: ErrNoReplica},
 		{name: "all tried or leaving", loads: []Load{{}, {}}, prepare: func(e []*Endpoint) { e[1].SetLeaving(true) },
 			req: Request{Excluded: []string{"e0"}}, err: ErrNoneLeft},
@@ -185,7 +185,7 @@
 
 	view(limited)
 	_, err := pick()
-	require.ErrorIs(t, err, ErrNoRoom, "it waits")
+	require.ErrorIs(t, err, ErrNoCapacity, "it waits")
 	_, only = r.LimitedTo(&Request{Unit: "m/a", Model: "m", Now: now})
 	require.False(t, only, "it can be loaded beside its model elsewhere")
 	free.SetLeaving(true)
@@ -196,12 +196,12 @@
 	permits.Asks(now)
 	now = now.Add(600 * time.Millisecond)
 	_, err = pick()
-	require.ErrorIs(t, err, ErrNoRoom)
+	require.ErrorIs(t, err, ErrNoCapacity)
 	_, got := permits.Asks(now)
 	require.True(t, got)
 	name, err := pick()
 	require.NoError(t, err)
 	require.Equal(t, "limited", name)
 	_, err = pick()
-	require.ErrorIs(t, err, ErrNoRoom, "one permit is for one request")
+	require.ErrorIs(t, err, ErrNoCapacity, "one permit is for one request")
 }
