--- a/routing/router.go
+++ b/routing/router.go
@@ -16,9 +16,9 @@
 	// ErrNoneLeft means that every endpoint that holds the unit was tried, or
 	// those that were not are leaving.
 	ErrNoneLeft = errors.New("no endpoint is left to try")
-	// ErrClosed means that all endpoints are evacuated, or in regions that the request may
+	// ErrNoOpenRegion means that all endpoints are evacuated, or in regions that the request may
 	// not be served in.
-	ErrClosed = errors.New("no endpoint may get the request")
+	ErrNoOpenRegion = errors.New("no endpoint may get the request")
 	// ErrNoCapacity means that the endpoints that hold the unit are full.
 	ErrNoCapacity = errors.New("no endpoint has room")
 )
@@ -90,7 +90,7 @@
 	req.Instances = max(view.Instances, int(r.instances.Load()))
 	req.Work = r.paces.work(req.model(), req.PromptTokens)
 	if view.closed(req) {
-		return Decision{}, ErrClosed
+		return Decision{}, ErrNoOpenRegion
 	}
 	candidates := view.Candidates(req.Unit, req.Pool)
 	if len(candidates) == 0 {
