--- a/daemon/evacuated.go
+++ b/daemon/evacuated.go
@@ -69,11 +69,11 @@
 
 // noteOpen notes in which region an endpoint can be reached that is not evacuated.
 func noteOpen(v *routing.View, m membership.Member, e *routing.Endpoint) {
-	if v.Open[m.Pool] == nil {
-		v.Open[m.Pool] = map[string]bool{}
+	if v.OpenRegions[m.Pool] == nil {
+		v.OpenRegions[m.Pool] = map[string]bool{}
 	}
 	if !m.Evacuated {
-		v.Open[m.Pool][e.Region] = true
+		v.OpenRegions[m.Pool][e.Region] = true
 	}
 }
 
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -332,7 +332,7 @@
 func (d *viewDuty) rebuildWhole() {
 	members := d.list.Members()
 	v := &routing.View{
-		Pools: map[string][]*routing.Endpoint{}, Named: make(map[string]*routing.Endpoint, len(members)), Open: map[string]map[string]bool{},
+		Pools: map[string][]*routing.Endpoint{}, Named: make(map[string]*routing.Endpoint, len(members)), OpenRegions: map[string]map[string]bool{},
 	}
 	for _, m := range members {
 		if m.Pool == membership.InstancePool {
--- a/routing/view.go
+++ b/routing/view.go
@@ -9,16 +9,16 @@
 	Pools map[string][]*Endpoint
 	// Named holds the endpoints of all pools by name.
 	Named map[string]*Endpoint
-	// Open holds, for each pool, the regions in which an endpoint is not evacuated. A pool
+	// OpenRegions holds, for each pool, the regions in which an endpoint is not evacuated. A pool
 	// that it lacks is not known.
-	Open map[string]map[string]bool
+	OpenRegions map[string]map[string]bool
 	// Instances is the number of live instances that share the endpoints.
 	Instances int
 }
 
 // closed tells whether no endpoint may get the request, whatever is loaded where.
 func (v *View) closed(r *Request) bool {
-	open, known := v.Open[r.Pool]
+	open, known := v.OpenRegions[r.Pool]
 	if !known {
 		return false
 	}
