--- a/daemon/evacuated.go
+++ b/daemon/evacuated.go
@@ -91,7 +91,7 @@
 	if c := n.catalog.Load(); c != nil {
 		s.FailureDomains = append(s.FailureDomains, c.Tree.Evacuated...)
 	}
-	for _, e := range n.router.View().Named {
+	for _, e := range n.router.View().ByName {
 		if slices.Contains(s.FailureDomains, e.FailureDomain) {
 			s.Running += e.InFlight()
 		}
--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -449,7 +449,7 @@
 		m.share()
 		return
 	}
-	endpoints := m.router.View().Named
+	endpoints := m.router.View().ByName
 	now := m.now()
 	for _, l := range told {
 		if e := endpoints[l.Endpoint]; e != nil {
--- a/daemon/mesh_bench_test.go
+++ b/daemon/mesh_bench_test.go
@@ -19,10 +19,10 @@
 // benchMesh is an instance of a large fleet that hears all others.
 func benchMesh(holds bool, instances, endpoints int) *mesh {
 	router := routing.NewRouter(routing.Policies()[routing.PolicyTimely], func() float64 { return 0 })
-	v := &routing.View{Pools: map[string][]*routing.Endpoint{}, Named: map[string]*routing.Endpoint{}}
+	v := &routing.View{Pools: map[string][]*routing.Endpoint{}, ByName: map[string]*routing.Endpoint{}}
 	for i := range endpoints {
 		e := &routing.Endpoint{Name: fmt.Sprintf("i-%010x", i)}
-		v.Pools["p"], v.Named[e.Name] = append(v.Pools["p"], e), e
+		v.Pools["p"], v.ByName[e.Name] = append(v.Pools["p"], e), e
 	}
 	router.SetView(v)
 	holder := func() bool { return holds }
--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -105,7 +105,7 @@
 
 // listed tells whether an endpoint is listed as it was started.
 func (p *permits) listed(e permit.Endpoint) bool {
-	known := p.router.View().Named[e.Name]
+	known := p.router.View().ByName[e.Name]
 	return known != nil && known.StartedAtMS == e.StartedAtMS
 }
 
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -332,7 +332,7 @@
 func (d *viewDuty) rebuildWhole() {
 	members := d.list.Members()
 	v := &routing.View{
-		Pools: map[string][]*routing.Endpoint{}, Named: make(map[string]*routing.Endpoint, len(members)), OpenRegions: map[string]map[string]bool{},
+		Pools: map[string][]*routing.Endpoint{}, ByName: make(map[string]*routing.Endpoint, len(members)), OpenRegions: map[string]map[string]bool{},
 	}
 	for _, m := range members {
 		if m.Pool == membership.InstancePool {
@@ -346,7 +346,7 @@
 			continue
 		}
 		e := d.endpoint(m, cmp.Or(m.Slots, pool.Concurrency))
-		v.Named[m.Name] = e
+		v.ByName[m.Name] = e
 		d.residency.listed(m)
 		v.Pools[m.Pool] = append(v.Pools[m.Pool], e)
 		noteOpen(v, m, e)
@@ -354,17 +354,17 @@
 		d.replicas.set(e, d.residency.serving(m.Name))
 	}
 	for name := range d.endpoints {
-		if v.Named[name] == nil {
+		if v.ByName[name] == nil {
 			delete(d.endpoints, name)
 			delete(d.withdrawnUntil, name)
 			d.residency.forget(name)
 		}
 	}
 	d.warming, d.coldSaid = nil, nil
-	d.replicas.keep(v.Named)
+	d.replicas.keep(v.ByName)
 	v.Replicas = d.replicas.give()
-	if len(d.router.View().Named) == 0 && len(v.Named) > 0 {
-		d.log.Info("endpoints known", "endpoints", len(v.Named), "units", len(v.Replicas))
+	if len(d.router.View().ByName) == 0 && len(v.ByName) > 0 {
+		d.log.Info("endpoints known", "endpoints", len(v.ByName), "units", len(v.Replicas))
 	}
 	d.router.SetView(v)
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -78,7 +78,7 @@
 
 // Concurrency is how many requests an endpoint runs at once; 0 if it is not listed.
 func (r *Router) Concurrency(endpoint string) int {
-	if e := r.View().Named[endpoint]; e != nil {
+	if e := r.View().ByName[endpoint]; e != nil {
 		return e.Concurrency
 	}
 	return 0
--- a/routing/view.go
+++ b/routing/view.go
@@ -7,8 +7,8 @@
 	Replicas map[string][]*Endpoint
 	// Pools lists the endpoints of each pool.
 	Pools map[string][]*Endpoint
-	// Named holds the endpoints of all pools by name.
-	Named map[string]*Endpoint
+	// ByName holds the endpoints of all pools by name.
+	ByName map[string]*Endpoint
 	// OpenRegions holds, for each pool, the regions in which an endpoint is not evacuated. A pool
 	// that it lacks is not known.
 	OpenRegions map[string]map[string]bool
