--- a/pipeline/dispatch.go
+++ b/pipeline/dispatch.go
@@ -38,7 +38,7 @@
 	if x.Target.Unit != "" && resp.StatusCode == http.StatusOK {
 		f.router.Learn(&a.Decision, f.now())
 	}
-	a.Decision.Answered()
+	a.Decision.ReleasePrompt()
 	f.noteLoad(x, resp)
 	f.limits.cold(x, a.Decision.Endpoint, resp.Header)
 	f.limits.answered(a.Decision, resp)
--- a/pipeline/replay_test.go
+++ b/pipeline/replay_test.go
@@ -221,7 +221,7 @@
 	<-run.first
 	late = time.Since(began) > replayTarget
 	router.Learn(d, time.Now())
-	d.Answered()
+	d.ReleasePrompt()
 	<-run.ended
 	router.Release(d)
 	gates.Pool("p").Completed()
--- a/routing/pace_test.go
+++ b/routing/pace_test.go
@@ -32,7 +32,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "a", d3.Endpoint.Name)
 	r.Release(&d)
-	d2.Answered()
+	d2.ReleasePrompt()
 	require.Zero(t, b.PendingPromptWork())
 	require.EqualValues(t, 1, b.InFlight())
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -156,9 +156,9 @@
 	return perSecond, limited
 }
 
-// Answered tells that the prompt of an attempt has been read: its answer has
+// ReleasePrompt tells that the prompt of an attempt has been read: its answer has
 // begun.
-func (d *Decision) Answered() {
+func (d *Decision) ReleasePrompt() {
 	d.Endpoint.ownPrompt.Add(-int64(d.Work))
 	d.Work = 0
 }
@@ -174,7 +174,7 @@
 
 // Release gives back what Pick reserved.
 func (r *Router) Release(d *Decision) {
-	d.Answered()
+	d.ReleasePrompt()
 	d.Endpoint.own.Add(-1)
 }
 
