--- a/pipeline/dispatch.go
+++ b/pipeline/dispatch.go
@@ -36,7 +36,7 @@
 		return &DispatchError{TimedOut: errors.Is(err, context.DeadlineExceeded), Err: err}
 	}
 	if x.Target.Unit != "" && resp.StatusCode == http.StatusOK {
-		f.router.Learn(&a.Decision, f.now())
+		f.router.ObserveFirstToken(&a.Decision, f.now())
 	}
 	a.Decision.ReleasePrompt()
 	f.noteLoad(x, resp)
--- a/pipeline/replay_test.go
+++ b/pipeline/replay_test.go
@@ -220,7 +220,7 @@
 	engines[d.Endpoint.Name].submit(run)
 	<-run.first
 	late = time.Since(began) > replayTarget
-	router.Learn(d, time.Now())
+	router.ObserveFirstToken(d, time.Now())
 	d.ReleasePrompt()
 	<-run.ended
 	router.Release(d)
--- a/routing/pace_test.go
+++ b/routing/pace_test.go
@@ -72,7 +72,7 @@
 	for range 60 {
 		d, err := r.Pick(&Request{Unit: "m", PromptTokens: 1000, Now: testNow})
 		require.NoError(t, err)
-		r.Learn(&d, testNow.Add(firstStep+20*time.Millisecond))
+		r.ObserveFirstToken(&d, testNow.Add(firstStep+20*time.Millisecond))
 		r.Release(&d)
 	}
 	require.InDelta(t, float64(20*time.Millisecond), float64(r.paces.work("m", 1000)), float64(time.Millisecond))
@@ -99,7 +99,7 @@
 	for range 4 {
 		d, err := r.Pick(&Request{Unit: "m/a1", Model: "m", PromptTokens: 1000, Now: testNow})
 		require.NoError(t, err)
-		r.Learn(&d, testNow.Add(firstStep+10*time.Millisecond))
+		r.ObserveFirstToken(&d, testNow.Add(firstStep+10*time.Millisecond))
 		r.Release(&d)
 	}
 	require.InDelta(t, 0.2, float64(r.paces.token("m"))/float64(assumedTokenTime), 0.05)
@@ -163,7 +163,7 @@
 	require.NoError(t, err)
 	require.True(t, d.Late)
 	learned := r.paces.token("m")
-	r.Learn(&d, testNow.Add(10*time.Second))
+	r.ObserveFirstToken(&d, testNow.Add(10*time.Second))
 	require.Equal(t, learned, r.paces.token("m"), "what went behind others says nothing of the pace")
 }
 
--- a/routing/router.go
+++ b/routing/router.go
@@ -163,9 +163,9 @@
 	d.Work = 0
 }
 
-// Learn takes the time at which the first token of an attempt has come. One that was
+// ObserveFirstToken takes the time at which the first token of an attempt has come. One that was
 // late went behind others at the endpoint, so it says nothing.
-func (r *Router) Learn(d *Decision, now time.Time) {
+func (r *Router) ObserveFirstToken(d *Decision, now time.Time) {
 	if d.Late {
 		return
 	}
