--- a/admission/gate.go
+++ b/admission/gate.go
@@ -48,7 +48,7 @@
 		case err := <-answer:
 			return err
 		case <-expiry.C:
-			g.Kick()
+			g.Wake()
 		case <-ctx.Done():
 			return g.leave(ctx, w, answer)
 		}
@@ -84,9 +84,9 @@
 	return <-answer
 }
 
-// Kick admits whoever can be admitted now. It is called when a place may have
+// Wake admits whoever can be admitted now. It is called when a place may have
 // become free.
-func (g *Gate) Kick() {
+func (g *Gate) Wake() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.kick()
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -126,7 +126,7 @@
 		go enter("served", time.Minute, t.Context())
 		synctest.Wait()
 		free = true
-		g.Kick()
+		g.Wake()
 		require.NoError(t, <-results)
 		require.NoError(t, g.Enter(t.Context(), &Waiter{ID: "at once", Unit: "u"}, take))
 	})
--- a/pipeline/admit.go
+++ b/pipeline/admit.go
@@ -40,7 +40,7 @@
 // Kick lets every gate admit whoever can be admitted now.
 func (g *Gates) Kick() {
 	g.gates.Range(func(_, gate any) bool {
-		gate.(*admission.Gate).Kick()
+		gate.(*admission.Gate).Wake()
 		return true
 	})
 }
