--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -301,7 +301,7 @@
 		done: &i.done, stopping: i.draining.Load, running: map[string]*cellDuty{},
 	}
 	view := &viewDuty{
-		events: i.events, router: i.router, log: i.log, now: i.deps.Now, kick: i.gates.Kick, cells: i.cells.update,
+		events: i.events, router: i.router, log: i.log, now: i.deps.Now, kick: i.gates.Wake, cells: i.cells.update,
 		list: membership.NewList(), endpoints: map[string]*routing.Endpoint{}, residency: newResidency(), withdrawnUntil: map[string]withdrawal{},
 		catalog: i.adopt, peers: i.peers.members,
 	}
@@ -349,7 +349,7 @@
 			continue
 		}
 		wait.For(ctx, kickInterval)
-		gates.Kick()
+		gates.Wake()
 	}
 }
 
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -170,7 +170,7 @@
 	n.permits = newPermits(cfg.Instance, n.router, log, n.now)
 	n.router.SetPermits(n.permits.local)
 	n.mesh = n.newMesh()
-	n.permits.connect(n.mesh, n.gates.Kick)
+	n.permits.connect(n.mesh, n.gates.Wake)
 	n.relays = &relays{
 		instance: n.cfg.Instance, domain: n.cfg.FailureDomain, address: n.mesh.self.Streams,
 		fleet: n.mesh.fleet, reached: n.mesh.streamsOf, holds: n.mesh.holds, holderTells: n.mesh.holderTells, storeAnswers: n.storeAnswers, vouch: n.vouchFor, heard: n.vouchedFor, feed: relay.NewFeed(n.mesh.process),
@@ -418,7 +418,7 @@
 	n.entriesApplied = newApplied(entryInputs.Added, n.now)
 	view := &viewDuty{
 		applied: n.eventsApplied,
-		events:  n.events, router: n.router, log: n.log, now: n.now, kick: n.gates.Kick,
+		events:  n.events, router: n.router, log: n.log, now: n.now, kick: n.gates.Wake,
 		cells: n.placers.update, peers: func(*membership.List) {},
 		list: membership.NewList(), endpoints: map[string]*routing.Endpoint{}, residency: newResidency(), withdrawnUntil: map[string]withdrawal{},
 		catalog: n.adopt, leaving: n.mesh.withdraw, listed: n.mesh.endpoints.Store, differs: n.mesh.listsOthers,
--- a/daemon/wake.go
+++ b/daemon/wake.go
@@ -34,7 +34,7 @@
 	n.control.Close()
 	n.overdue()
 	n.mesh.hurry()
-	n.gates.Kick()
+	n.gates.Wake()
 }
 
 // wake acts on suspensions that the clock notices, as Node.wake does. Calls to the
@@ -51,7 +51,7 @@
 		i.engine.Close()
 		i.control.Close()
 		i.overdue()
-		i.gates.Kick()
+		i.gates.Wake()
 	}
 }
 
--- a/pipeline/admit.go
+++ b/pipeline/admit.go
@@ -37,8 +37,8 @@
 	return gate.(*admission.Gate)
 }
 
-// Kick lets every gate admit whoever can be admitted now.
-func (g *Gates) Kick() {
+// Wake lets every gate admit whoever can be admitted now.
+func (g *Gates) Wake() {
 	g.gates.Range(func(_, gate any) bool {
 		gate.(*admission.Gate).Wake()
 		return true
--- a/pipeline/replay_test.go
+++ b/pipeline/replay_test.go
@@ -175,7 +175,7 @@
 			time.Sleep(replayOffset / 2)
 			for ctx.Err() == nil {
 				time.Sleep(replayKick)
-				gates.Kick()
+				gates.Wake()
 			}
 		}()
 		var mu sync.Mutex
