--- a/pipeline/refusals.go
+++ b/pipeline/refusals.go
@@ -29,8 +29,8 @@
 	maxFresh    = 32
 )
 
-// Mark is the short form of a request's identity across attempts; 0 for none.
-func Mark(session string) uint32 {
+// SessionHash is the short form of a request's identity across attempts; 0 for none.
+func SessionHash(session string) uint32 {
 	if session == "" {
 		return 0
 	}
--- a/pipeline/refusals_test.go
+++ b/pipeline/refusals_test.go
@@ -10,14 +10,14 @@
 func TestRefusalsAreRememberedForAWhile(t *testing.T) {
 	var r Refusals
 	now := time.Unix(1000, 0)
-	r.note(now, Mark("a"))
-	r.Hear(now, []uint32{Mark("b")})
-	require.True(t, r.again(now, Mark("a")))
-	require.True(t, r.again(now.Add(time.Second), Mark("b")))
-	require.False(t, r.again(now, Mark("c")))
-	require.False(t, r.again(now.Add(refusalMemory), Mark("a")))
-	require.False(t, r.again(now, Mark("")), "a request without an identity is never known")
-	require.Equal(t, []uint32{Mark("a")}, r.Take(), "only own ones are told")
+	r.note(now, SessionHash("a"))
+	r.Hear(now, []uint32{SessionHash("b")})
+	require.True(t, r.again(now, SessionHash("a")))
+	require.True(t, r.again(now.Add(time.Second), SessionHash("b")))
+	require.False(t, r.again(now, SessionHash("c")))
+	require.False(t, r.again(now.Add(refusalMemory), SessionHash("a")))
+	require.False(t, r.again(now, SessionHash("")), "a request without an identity is never known")
+	require.Equal(t, []uint32{SessionHash("a")}, r.Take(), "only own ones are told")
 	require.Empty(t, r.Take())
 }
 
