--- a/pipeline/admit.go
+++ b/pipeline/admit.go
@@ -86,7 +86,7 @@
 // Process implements Filter. It adds an attempt with its reserved place.
 func (f admit) Process(ctx context.Context, x *Exchange) error {
 	now := f.now()
-	x.again = f.refusals.again(now, x.Call.Mark)
+	x.again = f.refusals.again(now, x.Call.SessionHash)
 	req := routing.Request{
 		ID: x.ID, Unit: x.Target.Unit, Model: x.Target.Model, Pool: x.Target.Pool,
 		FailureDomain: f.failureDomain, Excluded: x.tried(),
@@ -115,7 +115,7 @@
 		w.Bounded, w.MostAhead = true, placesUntil(w.StartBy.Sub(now), perSecond)
 	}
 	if err := f.gates.Pool(x.Target.Pool).Enter(ctx, w, take); err != nil {
-		f.refusals.note(f.now(), x.Call.Mark)
+		f.refusals.note(f.now(), x.Call.SessionHash)
 		refusal := refusalOf(err, pickErr)
 		if limited {
 			refusal.RetryAfter = spread(max(refusal.RetryAfter, permitRetryAfter(perSecond)))
--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -32,9 +32,9 @@
 	// Regions are those in which the request may be served by what it asks for; empty means
 	// all.
 	Regions []string
-	// Mark is the request's identity across its attempts, as Mark makes it; 0 if
+	// SessionHash is the request's identity across its attempts, as SessionHash makes it; 0 if
 	// the caller does not tell.
-	Mark uint32
+	SessionHash uint32
 	// PromptTokens and OutputTokens are the length of the prompt and the most
 	// that may be generated; 0 where the caller does not say.
 	PromptTokens, OutputTokens int64
