--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -294,7 +294,7 @@
 		m.shareTotals(p.Totals)
 	}
 	if len(p.Refused) > 0 && p.From != m.instance {
-		m.refusals.Hear(m.now(), p.Refused)
+		m.refusals.RecordRemote(m.now(), p.Refused)
 		m.passOn(p.Refused)
 	}
 	if p.From != m.instance && len(p.Placements) == 0 {
--- a/pipeline/refusals.go
+++ b/pipeline/refusals.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Hear records refusals at other instances.
-func (r *Refusals) Hear(now time.Time, marks []uint32) {
+// RecordRemote records refusals at other instances.
+func (r *Refusals) RecordRemote(now time.Time, marks []uint32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, mark := range marks {
--- a/pipeline/refusals_test.go
+++ b/pipeline/refusals_test.go
@@ -11,7 +11,7 @@
 	var r Refusals
 	now := time.Unix(1000, 0)
 	r.note(now, SessionHash("a"))
-	r.Hear(now, []uint32{SessionHash("b")})
+	r.RecordRemote(now, []uint32{SessionHash("b")})
 	require.True(t, r.again(now, SessionHash("a")))
 	require.True(t, r.again(now.Add(time.Second), SessionHash("b")))
 	require.False(t, r.again(now, SessionHash("c")))
