--- a/daemon/meshtell.go
+++ b/daemon/meshtell.go
@@ -208,7 +208,7 @@
 
 // summary is what this instance has under way and is asked for.
 func (m *mesh) summary() peer.Packet {
-	p := peer.Packet{Leaving: m.leaving(), Revision: m.revision(), Refused: m.refusals.Take()}
+	p := peer.Packet{Leaving: m.leaving(), Revision: m.revision(), Refused: m.refusals.TakeLocal()}
 	replaced := m.replaced()
 	p.Gone, p.GoneStarts = namesOf(replaced[:min(len(replaced), maxGone)])
 	for _, pool := range m.router.View().Pools {
--- a/pipeline/refusals.go
+++ b/pipeline/refusals.go
@@ -92,8 +92,8 @@
 	return known && now.Sub(at) < refusalMemory
 }
 
-// Take returns the refusals at this instance since the last call.
-func (r *Refusals) Take() []uint32 {
+// TakeLocal returns the refusals at this instance since the last call.
+func (r *Refusals) TakeLocal() []uint32 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fresh := r.fresh
--- a/pipeline/refusals_test.go
+++ b/pipeline/refusals_test.go
@@ -17,8 +17,8 @@
 	require.False(t, r.again(now, SessionHash("c")))
 	require.False(t, r.again(now.Add(refusalMemory), SessionHash("a")))
 	require.False(t, r.again(now, SessionHash("")), "a request without an identity is never known")
-	require.Equal(t, []uint32{SessionHash("a")}, r.Take(), "only own ones are told")
-	require.Empty(t, r.Take())
+	require.Equal(t, []uint32{SessionHash("a")}, r.TakeLocal(), "only own ones are told")
+	require.Empty(t, r.TakeLocal())
 }
 
 func TestRefusalsAreBounded(t *testing.T) {
@@ -28,5 +28,5 @@
 		r.note(now, i+1)
 	}
 	require.LessOrEqual(t, len(r.at), maxRefusals)
-	require.Len(t, r.Take(), maxFresh)
+	require.Len(t, r.TakeLocal(), maxFresh)
 }
