--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -38,8 +38,8 @@
 	// PromptTokens and OutputTokens are the length of the prompt and the most
 	// that may be generated; 0 where the caller does not say.
 	PromptTokens, OutputTokens int64
-	// Patience is how long the caller waits; 0 means that it did not say.
-	Patience time.Duration
+	// Timeout is how long the caller waits; 0 means that it did not say.
+	Timeout time.Duration
 	// Key is the caller's idempotency key, or empty.
 	Key string
 	// Plain is set for a call below /services/.
@@ -152,8 +152,8 @@
 
 // timeout is how long the whole request may take.
 func (x *Exchange) timeout() time.Duration {
-	if x.Call.Patience > 0 {
-		return min(x.Call.Patience, x.Target.Policy.Deadline)
+	if x.Call.Timeout > 0 {
+		return min(x.Call.Timeout, x.Target.Policy.Deadline)
 	}
 	return x.Target.Policy.Deadline
 }
--- a/pipeline/waiting_test.go
+++ b/pipeline/waiting_test.go
@@ -41,7 +41,7 @@
 	require.Equal(t, 12*time.Second, after(patient, false))
 
 	hurried := engineExchange()
-	hurried.Call.Patience = 300 * time.Millisecond
+	hurried.Call.Timeout = 300 * time.Millisecond
 	require.Equal(t, 300*time.Millisecond, after(hurried, false))
 	require.Equal(t, 300*time.Millisecond, after(hurried, true))
 
