--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -123,8 +123,8 @@
 	x.Target.Policy.Priority = c.Priority(x.Caller.Priority, x.Target.Policy.Priority)
 }
 
-// Identified records whose request it is, once Target is known.
-func (x *Exchange) Identified(who settings.Identity, c *settings.Catalog) {
+// SetCaller records whose request it is, once Target is known.
+func (x *Exchange) SetCaller(who settings.Identity, c *settings.Catalog) {
 	x.Caller = who
 	x.applyPriority(c)
 }
