--- a/daemon/node.go
+++ b/daemon/node.go
@@ -319,7 +319,7 @@
 	dialect := n.ports.Callers(n.catalog.Load, pipeline.Authenticator{Current: n.rights.current})
 	handler := pipeline.New(pipeline.Config{
 		Dialect: dialect, Catalog: n.catalog.Load, Router: n.router, Gates: n.gates, Engine: n.engine, Retries: n.retries,
-		Demand: n.mesh.demand, Refusals: n.mesh.refusals, Unreachable: n.mesh.hurry,
+		Demand: n.mesh.demand, Refusals: n.mesh.refusals, OnNoReplica: n.mesh.hurry,
 		Metrics: pipeline.NewMetrics(n.vars), Log: n.log, Now: n.now, FailureDomain: n.cfg.FailureDomain,
 		Outdated: n.mesh.outdated, Revisions: n.revisions, EndpointsAgeMS: n.endpointsAgeMS, Quarantine: n.quarantine, Allowances: n.allowances.local, Permits: n.permits.local,
 	})
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -45,8 +45,8 @@
 	Demand *Demand
 	// Refusals remembers who was refused; nil remembers nobody.
 	Refusals *Refusals
-	// Unreachable is told when a request finds no replica of its unit.
-	Unreachable func()
+	// OnNoReplica is told when a request finds no replica of its unit.
+	OnNoReplica func()
 	// EndpointsAgeMS is how long ago it was certain which endpoints leave, in
 	// milliseconds and for the log; -1 if it never was. Nil means always certain.
 	EndpointsAgeMS func() int64
@@ -85,8 +85,8 @@
 	if cfg.Retries == nil {
 		cfg.Retries = NewRetryBudgets(DefaultRetryLimits)
 	}
-	if cfg.Unreachable == nil {
-		cfg.Unreachable = func() {}
+	if cfg.OnNoReplica == nil {
+		cfg.OnNoReplica = func() {}
 	}
 	if cfg.Outdated == nil {
 		cfg.Outdated = func() bool { return false }
@@ -100,7 +100,7 @@
 		deadlines: deadlines{now: cfg.Now, ends: map[*Exchange]context.CancelFunc{}},
 		prepare:   cfg.Dialect.Prepare(),
 		attempt: []Filter{
-			admit{gates: cfg.Gates, router: cfg.Router, failureDomain: cfg.FailureDomain, unreachable: cfg.Unreachable, refusals: cfg.Refusals, now: cfg.Now},
+			admit{gates: cfg.Gates, router: cfg.Router, failureDomain: cfg.FailureDomain, unreachable: cfg.OnNoReplica, refusals: cfg.Refusals, now: cfg.Now},
 			route{log: cfg.Log, endpointsAgeMS: cfg.EndpointsAgeMS}, dispatch{client: cfg.Engine, retries: cfg.Retries, router: cfg.Router, limits: limits, now: cfg.Now},
 			relay{client: cfg.Engine, dialect: cfg.Dialect, now: cfg.Now},
 		},
