--- a/daemon/node.go
+++ b/daemon/node.go
@@ -321,7 +321,7 @@
 		Dialect: dialect, Catalog: n.catalog.Load, Router: n.router, Gates: n.gates, Engine: n.engine, Retries: n.retries,
 		Demand: n.mesh.demand, Refusals: n.mesh.refusals, OnNoReplica: n.mesh.hurry,
 		Metrics: pipeline.NewMetrics(n.vars), Log: n.log, Now: n.now, FailureDomain: n.cfg.FailureDomain,
-		Outdated: n.mesh.outdated, Revisions: n.revisions, EndpointsAgeMS: n.endpointsAgeMS, Quarantine: n.quarantine, Allowances: n.allowances.local, Permits: n.permits.local,
+		SettingsOutdated: n.mesh.outdated, Revisions: n.revisions, EndpointsAgeMS: n.endpointsAgeMS, Quarantine: n.quarantine, Allowances: n.allowances.local, Permits: n.permits.local,
 	})
 	n.overdue = handler.EndOverdue
 	for _, s := range []struct {
--- a/pipeline/outdated_test.go
+++ b/pipeline/outdated_test.go
@@ -18,7 +18,7 @@
 // got 404 for a route that was there.
 func TestUnknownNameIsNotRejectedByOldSettings(t *testing.T) {
 	outdated := false
-	p := &Pipeline{cfg: Config{Outdated: func() bool { return outdated }}}
+	p := &Pipeline{cfg: Config{SettingsOutdated: func() bool { return outdated }}}
 	unknown := &ResolveError{Name: "m"}
 	require.Equal(t, unknown, p.unlessOutdated(unknown))
 	outdated = true
@@ -38,7 +38,7 @@
 	var line string
 	log := funcr.New(func(_, args string) { line = args }, funcr.Options{})
 	f := settle{log: log, metrics: NewMetrics(vars), now: time.Now}
-	p := &Pipeline{cfg: Config{Outdated: func() bool { return true }, Revisions: func() Revisions { return Revisions{InForce: 6, Newest: 7} }}}
+	p := &Pipeline{cfg: Config{SettingsOutdated: func() bool { return true }, Revisions: func() Revisions { return Revisions{InForce: 6, Newest: 7} }}}
 	x := &Exchange{Received: time.Now(), Request: httptest.NewRequest(http.MethodGet, "/", nil)}
 	f.report(x, p.unlessOutdated(&ResolveError{Name: "m"}))
 	require.Equal(t, "1", vars.Get("requests_outdated").String())
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -50,9 +50,9 @@
 	// EndpointsAgeMS is how long ago it was certain which endpoints leave, in
 	// milliseconds and for the log; -1 if it never was. Nil means always certain.
 	EndpointsAgeMS func() int64
-	// Outdated tells whether newer settings are known to be accepted than those in force;
+	// SettingsOutdated tells whether newer settings are known to be accepted than those in force;
 	// nil means never.
-	Outdated func() bool
+	SettingsOutdated func() bool
 	// Revisions tells which settings that concerns; nil means that nobody knows.
 	Revisions func() Revisions
 	// Retries bounds second attempts; nil means DefaultRetryLimits.
@@ -88,8 +88,8 @@
 	if cfg.OnNoReplica == nil {
 		cfg.OnNoReplica = func() {}
 	}
-	if cfg.Outdated == nil {
-		cfg.Outdated = func() bool { return false }
+	if cfg.SettingsOutdated == nil {
+		cfg.SettingsOutdated = func() bool { return false }
 	}
 	if cfg.EndpointsAgeMS == nil {
 		cfg.EndpointsAgeMS = func() int64 { return 0 }
@@ -159,7 +159,7 @@
 
 // unlessOutdated says of a name that is not known whether newer settings may know it.
 func (p *Pipeline) unlessOutdated(err error) error {
-	if unknown := (*ResolveError)(nil); errors.As(err, &unknown) && p.cfg.Outdated() {
+	if unknown := (*ResolveError)(nil); errors.As(err, &unknown) && p.cfg.SettingsOutdated() {
 		return &OutdatedError{Name: unknown.Name, Revisions: p.revisions()}
 	}
 	return err
