--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -237,7 +237,7 @@
 		Engine: i.engine, Metrics: pipeline.NewMetrics(i.vars), Log: i.log, Now: i.deps.Now,
 		FailureDomain: i.cfg.FailureDomain, Quarantine: i.quarantine, Allowances: i.allowances,
 	})
-	i.overdue = handler.EndOverdue
+	i.overdue = handler.CancelOverdue
 	i.callers = i.server(i.closing(i.guard(dialect, dialect.WithModels(handler))))
 	i.idle = newIdleConns(i.log, i.deps.Now, func() time.Duration { return milliseconds(i.cfg.Limits.IdleMS) })
 	i.operators = i.server(i.operatorHandler())
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -323,7 +323,7 @@
 		Metrics: pipeline.NewMetrics(n.vars), Log: n.log, Now: n.now, FailureDomain: n.cfg.FailureDomain,
 		SettingsOutdated: n.mesh.outdated, Revisions: n.revisions, EndpointsAgeMS: n.endpointsAgeMS, Quarantine: n.quarantine, Allowances: n.allowances.local, Permits: n.permits.local,
 	})
-	n.overdue = handler.EndOverdue
+	n.overdue = handler.CancelOverdue
 	for _, s := range []struct {
 		into    **nodeServer
 		address string
--- a/pipeline/overdue.go
+++ b/pipeline/overdue.go
@@ -31,8 +31,8 @@
 	delete(d.ends, x)
 }
 
-// EndOverdue ends the requests whose deadline has passed.
-func (p *Pipeline) EndOverdue() {
+// CancelOverdue ends the requests whose deadline has passed.
+func (p *Pipeline) CancelOverdue() {
 	d := &p.deadlines
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/pipeline/overdue_test.go
+++ b/pipeline/overdue_test.go
@@ -38,14 +38,14 @@
 		p.ServeHTTP(w, r)
 	}()
 	<-asked
-	p.EndOverdue()
+	p.CancelOverdue()
 	select {
 	case <-done:
 		t.Fatal("ended before its deadline")
 	default:
 	}
 	slept.Store(int64(24 * time.Hour))
-	p.EndOverdue()
+	p.CancelOverdue()
 	<-done
 	require.Equal(t, http.StatusGatewayTimeout, w.Code)
 	require.Contains(t, w.Body.String(), CodeOutcomeUnknown)
