--- a/daemon/retryshare_test.go
+++ b/daemon/retryshare_test.go
@@ -38,7 +38,7 @@
 	now := len(f.requests) - 1
 	f.requests[now] += float64(requests)
 	for range requests {
-		f.budgets[i].Earn(retryPool)
+		f.budgets[i].Deposit(retryPool)
 	}
 	for greedy && f.budgets[i].Spend(retryPool) {
 		f.retries[now]++
--- a/pipeline/budget.go
+++ b/pipeline/budget.go
@@ -55,8 +55,8 @@
 	return credit.(*atomic.Int64)
 }
 
-// Earn records a first try.
-func (b *RetryBudgets) Earn(pool string) {
+// Deposit records a first try.
+func (b *RetryBudgets) Deposit(pool string) {
 	l := b.limits.Load()
 	credit := b.pool(pool)
 	for {
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -193,7 +193,7 @@
 	if err := (claimKey{claims: p.cfg.Claims}).Process(ctx, x); err != nil {
 		return err
 	}
-	p.retries.Earn(x.Target.Pool)
+	p.retries.Deposit(x.Target.Pool)
 	p.cfg.Demand.asked(x)
 	for {
 		err := p.try(ctx, x)
