--- a/daemon/retryshare_test.go
+++ b/daemon/retryshare_test.go
@@ -40,7 +40,7 @@
 	for range requests {
 		f.budgets[i].Deposit(retryPool)
 	}
-	for greedy && f.budgets[i].Spend(retryPool) {
+	for greedy && f.budgets[i].TryWithdraw(retryPool) {
 		f.retries[now]++
 	}
 }
--- a/pipeline/budget.go
+++ b/pipeline/budget.go
@@ -71,8 +71,8 @@
 // Left tells whether a retry can be paid for.
 func (b *RetryBudgets) Left(pool string) bool { return b.pool(pool).Load() >= creditCost }
 
-// Spend takes one retry; it reports whether there was one.
-func (b *RetryBudgets) Spend(pool string) bool {
+// TryWithdraw takes one retry; it reports whether there was one.
+func (b *RetryBudgets) TryWithdraw(pool string) bool {
 	credit := b.pool(pool)
 	for {
 		n := credit.Load()
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -323,7 +323,7 @@
 		// Nothing has reached an endpoint, so none is burdened by the retry.
 		return true
 	}
-	return p.retries.Spend(x.Target.Pool)
+	return p.retries.TryWithdraw(x.Target.Pool)
 }
 
 func run(ctx context.Context, filters []Filter, x *Exchange) error {
