--- a/pipeline/budget.go
+++ b/pipeline/budget.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// Left tells whether a retry can be paid for.
-func (b *RetryBudgets) Left(pool string) bool { return b.pool(pool).Load() >= creditCost }
+// CanRetry tells whether a retry can be paid for.
+func (b *RetryBudgets) CanRetry(pool string) bool { return b.pool(pool).Load() >= creditCost }
 
 // TryWithdraw takes one retry; it reports whether there was one.
 func (b *RetryBudgets) TryWithdraw(pool string) bool {
--- a/pipeline/dispatch.go
+++ b/pipeline/dispatch.go
@@ -73,7 +73,7 @@
 // endpoint's failure on.
 func (f dispatch) better(x *Exchange, resp *http.Response) bool {
 	return resp.StatusCode >= http.StatusInternalServerError &&
-		x.Target.Policy.Repeatable && x.triesLeft() && f.retries.Left(x.Target.Pool)
+		x.Target.Policy.Repeatable && x.triesLeft() && f.retries.CanRetry(x.Target.Pool)
 }
 
 // rank is the priority of the newest attempt at its endpoint: one that cannot be in
