--- a/pipeline/dialect.go
+++ b/pipeline/dialect.go
@@ -4,9 +4,9 @@
 
 // Dialect is how callers ask and how they are answered.
 type Dialect interface {
-	// Prepare returns the filters that find out what is asked. Together they
+	// PrepareFilters returns the filters that find out what is asked. Together they
 	// set Call, Caller and Target of the exchange.
-	Prepare() []Filter
+	PrepareFilters() []Filter
 	// Head completes the end-to-end headers of an answer that is passed on.
 	Head(h http.Header, x *Exchange)
 	// Refuse gives the caller a failure as a whole answer.
--- a/pipeline/openai.go
+++ b/pipeline/openai.go
@@ -26,8 +26,8 @@
 	return &OpenAI{auth: authenticate{catalog: catalog}, catalog: catalog, maxBody: maxBody}
 }
 
-// Prepare implements Dialect.
-func (d *OpenAI) Prepare() []Filter {
+// PrepareFilters implements Dialect.
+func (d *OpenAI) PrepareFilters() []Filter {
 	return []Filter{decode{maxBody: d.maxBody}, d.auth, resolve{catalog: d.catalog}}
 }
 
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -98,7 +98,7 @@
 	return &Pipeline{
 		cfg:       cfg,
 		deadlines: deadlines{now: cfg.Now, ends: map[*Exchange]context.CancelFunc{}},
-		prepare:   cfg.Dialect.Prepare(),
+		prepare:   cfg.Dialect.PrepareFilters(),
 		attempt: []Filter{
 			admit{gates: cfg.Gates, router: cfg.Router, failureDomain: cfg.FailureDomain, unreachable: cfg.OnNoReplica, refusals: cfg.Refusals, now: cfg.Now},
 			route{log: cfg.Log, endpointsAgeMS: cfg.EndpointsAgeMS}, dispatch{client: cfg.Engine, retries: cfg.Retries, router: cfg.Router, limits: limits, now: cfg.Now},
