--- a/pipeline/dialect.go
+++ b/pipeline/dialect.go
@@ -7,8 +7,8 @@
 	// PrepareFilters returns the filters that find out what is asked. Together they
 	// set Call, Caller and Target of the exchange.
 	PrepareFilters() []Filter
-	// Head completes the end-to-end headers of an answer that is passed on.
-	Head(h http.Header, x *Exchange)
+	// SetHeaders completes the end-to-end headers of an answer that is passed on.
+	SetHeaders(h http.Header, x *Exchange)
 	// Refuse gives the caller a failure as a whole answer.
 	Refuse(w http.ResponseWriter, a Answer)
 	// Interrupt tells the caller of an event stream, of which a part was
--- a/pipeline/openai.go
+++ b/pipeline/openai.go
@@ -31,8 +31,8 @@
 	return []Filter{decode{maxBody: d.maxBody}, d.auth, resolve{catalog: d.catalog}}
 }
 
-// Head implements Dialect.
-func (d *OpenAI) Head(h http.Header, x *Exchange) { h.Set(engine.RequestIDHeader, x.ID) }
+// SetHeaders implements Dialect.
+func (d *OpenAI) SetHeaders(h http.Header, x *Exchange) { h.Set(engine.RequestIDHeader, x.ID) }
 
 type errorBody struct {
 	Error errorDetail `json:"error"`
--- a/pipeline/relay.go
+++ b/pipeline/relay.go
@@ -273,7 +273,7 @@
 	if resp.ContentLength >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
 	}
-	d.Head(h, x)
+	d.SetHeaders(h, x)
 	// What has begun to be answered is not cancelled when its fingerprint is held back.
 	x.flight.End()
 	x.Writer.WriteHeader(resp.StatusCode)
