--- a/pipeline/dialect.go
+++ b/pipeline/dialect.go
@@ -9,8 +9,8 @@
 	PrepareFilters() []Filter
 	// SetHeaders completes the end-to-end headers of an answer that is passed on.
 	SetHeaders(h http.Header, x *Exchange)
-	// Refuse gives the caller a failure as a whole answer.
-	Refuse(w http.ResponseWriter, a Answer)
+	// WriteFailure gives the caller a failure as a whole answer.
+	WriteFailure(w http.ResponseWriter, a Answer)
 	// Interrupt tells the caller of an event stream, of which a part was
 	// passed on, that it broke. It reports false if the dialect has no way to
 	// tell but to cut the connection.
--- a/pipeline/openai.go
+++ b/pipeline/openai.go
@@ -50,8 +50,8 @@
 	return body
 }
 
-// Refuse implements Dialect.
-func (d *OpenAI) Refuse(w http.ResponseWriter, a Answer) {
+// WriteFailure implements Dialect.
+func (d *OpenAI) WriteFailure(w http.ResponseWriter, a Answer) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	switch {
@@ -106,7 +106,7 @@
 	catalog := d.catalog()
 	caller, err := d.auth.Identify(r, catalog, true)
 	if err != nil {
-		d.Refuse(w, classify(err).Answer())
+		d.WriteFailure(w, classify(err).Answer())
 		return
 	}
 	list := modelList{Object: "list", Data: []modelItem{}}
--- a/pipeline/settle.go
+++ b/pipeline/settle.go
@@ -107,7 +107,7 @@
 // other answer is cut so that the caller sees it broken.
 func (f settle) answer(x *Exchange, a Answer) {
 	if !x.reached {
-		f.dialect.Refuse(x.Writer, a)
+		f.dialect.WriteFailure(x.Writer, a)
 		return
 	}
 	stream := strings.HasPrefix(x.Writer.Header().Get("Content-Type"), eventStreamType)
@@ -118,5 +118,5 @@
 
 // RefuseNotRun answers a request that was not let into the pipeline.
 func RefuseNotRun(d Dialect, w http.ResponseWriter, message string) {
-	d.Refuse(w, Answer{Status: http.StatusServiceUnavailable, Code: CodeNotRun, Message: message, RetryAfter: defaultRetryAfter})
+	d.WriteFailure(w, Answer{Status: http.StatusServiceUnavailable, Code: CodeNotRun, Message: message, RetryAfter: defaultRetryAfter})
 }
