--- a/pipeline/dialect.go
+++ b/pipeline/dialect.go
@@ -11,10 +11,10 @@
 	SetHeaders(h http.Header, x *Exchange)
 	// WriteFailure gives the caller a failure as a whole answer.
 	WriteFailure(w http.ResponseWriter, a Answer)
-	// Interrupt tells the caller of an event stream, of which a part was
+	// WriteStreamError tells the caller of an event stream, of which a part was
 	// passed on, that it broke. It reports false if the dialect has no way to
 	// tell but to cut the connection.
-	Interrupt(w http.ResponseWriter, a Answer) bool
+	WriteStreamError(w http.ResponseWriter, a Answer) bool
 	// EndMarker is the data of the event that ends a whole stream; nil means
 	// that a stream is whole when its body ends without an error.
 	EndMarker() []byte
--- a/pipeline/openai.go
+++ b/pipeline/openai.go
@@ -65,9 +65,9 @@
 	_, _ = w.Write(append(encodeError(a), '\n'))
 }
 
-// Interrupt implements Dialect: an error event stands in place of the
+// WriteStreamError implements Dialect: an error event stands in place of the
 // terminator.
-func (d *OpenAI) Interrupt(w http.ResponseWriter, a Answer) bool {
+func (d *OpenAI) WriteStreamError(w http.ResponseWriter, a Answer) bool {
 	_, _ = w.Write([]byte("event: error\ndata: " + string(encodeError(a)) + "\n\n"))
 	_ = http.NewResponseController(w).Flush()
 	return true
--- a/pipeline/settle.go
+++ b/pipeline/settle.go
@@ -111,7 +111,7 @@
 		return
 	}
 	stream := strings.HasPrefix(x.Writer.Header().Get("Content-Type"), eventStreamType)
-	if !stream || !f.dialect.Interrupt(x.Writer, a) {
+	if !stream || !f.dialect.WriteStreamError(x.Writer, a) {
 		panic(http.ErrAbortHandler)
 	}
 }
