--- a/pipeline/dialect.go
+++ b/pipeline/dialect.go
@@ -15,7 +15,7 @@
 	// passed on, that it broke. It reports false if the dialect has no way to
 	// tell but to cut the connection.
 	WriteStreamError(w http.ResponseWriter, a Answer) bool
-	// EndMarker is the data of the event that ends a whole stream; nil means
+	// StreamTerminator is the data of the event that ends a whole stream; nil means
 	// that a stream is whole when its body ends without an error.
-	EndMarker() []byte
+	StreamTerminator() []byte
 }
--- a/pipeline/openai.go
+++ b/pipeline/openai.go
@@ -73,8 +73,8 @@
 	return true
 }
 
-// EndMarker implements Dialect.
-func (d *OpenAI) EndMarker() []byte { return doneMarker }
+// StreamTerminator implements Dialect.
+func (d *OpenAI) StreamTerminator() []byte { return doneMarker }
 
 // doneMarker is the data of the event that ends an OpenAI stream.
 var doneMarker = []byte("[DONE]")
--- a/pipeline/relay.go
+++ b/pipeline/relay.go
@@ -208,7 +208,7 @@
 	if err != io.EOF {
 		return err
 	}
-	if s.dialect.EndMarker() != nil || len(s.pending) > 0 || !s.exchange.reached {
+	if s.dialect.StreamTerminator() != nil || len(s.pending) > 0 || !s.exchange.reached {
 		return errTruncated
 	}
 	return nil
@@ -221,7 +221,7 @@
 		}
 		return
 	}
-	if value, ok := bytes.CutPrefix(line, dataField); ok && s.dialect.EndMarker() != nil && bytes.Equal(bytes.TrimSpace(value), s.dialect.EndMarker()) {
+	if value, ok := bytes.CutPrefix(line, dataField); ok && s.dialect.StreamTerminator() != nil && bytes.Equal(bytes.TrimSpace(value), s.dialect.StreamTerminator()) {
 		s.done = true
 	}
 }
