--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -281,7 +281,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		current := i.heard.fresh() || i.settings.confirm(r.Context())
 		if i.catalog.Load() == nil || !current {
-			pipeline.RefuseNotRun(d, w, "the instance has no current settings")
+			pipeline.WriteNotRun(d, w, "the instance has no current settings")
 			return
 		}
 		next.ServeHTTP(w, r)
--- a/daemon/nodefront.go
+++ b/daemon/nodefront.go
@@ -17,9 +17,9 @@
 		catalog := n.catalog.Load()
 		switch {
 		case catalog == nil:
-			pipeline.RefuseNotRun(d, w, "no settings are known yet")
+			pipeline.WriteNotRun(d, w, "no settings are known yet")
 		case n.takesNoMore():
-			pipeline.RefuseNotRun(d, w, "the instance is stopping")
+			pipeline.WriteNotRun(d, w, "the instance is stopping")
 		case headerBytes(r) > catalog.Tree.Edge.Limits.HeaderBytes:
 			http.Error(w, "the header is too large", http.StatusRequestHeaderFieldsTooLarge)
 		default:
--- a/pipeline/settle.go
+++ b/pipeline/settle.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// RefuseNotRun answers a request that was not let into the pipeline.
-func RefuseNotRun(d Dialect, w http.ResponseWriter, message string) {
+// WriteNotRun answers a request that was not let into the pipeline.
+func WriteNotRun(d Dialect, w http.ResponseWriter, message string) {
 	d.WriteFailure(w, Answer{Status: http.StatusServiceUnavailable, Code: CodeNotRun, Message: message, RetryAfter: defaultRetryAfter})
 }
