--- a/daemon/node.go
+++ b/daemon/node.go
@@ -316,7 +316,7 @@
 func (n *Node) holder() string { return n.cfg.Instance + "/" + n.mesh.process }
 
 func (n *Node) listen() error {
-	dialect := n.ports.Callers(n.catalog.Load, pipeline.Authenticator{Current: n.rights.current})
+	dialect := n.ports.Callers(n.catalog.Load, pipeline.Authenticator{TokensCurrent: n.rights.current})
 	handler := pipeline.New(pipeline.Config{
 		Dialect: dialect, Catalog: n.catalog.Load, Router: n.router, Gates: n.gates, Engine: n.engine, Retries: n.retries,
 		Demand: n.mesh.demand, Refusals: n.mesh.refusals, OnNoReplica: n.mesh.hurry,
--- a/pipeline/authenticate.go
+++ b/pipeline/authenticate.go
@@ -10,10 +10,10 @@
 
 // Authenticator finds out whose request it is by its bearer token.
 type Authenticator struct {
-	// Current tells whether the callers' tokens in settings of a revision may still be
+	// TokensCurrent tells whether the callers' tokens in settings of a revision may still be
 	// gone by: an instance that does not hear of tokens that were taken away must not let
 	// their holders in. Nil means always.
-	Current func(revision int64) bool
+	TokensCurrent func(revision int64) bool
 }
 
 // Identify returns whose token the request carries. Where no token is needed, one that is
@@ -33,7 +33,7 @@
 	if len(fields) != 1 || len(fields[0]) < len(bearer) || !strings.EqualFold(fields[0][:len(bearer)], bearer) {
 		return settings.Identity{}, &AuthError{Status: http.StatusUnauthorized, Reason: "one bearer token is needed"}
 	}
-	if a.Current != nil && !a.Current(catalog.Revision) {
+	if a.TokensCurrent != nil && !a.TokensCurrent(catalog.Revision) {
 		return settings.Identity{}, &StaleError{}
 	}
 	who, known := catalog.Caller(fields[0][len(bearer):])
