--- a/pipeline/authenticate.go
+++ b/pipeline/authenticate.go
@@ -34,7 +34,7 @@
 		return settings.Identity{}, &AuthError{Status: http.StatusUnauthorized, Reason: "one bearer token is needed"}
 	}
 	if a.TokensCurrent != nil && !a.TokensCurrent(catalog.Revision) {
-		return settings.Identity{}, &StaleError{}
+		return settings.Identity{}, &StaleSettingsError{}
 	}
 	who, known := catalog.Caller(fields[0][len(bearer):])
 	if !known {
--- a/pipeline/errors.go
+++ b/pipeline/errors.go
@@ -90,15 +90,15 @@
 	return Answer{Status: e.Status, Code: code, Message: e.Reason, Field: "Authorization"}
 }
 
-// StaleError is a request with a token that this instance cannot go by now, as it does not
+// StaleSettingsError is a request with a token that this instance cannot go by now, as it does not
 // hear of tokens that were taken away. No endpoint has started it.
-type StaleError struct{}
+type StaleSettingsError struct{}
 
-func (e *StaleError) Error() string            { return "authenticate: the settings are not known to be current" }
-func (e *StaleError) Outcome() outcome.Outcome { return outcome.NotRun }
+func (e *StaleSettingsError) Error() string            { return "authenticate: the settings are not known to be current" }
+func (e *StaleSettingsError) Outcome() outcome.Outcome { return outcome.NotRun }
 
 // Answer implements Failure. Another instance may know.
-func (e *StaleError) Answer() Answer {
+func (e *StaleSettingsError) Answer() Answer {
 	return Answer{Status: http.StatusServiceUnavailable, Code: CodeNotRun, Message: e.Error(), RetryAfter: spread(staleRetryAfter)}
 }
 
--- a/pipeline/metrics.go
+++ b/pipeline/metrics.go
@@ -52,7 +52,7 @@
 // than those in force may know its name, or may have taken its key away.
 func (m *Metrics) countLate(err error) {
 	var outdated *OutdatedError
-	var stale *StaleError
+	var stale *StaleSettingsError
 	switch {
 	case errors.As(err, &outdated):
 		m.vars.Add("requests_outdated", 1)
--- a/pipeline/outdated_test.go
+++ b/pipeline/outdated_test.go
@@ -46,6 +46,6 @@
 	f.report(x, &ResolveError{Name: "m"})
 	require.Equal(t, "1", vars.Get("requests_outdated").String(), "a name that nobody knows")
 	require.Nil(t, vars.Get("requests_stale_keys"))
-	f.report(x, &StaleError{})
+	f.report(x, &StaleSettingsError{})
 	require.Equal(t, "1", vars.Get("requests_stale_keys").String())
 }
