--- a/pipeline/errors.go
+++ b/pipeline/errors.go
@@ -132,9 +132,9 @@
 	return Answer{Status: http.StatusNotFound, Code: codeNotFound, Message: fmt.Sprintf("no model or service %q", e.Name), Field: "model"}
 }
 
-// OutdatedError is a name that stands for nothing here, where newer settings are known to be
+// OutdatedSettingsError is a name that stands for nothing here, where newer settings are known to be
 // accepted. No endpoint has started the request.
-type OutdatedError struct {
+type OutdatedSettingsError struct {
 	Name      string
 	Revisions Revisions
 }
@@ -143,14 +143,14 @@
 // instance is known to have.
 type Revisions struct{ InForce, Newest int64 }
 
-func (e *OutdatedError) Error() string {
+func (e *OutdatedSettingsError) Error() string {
 	return fmt.Sprintf("resolve: nothing is named %q, and newer settings are not in force yet: revision %d of %d",
 		e.Name, e.Revisions.InForce, e.Revisions.Newest)
 }
-func (e *OutdatedError) Outcome() outcome.Outcome { return outcome.NotRun }
+func (e *OutdatedSettingsError) Outcome() outcome.Outcome { return outcome.NotRun }
 
 // Answer implements Failure. Another instance may know.
-func (e *OutdatedError) Answer() Answer {
+func (e *OutdatedSettingsError) Answer() Answer {
 	return Answer{Status: http.StatusServiceUnavailable, Code: CodeNotRun, Message: e.Error(), RetryAfter: spread(staleRetryAfter)}
 }
 
--- a/pipeline/metrics.go
+++ b/pipeline/metrics.go
@@ -51,7 +51,7 @@
 // countLate counts a request that was refused for what this instance knows late: newer settings
 // than those in force may know its name, or may have taken its key away.
 func (m *Metrics) countLate(err error) {
-	var outdated *OutdatedError
+	var outdated *OutdatedSettingsError
 	var stale *StaleSettingsError
 	switch {
 	case errors.As(err, &outdated):
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -160,7 +160,7 @@
 // unlessOutdated says of a name that is not known whether newer settings may know it.
 func (p *Pipeline) unlessOutdated(err error) error {
 	if unknown := (*ResolveError)(nil); errors.As(err, &unknown) && p.cfg.SettingsOutdated() {
-		return &OutdatedError{Name: unknown.Name, Revisions: p.revisions()}
+		return &OutdatedSettingsError{Name: unknown.Name, Revisions: p.revisions()}
 	}
 	return err
 }
--- a/pipeline/refused_test.go
+++ b/pipeline/refused_test.go
@@ -25,7 +25,7 @@
 	failures := []Failure{
 		&DecodeError{Status: http.StatusBadRequest}, &DecodeError{Status: http.StatusRequestEntityTooLarge},
 		&AuthError{Status: http.StatusUnauthorized}, &AuthError{Status: http.StatusForbidden}, &StaleSettingsError{},
-		&AllowanceError{RetryAfter: time.Second}, &ResolveError{}, &OutdatedError{}, &ClaimError{Err: cause}, &ClaimError{Reused: true, Err: cause},
+		&AllowanceError{RetryAfter: time.Second}, &ResolveError{}, &OutdatedSettingsError{}, &ClaimError{Err: cause}, &ClaimError{Reused: true, Err: cause},
 		&QuarantineError{Err: cause}, &RouteError{Err: routing.ErrNoOpenRegion}, &RouteError{Err: routing.ErrNoneLeft},
 		&DispatchError{NotStarted: true, Err: cause}, &DispatchError{TimedOut: true, Err: cause}, &DispatchError{Err: cause},
 		&RelayError{Err: cause}, &RelayError{TimedOut: true, Err: cause}, &RelayError{CallerGone: true, Err: cause},
