--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -139,7 +139,7 @@
 func (d *loadDuty) ask(ctx context.Context, e *routing.Endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	own := e.InFlight()
+	own := e.OwnInFlight()
 	report, err := d.client.Load(ctx, e.Name, e.Address)
 	if err != nil {
 		d.log.V(1).Info("load not reported", "endpoint", e.Name, "error", err.Error())
--- a/daemon/evacuated.go
+++ b/daemon/evacuated.go
@@ -93,7 +93,7 @@
 	}
 	for _, e := range n.router.View().ByName {
 		if slices.Contains(s.FailureDomains, e.FailureDomain) {
-			s.Running += e.InFlight()
+			s.Running += e.OwnInFlight()
 		}
 	}
 	return s
--- a/daemon/meshtell.go
+++ b/daemon/meshtell.go
@@ -216,7 +216,7 @@
 			if e.FailedSince(m.now().Add(-suspectTime)) && len(p.Suspects) < maxSuspects {
 				p.Suspects = append(p.Suspects, e.Name)
 			}
-			if n := e.InFlight(); n > 0 {
+			if n := e.OwnInFlight(); n > 0 {
 				p.Loads = append(p.Loads, peer.EndpointLoad{Endpoint: e.Name, Running: n, Prompt: e.PendingPromptWork().Microseconds()})
 			}
 		}
--- a/pipeline/dispatch.go
+++ b/pipeline/dispatch.go
@@ -57,7 +57,7 @@
 		return
 	}
 	e := x.attempt().Decision.Endpoint
-	e.SetReportedLoad(routing.Load{At: f.now(), Running: running, Waiting: waiting, OwnAtReport: e.InFlight()})
+	e.SetReportedLoad(routing.Load{At: f.now(), Running: running, Waiting: waiting, OwnAtReport: e.OwnInFlight()})
 }
 
 // FailedAnswerError is an endpoint's failure that is not passed on, as another
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -111,8 +111,8 @@
 // here that have had no answer yet.
 func (e *Endpoint) PendingPromptWork() time.Duration { return time.Duration(e.ownPrompt.Load()) }
 
-// InFlight returns the number of attempts of this instance at the endpoint.
-func (e *Endpoint) InFlight() int64 { return e.own.Load() }
+// OwnInFlight returns the number of attempts of this instance at the endpoint.
+func (e *Endpoint) OwnInFlight() int64 { return e.own.Load() }
 
 // ReportedLoad returns the last load report, or a zero Load.
 func (e *Endpoint) ReportedLoad() Load {
--- a/routing/filters.go
+++ b/routing/filters.go
@@ -42,7 +42,7 @@
 
 func (timelyFilter) Name() string { return "timely" }
 func (f timelyFilter) Keep(r *Request, e *Endpoint) bool {
-	if r.Late || e.InFlight()+e.PeerLoad().Running == 0 {
+	if r.Late || e.OwnInFlight()+e.PeerLoad().Running == 0 {
 		return true
 	}
 	if r.GapAim > 0 && float64(e.Gap(r.Now)) > f.gapShare*float64(r.GapAim) {
@@ -84,7 +84,7 @@
 	if r.Late {
 		places *= f.lateShare
 	}
-	return float64(e.InFlight()+e.PeerLoad().Running) < places && !e.saidFull(r.Now)
+	return float64(e.OwnInFlight()+e.PeerLoad().Running) < places && !e.saidFull(r.Now)
 }
 
 // queueFilter keeps endpoints whose queue is short, by what all instances tell: where the
@@ -94,7 +94,7 @@
 func (queueFilter) Name() string { return "queue" }
 func (f queueFilter) Keep(r *Request, e *Endpoint) bool {
 	places := float64(max(1, e.Concurrency))
-	return float64(e.InFlight()+e.PeerLoad().Running) < f.rounds*places && !e.saidFull(r.Now)
+	return float64(e.OwnInFlight()+e.PeerLoad().Running) < f.rounds*places && !e.saidFull(r.Now)
 }
 
 // headroomFilter keeps endpoints whose estimated load leaves room. Instances
@@ -117,5 +117,5 @@
 	l := e.ReportedLoad()
 	room := limit - float64(l.Running+l.Waiting)
 	share := max(1, room*f.slack/float64(max(1, r.Instances)))
-	return float64(e.InFlight()-l.OwnAtReport) < share
+	return float64(e.OwnInFlight()-l.OwnAtReport) < share
 }
--- a/routing/pace_test.go
+++ b/routing/pace_test.go
@@ -34,7 +34,7 @@
 	r.Release(&d)
 	d2.ReleasePrompt()
 	require.Zero(t, b.PendingPromptWork())
-	require.EqualValues(t, 1, b.InFlight())
+	require.EqualValues(t, 1, b.OwnInFlight())
 }
 
 // TestTimelyRefusesWhatWouldBeLate lets prompts ahead take all the time left.
--- a/routing/plain_test.go
+++ b/routing/plain_test.go
@@ -96,10 +96,10 @@
 	for j := range plainEndpoints {
 		var sum int64
 		for i := range w.endpoints {
-			sum += w.endpoints[i][j].InFlight()
+			sum += w.endpoints[i][j].OwnInFlight()
 		}
 		for i := range w.endpoints {
-			w.endpoints[i][j].SetPeerLoad(PeerLoad{Running: sum - w.endpoints[i][j].InFlight(), At: w.now})
+			w.endpoints[i][j].SetPeerLoad(PeerLoad{Running: sum - w.endpoints[i][j].OwnInFlight(), At: w.now})
 		}
 	}
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -71,9 +71,9 @@
 			}
 			require.NoError(t, err)
 			require.Equal(t, tc.want, d.Endpoint.Name)
-			before := d.Endpoint.InFlight()
+			before := d.Endpoint.OwnInFlight()
 			r.Release(&d)
-			require.Equal(t, before-1, d.Endpoint.InFlight())
+			require.Equal(t, before-1, d.Endpoint.OwnInFlight())
 		})
 	}
 }
--- a/routing/scorers.go
+++ b/routing/scorers.go
@@ -28,7 +28,7 @@
 
 func (toldScorer) Name() string { return "told" }
 func (toldScorer) Score(_ *Request, e *Endpoint) float64 {
-	return room(e.InFlight()+e.PeerLoad().Running, e.Concurrency)
+	return room(e.OwnInFlight()+e.PeerLoad().Running, e.Concurrency)
 }
 
 // soonestScorer prefers the endpoint that is expected to give the first token
