--- a/daemon/meshtell.go
+++ b/daemon/meshtell.go
@@ -217,7 +217,7 @@
 				p.Suspects = append(p.Suspects, e.Name)
 			}
 			if n := e.OwnInFlight(); n > 0 {
-				p.Loads = append(p.Loads, peer.EndpointLoad{Endpoint: e.Name, Running: n, Prompt: e.PendingPromptWork().Microseconds()})
+				p.Loads = append(p.Loads, peer.EndpointLoad{Endpoint: e.Name, Running: n, Prompt: e.OwnPromptWork().Microseconds()})
 			}
 		}
 	}
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -107,9 +107,9 @@
 	return now.Sub(o.At)
 }
 
-// PendingPromptWork returns the work of reading the prompts of this instance's attempts
+// OwnPromptWork returns the work of reading the prompts of this instance's attempts
 // here that have had no answer yet.
-func (e *Endpoint) PendingPromptWork() time.Duration { return time.Duration(e.ownPrompt.Load()) }
+func (e *Endpoint) OwnPromptWork() time.Duration { return time.Duration(e.ownPrompt.Load()) }
 
 // OwnInFlight returns the number of attempts of this instance at the endpoint.
 func (e *Endpoint) OwnInFlight() int64 { return e.own.Load() }
--- a/routing/pace_test.go
+++ b/routing/pace_test.go
@@ -33,7 +33,7 @@
 	require.Equal(t, "a", d3.Endpoint.Name)
 	r.Release(&d)
 	d2.ReleasePrompt()
-	require.Zero(t, b.PendingPromptWork())
+	require.Zero(t, b.OwnPromptWork())
 	require.EqualValues(t, 1, b.OwnInFlight())
 }
 
