--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -81,7 +81,7 @@
 	// Running is requests, Prompt the work of reading the prompts of those that
 	// have had no answer.
 	Running int64
-	Prompt  time.Duration
+	PromptWork  time.Duration
 	// At is when they were told, on this instance's clock.
 	At time.Time
 }
--- a/routing/pace.go
+++ b/routing/pace.go
@@ -92,7 +92,7 @@
 
 // Ahead is the work of reading the prompts of all instances' attempts at the endpoint
 // that have had no answer yet.
-func (e *Endpoint) Ahead() time.Duration { return e.OwnPromptWork() + e.PeerLoad().Prompt }
+func (e *Endpoint) Ahead() time.Duration { return e.OwnPromptWork() + e.PeerLoad().PromptWork }
 
 // Bounds of the mean gap between events.
 const (
--- a/routing/pace_test.go
+++ b/routing/pace_test.go
@@ -20,7 +20,7 @@
 func TestTimelyTakesTheSoonest(t *testing.T) {
 	a, b := &Endpoint{Name: "a", Concurrency: 8}, &Endpoint{Name: "b", Concurrency: 8}
 	r := timelyRouter(a, b)
-	a.SetPeerLoad(PeerLoad{Running: 2, Prompt: 50 * time.Millisecond})
+	a.SetPeerLoad(PeerLoad{Running: 2, PromptWork: 50 * time.Millisecond})
 	req := &Request{Unit: "m", PromptTokens: 400, Now: testNow, FirstBy: testNow.Add(time.Second)}
 	d, err := r.Pick(req)
 	require.NoError(t, err)
@@ -41,7 +41,7 @@
 func TestTimelyRefusesWhatWouldBeLate(t *testing.T) {
 	e := &Endpoint{Name: "a", Concurrency: 8}
 	r := timelyRouter(e)
-	e.SetPeerLoad(PeerLoad{Running: 3, Prompt: 700 * time.Millisecond})
+	e.SetPeerLoad(PeerLoad{Running: 3, PromptWork: 700 * time.Millisecond})
 	req := Request{Unit: "m", PromptTokens: 2000, Now: testNow, FirstBy: testNow.Add(800 * time.Millisecond)}
 	_, err := r.Pick(&req)
 	require.ErrorIs(t, err, ErrNoCapacity)
@@ -116,7 +116,7 @@
 		var known []*Endpoint
 		for i := range endpoints {
 			e := &Endpoint{Name: fmt.Sprint(i), Concurrency: 64}
-			e.SetPeerLoad(PeerLoad{Running: 1, Prompt: time.Duration(50+i) * time.Millisecond})
+			e.SetPeerLoad(PeerLoad{Running: 1, PromptWork: time.Duration(50+i) * time.Millisecond})
 			known = append(known, e)
 		}
 		r := NewRouter(Policies()[PolicyTimely], random)
@@ -136,10 +136,10 @@
 	e := &Endpoint{Name: "a", Concurrency: 48}
 	r := timelyRouter(e)
 	req := Request{Unit: "m", PromptTokens: 1000, GapAim: 250 * time.Millisecond, Now: testNow, FirstBy: testNow.Add(time.Second)}
-	e.SetPeerLoad(PeerLoad{Running: 20, Prompt: 120 * time.Millisecond})
+	e.SetPeerLoad(PeerLoad{Running: 20, PromptWork: 120 * time.Millisecond})
 	_, err := r.Pick(&req)
 	require.NoError(t, err, "120 and 50 ms of prompts fit into 175")
-	e.SetPeerLoad(PeerLoad{Running: 20, Prompt: 80 * time.Millisecond})
+	e.SetPeerLoad(PeerLoad{Running: 20, PromptWork: 80 * time.Millisecond})
 	_, err = r.Pick(&req)
 	require.ErrorIs(t, err, ErrNoCapacity, "50 of its own, 80 and 50 do not")
 	e.SetPeerLoad(PeerLoad{Running: 20})
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -129,7 +129,7 @@
 	a, b := &Endpoint{Name: "a", Concurrency: 8}, &Endpoint{Name: "b", Concurrency: 8}
 	r := timelyRouter(a, b)
 	r.SetView(&View{Replicas: map[string][]*Endpoint{"m": {a, b}, "n": {a}}})
-	b.SetPeerLoad(PeerLoad{Running: 5, Prompt: 300 * time.Millisecond})
+	b.SetPeerLoad(PeerLoad{Running: 5, PromptWork: 300 * time.Millisecond})
 	a.Lacks("m", testNow)
 	pick := func(unit string, now time.Time) (string, error) {
 		d, err := r.Pick(&Request{Unit: unit, PromptTokens: 100, Now: now})
