--- a/routing/router.go
+++ b/routing/router.go
@@ -31,9 +31,9 @@
 	// Candidates is how many endpoints held the unit, Eligible how many of
 	// them passed the filters.
 	Candidates, Eligible int
-	// Work is what was reserved for the prompt, Expected how long the first token
+	// PromptWork is what was reserved for the prompt, Expected how long the first token
 	// was expected to take from At on.
-	Work, Expected time.Duration
+	PromptWork, Expected time.Duration
 	// Late is set if the request could not be in time.
 	Late bool
 	At   time.Time
@@ -105,7 +105,7 @@
 		Endpoint: chosen.Endpoint, Policy: r.policy.Name, Score: chosen.Score,
 		Candidates: len(candidates), Eligible: len(scored), Estimate: chosen.Endpoint.Estimate(),
 	}
-	d.Expected, d.Work, d.At, d.model = chosen.Endpoint.Expect(req.Work), req.Work, req.Now, req.model()
+	d.Expected, d.PromptWork, d.At, d.model = chosen.Endpoint.Expect(req.Work), req.Work, req.Now, req.model()
 	d.Late = req.Late
 	chosen.Endpoint.own.Add(1)
 	chosen.Endpoint.ownPrompt.Add(int64(req.Work))
@@ -159,8 +159,8 @@
 // ReleasePrompt tells that the prompt of an attempt has been read: its answer has
 // begun.
 func (d *Decision) ReleasePrompt() {
-	d.Endpoint.ownPrompt.Add(-int64(d.Work))
-	d.Work = 0
+	d.Endpoint.ownPrompt.Add(-int64(d.PromptWork))
+	d.PromptWork = 0
 }
 
 // ObserveFirstToken takes the time at which the first token of an attempt has come. One that was
