--- a/routing/router.go
+++ b/routing/router.go
@@ -31,9 +31,9 @@
 	// Candidates is how many endpoints held the unit, Eligible how many of
 	// them passed the filters.
 	Candidates, Eligible int
-	// PromptWork is what was reserved for the prompt, Expected how long the first token
+	// PromptWork is what was reserved for the prompt, ExpectedFirstToken how long the first token
 	// was expected to take from At on.
-	PromptWork, Expected time.Duration
+	PromptWork, ExpectedFirstToken time.Duration
 	// Late is set if the request could not be in time.
 	Late bool
 	At   time.Time
@@ -105,7 +105,7 @@
 		Endpoint: chosen.Endpoint, Policy: r.policy.Name, Score: chosen.Score,
 		Candidates: len(candidates), Eligible: len(scored), Estimate: chosen.Endpoint.Estimate(),
 	}
-	d.Expected, d.PromptWork, d.At, d.model = chosen.Endpoint.Expect(req.Work), req.Work, req.Now, req.model()
+	d.ExpectedFirstToken, d.PromptWork, d.At, d.model = chosen.Endpoint.Expect(req.Work), req.Work, req.Now, req.model()
 	d.Late = req.Late
 	chosen.Endpoint.own.Add(1)
 	chosen.Endpoint.ownPrompt.Add(int64(req.Work))
@@ -169,7 +169,7 @@
 	if d.Late {
 		return
 	}
-	r.paces.learn(d.model, d.Expected, now.Sub(d.At))
+	r.paces.learn(d.model, d.ExpectedFirstToken, now.Sub(d.At))
 }
 
 // Release gives back what Pick reserved.
