--- a/routing/filters.go
+++ b/routing/filters.go
@@ -51,7 +51,7 @@
 	if r.FirstBy.IsZero() {
 		return true
 	}
-	return float64(e.Expect(r.Work)) <= f.firstShare*float64(r.FirstBy.Sub(r.Now))
+	return float64(e.Expect(r.PromptWork)) <= f.firstShare*float64(r.FirstBy.Sub(r.Now))
 }
 
 // pauseFilter keeps endpoints whose running streams bear one more prompt. An engine
@@ -68,7 +68,7 @@
 func (pauseFilter) Name() string { return "pause" }
 func (f pauseFilter) Keep(r *Request, e *Endpoint) bool {
 	ahead := e.Ahead()
-	return r.GapAim == 0 || ahead == 0 || float64(ahead+r.Work) <= f.share*float64(r.GapAim)
+	return r.GapAim == 0 || ahead == 0 || float64(ahead+r.PromptWork) <= f.share*float64(r.GapAim)
 }
 
 // slotFilter keeps endpoints with a free place, by what all instances tell.
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -15,8 +15,8 @@
 	Pool  string
 	// PromptTokens is the length of the prompt, 0 where it is not known.
 	PromptTokens int64
-	// Work is the time that reading the prompt takes; Pick sets it.
-	Work time.Duration
+	// PromptWork is the time that reading the prompt takes; Pick sets it.
+	PromptWork time.Duration
 	// FirstBy is when the first token should be there, GapAim the longest pause
 	// between events; zero where there is no target.
 	FirstBy time.Time
--- a/routing/router.go
+++ b/routing/router.go
@@ -88,7 +88,7 @@
 func (r *Router) Pick(req *Request) (Decision, error) {
 	view := r.view.Load()
 	req.Instances = max(view.Instances, int(r.instances.Load()))
-	req.Work = r.paces.work(req.model(), req.PromptTokens)
+	req.PromptWork = r.paces.work(req.model(), req.PromptTokens)
 	if view.closed(req) {
 		return Decision{}, ErrNoOpenRegion
 	}
@@ -105,10 +105,10 @@
 		Endpoint: chosen.Endpoint, Policy: r.policy.Name, Score: chosen.Score,
 		Candidates: len(candidates), Eligible: len(scored), Estimate: chosen.Endpoint.Estimate(),
 	}
-	d.ExpectedFirstToken, d.PromptWork, d.At, d.model = chosen.Endpoint.Expect(req.Work), req.Work, req.Now, req.model()
+	d.ExpectedFirstToken, d.PromptWork, d.At, d.model = chosen.Endpoint.Expect(req.PromptWork), req.PromptWork, req.Now, req.model()
 	d.Late = req.Late
 	chosen.Endpoint.own.Add(1)
-	chosen.Endpoint.ownPrompt.Add(int64(req.Work))
+	chosen.Endpoint.ownPrompt.Add(int64(req.PromptWork))
 	return d, nil
 }
 
