--- a/routing/filters.go
+++ b/routing/filters.go
@@ -48,10 +48,10 @@
 	if r.GapAim > 0 && float64(e.Gap(r.Now)) > f.gapShare*float64(r.GapAim) {
 		return false
 	}
-	if r.FirstBy.IsZero() {
+	if r.FirstTokenBy.IsZero() {
 		return true
 	}
-	return float64(e.Expect(r.PromptWork)) <= f.firstShare*float64(r.FirstBy.Sub(r.Now))
+	return float64(e.Expect(r.PromptWork)) <= f.firstShare*float64(r.FirstTokenBy.Sub(r.Now))
 }
 
 // pauseFilter keeps endpoints whose running streams bear one more prompt. An engine
--- a/routing/pace_test.go
+++ b/routing/pace_test.go
@@ -21,11 +21,11 @@
 	a, b := &Endpoint{Name: "a", Concurrency: 8}, &Endpoint{Name: "b", Concurrency: 8}
 	r := timelyRouter(a, b)
 	a.SetPeerLoad(PeerLoad{Running: 2, PromptWork: 50 * time.Millisecond})
-	req := &Request{Unit: "m", PromptTokens: 400, Now: testNow, FirstBy: testNow.Add(time.Second)}
+	req := &Request{Unit: "m", PromptTokens: 400, Now: testNow, FirstTokenBy: testNow.Add(time.Second)}
 	d, err := r.Pick(req)
 	require.NoError(t, err)
 	require.Equal(t, "b", d.Endpoint.Name)
-	d2, err := r.Pick(&Request{Unit: "m", PromptTokens: 4000, Now: testNow, FirstBy: testNow.Add(time.Second)})
+	d2, err := r.Pick(&Request{Unit: "m", PromptTokens: 4000, Now: testNow, FirstTokenBy: testNow.Add(time.Second)})
 	require.NoError(t, err)
 	require.Equal(t, "b", d2.Endpoint.Name, "20 ms are ahead there, 50 at the other")
 	d3, err := r.Pick(req)
@@ -42,7 +42,7 @@
 	e := &Endpoint{Name: "a", Concurrency: 8}
 	r := timelyRouter(e)
 	e.SetPeerLoad(PeerLoad{Running: 3, PromptWork: 700 * time.Millisecond})
-	req := Request{Unit: "m", PromptTokens: 2000, Now: testNow, FirstBy: testNow.Add(800 * time.Millisecond)}
+	req := Request{Unit: "m", PromptTokens: 2000, Now: testNow, FirstTokenBy: testNow.Add(800 * time.Millisecond)}
 	_, err := r.Pick(&req)
 	require.ErrorIs(t, err, ErrNoCapacity)
 	e.SetPeerLoad(PeerLoad{})
@@ -121,7 +121,7 @@
 		}
 		r := NewRouter(Policies()[PolicyTimely], random)
 		r.SetView(&View{Replicas: map[string][]*Endpoint{"m": known}})
-		d, err := r.Pick(&Request{Unit: "m", PromptTokens: 2000, Now: testNow, FirstBy: testNow.Add(time.Second)})
+		d, err := r.Pick(&Request{Unit: "m", PromptTokens: 2000, Now: testNow, FirstTokenBy: testNow.Add(time.Second)})
 		require.NoError(t, err)
 		taken[d.Endpoint.Name]++
 	}
@@ -135,7 +135,7 @@
 func TestPromptsAheadLeaveRoomForStreams(t *testing.T) {
 	e := &Endpoint{Name: "a", Concurrency: 48}
 	r := timelyRouter(e)
-	req := Request{Unit: "m", PromptTokens: 1000, GapAim: 250 * time.Millisecond, Now: testNow, FirstBy: testNow.Add(time.Second)}
+	req := Request{Unit: "m", PromptTokens: 1000, GapAim: 250 * time.Millisecond, Now: testNow, FirstTokenBy: testNow.Add(time.Second)}
 	e.SetPeerLoad(PeerLoad{Running: 20, PromptWork: 120 * time.Millisecond})
 	_, err := r.Pick(&req)
 	require.NoError(t, err, "120 and 50 ms of prompts fit into 175")
@@ -155,7 +155,7 @@
 	e := &Endpoint{Name: "a", Concurrency: 8}
 	r := timelyRouter(e)
 	e.SetPeerLoad(PeerLoad{Running: 6})
-	late := Request{Unit: "m", PromptTokens: 100, Now: testNow, FirstBy: testNow.Add(-time.Second), Late: true}
+	late := Request{Unit: "m", PromptTokens: 100, Now: testNow, FirstTokenBy: testNow.Add(-time.Second), Late: true}
 	_, err := r.Pick(&late)
 	require.ErrorIs(t, err, ErrNoCapacity)
 	e.SetPeerLoad(PeerLoad{Running: 5})
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -17,9 +17,9 @@
 	PromptTokens int64
 	// PromptWork is the time that reading the prompt takes; Pick sets it.
 	PromptWork time.Duration
-	// FirstBy is when the first token should be there, GapAim the longest pause
+	// FirstTokenBy is when the first token should be there, GapAim the longest pause
 	// between events; zero where there is no target.
-	FirstBy time.Time
+	FirstTokenBy time.Time
 	GapAim  time.Duration
 	// Late tells that the request cannot be in time any more.
 	Late bool
