--- a/pipeline/admit.go
+++ b/pipeline/admit.go
@@ -90,7 +90,7 @@
 	req := routing.Request{
 		ID: x.ID, Unit: x.Target.Unit, Model: x.Target.Model, Pool: x.Target.Pool,
 		FailureDomain: f.failureDomain, Excluded: x.tried(),
-		PromptTokens: x.Call.PromptTokens, GapAim: x.gapAim(), FirstTokenBy: x.firstBy(), Late: x.late(now), Regions: x.regions(),
+		PromptTokens: x.Call.PromptTokens, EventGapTarget: x.gapAim(), FirstTokenBy: x.firstBy(), Late: x.late(now), Regions: x.regions(),
 	}
 	var decision routing.Decision
 	var pickErr error
--- a/routing/filters.go
+++ b/routing/filters.go
@@ -45,7 +45,7 @@
 	if r.Late || e.OwnInFlight()+e.PeerLoad().Running == 0 {
 		return true
 	}
-	if r.GapAim > 0 && float64(e.Gap(r.Now)) > f.gapShare*float64(r.GapAim) {
+	if r.EventGapTarget > 0 && float64(e.Gap(r.Now)) > f.gapShare*float64(r.EventGapTarget) {
 		return false
 	}
 	if r.FirstTokenBy.IsZero() {
@@ -68,7 +68,7 @@
 func (pauseFilter) Name() string { return "pause" }
 func (f pauseFilter) Keep(r *Request, e *Endpoint) bool {
 	ahead := e.Ahead()
-	return r.GapAim == 0 || ahead == 0 || float64(ahead+r.PromptWork) <= f.share*float64(r.GapAim)
+	return r.EventGapTarget == 0 || ahead == 0 || float64(ahead+r.PromptWork) <= f.share*float64(r.EventGapTarget)
 }
 
 // slotFilter keeps endpoints with a free place, by what all instances tell.
--- a/routing/pace_test.go
+++ b/routing/pace_test.go
@@ -59,7 +59,7 @@
 	for range 100 {
 		e.NoteGap(testNow, 300*time.Millisecond)
 	}
-	_, err := r.Pick(&Request{Unit: "m", PromptTokens: 10, Now: testNow, GapAim: 400 * time.Millisecond})
+	_, err := r.Pick(&Request{Unit: "m", PromptTokens: 10, Now: testNow, EventGapTarget: 400 * time.Millisecond})
 	require.ErrorIs(t, err, ErrNoCapacity)
 	_, err = r.Pick(&Request{Unit: "m", PromptTokens: 10, Now: testNow})
 	require.NoError(t, err, "a request without a target for pauses goes there")
@@ -135,7 +135,7 @@
 func TestPromptsAheadLeaveRoomForStreams(t *testing.T) {
 	e := &Endpoint{Name: "a", Concurrency: 48}
 	r := timelyRouter(e)
-	req := Request{Unit: "m", PromptTokens: 1000, GapAim: 250 * time.Millisecond, Now: testNow, FirstTokenBy: testNow.Add(time.Second)}
+	req := Request{Unit: "m", PromptTokens: 1000, EventGapTarget: 250 * time.Millisecond, Now: testNow, FirstTokenBy: testNow.Add(time.Second)}
 	e.SetPeerLoad(PeerLoad{Running: 20, PromptWork: 120 * time.Millisecond})
 	_, err := r.Pick(&req)
 	require.NoError(t, err, "120 and 50 ms of prompts fit into 175")
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -20,7 +20,7 @@
 	// FirstTokenBy is when the first token should be there, GapAim the longest pause
 	// between events; zero where there is no target.
 	FirstTokenBy time.Time
-	GapAim  time.Duration
+	EventGapTarget  time.Duration
 	// Late tells that the request cannot be in time any more.
 	Late bool
 	// FailureDomain is the instance's own.
