--- a/routing/filters.go
+++ b/routing/filters.go
@@ -67,7 +67,7 @@
 
 func (pauseFilter) Name() string { return "pause" }
 func (f pauseFilter) Keep(r *Request, e *Endpoint) bool {
-	ahead := e.Ahead()
+	ahead := e.PromptWorkAhead()
 	return r.EventGapTarget == 0 || ahead == 0 || float64(ahead+r.PromptWork) <= f.share*float64(r.EventGapTarget)
 }
 
--- a/routing/pace.go
+++ b/routing/pace.go
@@ -87,12 +87,12 @@
 // Expect is how long an attempt at the endpoint waits for its first token, with
 // its own prompt's work.
 func (e *Endpoint) Expect(work time.Duration) time.Duration {
-	return firstStep + e.Ahead() + work
+	return firstStep + e.PromptWorkAhead() + work
 }
 
-// Ahead is the work of reading the prompts of all instances' attempts at the endpoint
+// PromptWorkAhead is the work of reading the prompts of all instances' attempts at the endpoint
 // that have had no answer yet.
-func (e *Endpoint) Ahead() time.Duration { return e.OwnPromptWork() + e.PeerLoad().PromptWork }
+func (e *Endpoint) PromptWorkAhead() time.Duration { return e.OwnPromptWork() + e.PeerLoad().PromptWork }
 
 // Bounds of the mean gap between events.
 const (
