--- a/routing/filters.go
+++ b/routing/filters.go
@@ -51,7 +51,7 @@
 	if r.FirstTokenBy.IsZero() {
 		return true
 	}
-	return float64(e.Expect(r.PromptWork)) <= f.firstShare*float64(r.FirstTokenBy.Sub(r.Now))
+	return float64(e.ExpectedFirstToken(r.PromptWork)) <= f.firstShare*float64(r.FirstTokenBy.Sub(r.Now))
 }
 
 // pauseFilter keeps endpoints whose running streams bear one more prompt. An engine
--- a/routing/pace.go
+++ b/routing/pace.go
@@ -84,9 +84,9 @@
 	known.token = min(max(next, leastToken), mostToken)
 }
 
-// Expect is how long an attempt at the endpoint waits for its first token, with
+// ExpectedFirstToken is how long an attempt at the endpoint waits for its first token, with
 // its own prompt's work.
-func (e *Endpoint) Expect(work time.Duration) time.Duration {
+func (e *Endpoint) ExpectedFirstToken(work time.Duration) time.Duration {
 	return firstStep + e.PromptWorkAhead() + work
 }
 
--- a/routing/router.go
+++ b/routing/router.go
@@ -105,7 +105,7 @@
 		Endpoint: chosen.Endpoint, Policy: r.policy.Name, Score: chosen.Score,
 		Candidates: len(candidates), Eligible: len(scored), Estimate: chosen.Endpoint.Estimate(),
 	}
-	d.ExpectedFirstToken, d.PromptWork, d.At, d.model = chosen.Endpoint.Expect(req.PromptWork), req.PromptWork, req.Now, req.model()
+	d.ExpectedFirstToken, d.PromptWork, d.At, d.model = chosen.Endpoint.ExpectedFirstToken(req.PromptWork), req.PromptWork, req.Now, req.model()
 	d.Late = req.Late
 	chosen.Endpoint.own.Add(1)
 	chosen.Endpoint.ownPrompt.Add(int64(req.PromptWork))
