--- a/pipeline/route.go
+++ b/pipeline/route.go
@@ -21,7 +21,7 @@
 	d := a.Decision
 	f.log.Info("route", "request", x.ID, "attempt", a.ID, "try", len(x.Attempts), "name", x.Call.Name,
 		"unit", x.Target.Unit, "endpoint", d.Endpoint.Name, "policy", d.Policy, "score", d.Score,
-		"expected_ms", d.ExpectedFirstToken.Milliseconds(), "gap_ms", d.Endpoint.Gap(d.At).Milliseconds(), "own", d.Endpoint.OwnInFlight(),
+		"expected_ms", d.ExpectedFirstToken.Milliseconds(), "gap_ms", d.Endpoint.EventGap(d.At).Milliseconds(), "own", d.Endpoint.OwnInFlight(),
 		"others", d.Endpoint.PeerLoad().Running, "others_age_ms", d.Endpoint.PeerLoadAge(d.At).Milliseconds(),
 		"estimate", d.Estimate, "eligible", d.Eligible, "candidates", d.Candidates, "resumes_after", x.offset,
 		"endpoints_age_ms", f.endpointsAgeMS())
--- a/routing/filters.go
+++ b/routing/filters.go
@@ -45,7 +45,7 @@
 	if r.Late || e.OwnInFlight()+e.PeerLoad().Running == 0 {
 		return true
 	}
-	if r.EventGapTarget > 0 && float64(e.Gap(r.Now)) > f.gapShare*float64(r.EventGapTarget) {
+	if r.EventGapTarget > 0 && float64(e.EventGap(r.Now)) > f.gapShare*float64(r.EventGapTarget) {
 		return false
 	}
 	if r.FirstTokenBy.IsZero() {
--- a/routing/pace.go
+++ b/routing/pace.go
@@ -129,9 +129,9 @@
 	}
 }
 
-// Gap is the time between events of streams from the endpoint, lately; 0 where there
+// EventGap is the time between events of streams from the endpoint, lately; 0 where there
 // have been too few to tell.
-func (e *Endpoint) Gap(now time.Time) time.Duration {
+func (e *Endpoint) EventGap(now time.Time) time.Duration {
 	g := e.gap.Load()
 	if g == nil || g.seen < gapLeast || now.Sub(g.at) >= gapStale {
 		return 0
--- a/routing/pace_test.go
+++ b/routing/pace_test.go
@@ -193,11 +193,11 @@
 func TestFewGapsSayNothing(t *testing.T) {
 	e := &Endpoint{Name: "a", Concurrency: 8}
 	for i := range gapLeast {
-		require.Zero(t, e.Gap(testNow), "%d gaps", i)
+		require.Zero(t, e.EventGap(testNow), "%d gaps", i)
 		e.NoteGap(testNow, 300*time.Millisecond)
 	}
-	require.Equal(t, 300*time.Millisecond, e.Gap(testNow))
-	require.Zero(t, e.Gap(testNow.Add(gapStale)))
+	require.Equal(t, 300*time.Millisecond, e.EventGap(testNow))
+	require.Zero(t, e.EventGap(testNow.Add(gapStale)))
 	e.NoteGap(testNow.Add(gapStale), 20*time.Millisecond)
-	require.Zero(t, e.Gap(testNow.Add(gapStale)), "it begins anew")
+	require.Zero(t, e.EventGap(testNow.Add(gapStale)), "it begins anew")
 }
--- a/routing/scorers.go
+++ b/routing/scorers.go
@@ -37,7 +37,7 @@
 
 func (soonestScorer) Name() string { return "soonest" }
 func (soonestScorer) Score(r *Request, e *Endpoint) float64 {
-	return 1 / (1 + float64(e.ExpectedFirstToken(r.PromptWork)+e.Gap(r.Now))/float64(soonestScale))
+	return 1 / (1 + float64(e.ExpectedFirstToken(r.PromptWork)+e.EventGap(r.Now))/float64(soonestScale))
 }
 
 // soonestScale is the time at which the score has fallen to a half.
