--- a/pipeline/relay.go
+++ b/pipeline/relay.go
@@ -257,7 +257,7 @@
 func (s *eventRelay) noteGap() {
 	now := s.now()
 	if !s.lastAt.IsZero() {
-		s.exchange.attempt().Decision.Endpoint.NoteGap(now, now.Sub(s.lastAt))
+		s.exchange.attempt().Decision.Endpoint.ObserveEventGap(now, now.Sub(s.lastAt))
 	}
 	s.lastAt = now
 }
--- a/pipeline/replay_test.go
+++ b/pipeline/replay_test.go
@@ -131,7 +131,7 @@
 		}
 		gap := now.Sub(r.lastAt)
 		r.longest, r.lastAt = max(r.longest, gap), now
-		e.endpoint.NoteGap(now, gap)
+		e.endpoint.ObserveEventGap(now, gap)
 		if r.events--; r.events > 0 {
 			return false
 		}
--- a/routing/pace.go
+++ b/routing/pace.go
@@ -113,8 +113,8 @@
 	at   time.Time
 }
 
-// NoteGap takes the time between two events of a stream from the endpoint.
-func (e *Endpoint) NoteGap(now time.Time, gap time.Duration) {
+// ObserveEventGap takes the time between two events of a stream from the endpoint.
+func (e *Endpoint) ObserveEventGap(now time.Time, gap time.Duration) {
 	for {
 		old := e.gap.Load()
 		next := gapMean{mean: gap, seen: 1, at: now}
--- a/routing/pace_test.go
+++ b/routing/pace_test.go
@@ -57,7 +57,7 @@
 	r := timelyRouter(e)
 	e.SetPeerLoad(PeerLoad{Running: 1})
 	for range 100 {
-		e.NoteGap(testNow, 300*time.Millisecond)
+		e.ObserveEventGap(testNow, 300*time.Millisecond)
 	}
 	_, err := r.Pick(&Request{Unit: "m", PromptTokens: 10, Now: testNow, EventGapTarget: 400 * time.Millisecond})
 	require.ErrorIs(t, err, ErrNoCapacity)
@@ -194,10 +194,10 @@
 	e := &Endpoint{Name: "a", Concurrency: 8}
 	for i := range gapLeast {
 		require.Zero(t, e.EventGap(testNow), "%d gaps", i)
-		e.NoteGap(testNow, 300*time.Millisecond)
+		e.ObserveEventGap(testNow, 300*time.Millisecond)
 	}
 	require.Equal(t, 300*time.Millisecond, e.EventGap(testNow))
 	require.Zero(t, e.EventGap(testNow.Add(gapStale)))
-	e.NoteGap(testNow.Add(gapStale), 20*time.Millisecond)
+	e.ObserveEventGap(testNow.Add(gapStale), 20*time.Millisecond)
 	require.Zero(t, e.EventGap(testNow.Add(gapStale)), "it begins anew")
 }
