--- a/pipeline/limits.go
+++ b/pipeline/limits.go
@@ -51,7 +51,7 @@
 func (f limits) named(e *routing.Endpoint, head http.Header) bool {
 	told, err := f.client.ToldLimit(head)
 	if err != nil {
-		if e.LimitUnreadable() {
+		if e.MarkLimitInvalid() {
 			f.log.Error(err, "endpoint limit", "endpoint", e.Name)
 		}
 		return true
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -72,9 +72,9 @@
 	return permit.Endpoint{Name: e.Name, StartedAtMS: e.StartedAtMS, Cold: true}
 }
 
-// LimitUnreadable records that the endpoint has named a limit that cannot be read, and
+// MarkLimitInvalid records that the endpoint has named a limit that cannot be read, and
 // reports whether it is the first one.
-func (e *Endpoint) LimitUnreadable() bool { return !e.limitUnreadable.Swap(true) }
+func (e *Endpoint) MarkLimitInvalid() bool { return !e.limitUnreadable.Swap(true) }
 
 // PeerLoad is what the other instances have under way at an endpoint.
 type PeerLoad struct {
