--- a/daemon/restart_test.go
+++ b/daemon/restart_test.go
@@ -49,7 +49,7 @@
 	h := newViewHarness()
 	h.list(started("e1", 100, "m1"))
 	e := h.endpointNamed("e1")
-	e.Failed(h.clock)
+	e.RecordFailure(h.clock)
 	e.SetReplaced()
 	e.MarkFull(h.clock)
 	e.SetReportedLoad(routing.Load{At: h.clock, Running: 60, Waiting: 9})
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -262,10 +262,10 @@
 	case errors.As(err, &notStarted) && notStarted.Busy:
 		a.Decision.Endpoint.MarkFull(p.cfg.Now())
 	case errors.As(err, &notStarted) && notStarted.Unsent:
-		a.Decision.Endpoint.Failed(p.cfg.Now())
+		a.Decision.Endpoint.RecordFailure(p.cfg.Now())
 		a.Decision.Endpoint.Unreached(p.cfg.Now())
 	default:
-		a.Decision.Endpoint.Failed(p.cfg.Now())
+		a.Decision.Endpoint.RecordFailure(p.cfg.Now())
 	}
 }
 
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -191,8 +191,8 @@
 	ejectMax  = 10 * time.Second
 )
 
-// Failed records that the endpoint could not be reached or broke an answer.
-func (e *Endpoint) Failed(now time.Time) {
+// RecordFailure records that the endpoint could not be reached or broke an answer.
+func (e *Endpoint) RecordFailure(now time.Time) {
 	e.failedAt.Store(now.UnixNano())
 	n := min(e.failures.Add(1), 8)
 	pause := min(ejectBase<<(n-1), ejectMax)
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -43,9 +43,9 @@
 			prepare: func(e []*Endpoint) { e[0].SetLeaving(true) }, want: "e1"},
 		{name: "tried is not tried again", loads: []Load{{}, {Running: 7}}, req: Request{Excluded: []string{"e0"}}, want: "e1"},
 		{name: "ejected comes last", loads: []Load{{}, {Running: 7}},
-			prepare: func(e []*Endpoint) { e[0].Failed(testNow) }, want: "e1"},
+			prepare: func(e []*Endpoint) { e[0].RecordFailure(testNow) }, want: "e1"},
 		{name: "ejected is better than none", loads: []Load{{}},
-			prepare: func(e []*Endpoint) { e[0].Failed(testNow) }, want: "e0"},
+			prepare: func(e []*Endpoint) { e[0].RecordFailure(testNow) }, want: "e0"},
 		{name: "full", loads: []Load{{Running: 8}, {Running: 9}}, err: ErrNoCapacity},
 		{name: "share of the free room is used up", loads: []Load{{Running: 6}},
 			prepare: func(e []*Endpoint) { e[0].own.Store(2) }, err: ErrNoCapacity},
@@ -96,11 +96,11 @@
 
 func TestEjectionGrowsAndEnds(t *testing.T) {
 	e := &Endpoint{}
-	e.Failed(testNow)
+	e.RecordFailure(testNow)
 	require.True(t, e.Ejected(testNow))
 	require.False(t, e.Ejected(testNow.Add(ejectBase)))
 	for range 20 {
-		e.Failed(testNow)
+		e.RecordFailure(testNow)
 	}
 	require.True(t, e.Ejected(testNow.Add(ejectMax-1)))
 	require.False(t, e.Ejected(testNow.Add(ejectMax)))
