--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -250,7 +250,7 @@
 	var notStarted *engine.NotStartedError
 	switch {
 	case err == nil:
-		a.Decision.Endpoint.Succeeded()
+		a.Decision.Endpoint.RecordSuccess()
 	case ctx.Err() != nil:
 		// The caller's leaving or deadline says nothing of the endpoint.
 	case errors.As(err, &notStarted) && notStarted.Replaced:
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -202,8 +202,8 @@
 // FailedSince tells whether the endpoint has failed since t.
 func (e *Endpoint) FailedSince(t time.Time) bool { return e.failedAt.Load() > t.UnixNano() }
 
-// Succeeded records a whole answer.
-func (e *Endpoint) Succeeded() {
+// RecordSuccess records a whole answer.
+func (e *Endpoint) RecordSuccess() {
 	if e.failures.Load() != 0 {
 		e.failures.Store(0)
 		e.retryAt.Store(0)
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -104,7 +104,7 @@
 	}
 	require.True(t, e.Ejected(testNow.Add(ejectMax-1)))
 	require.False(t, e.Ejected(testNow.Add(ejectMax)))
-	e.Succeeded()
+	e.RecordSuccess()
 	require.False(t, e.Ejected(testNow))
 }
 
