--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -258,7 +258,7 @@
 	case errors.As(err, &notStarted) && notStarted.NotResident:
 		// A refusal is no failure of the endpoint, but what was believed of it is
 		// wrong.
-		a.Decision.Endpoint.Lacks(unit, p.cfg.Now())
+		a.Decision.Endpoint.MarkNotResident(unit, p.cfg.Now())
 	case errors.As(err, &notStarted) && notStarted.Busy:
 		a.Decision.Endpoint.MarkFull(p.cfg.Now())
 	case errors.As(err, &notStarted) && notStarted.Unsent:
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -143,8 +143,8 @@
 // loaded of all. By then the instance that places units has told what it holds.
 const missingTime = 400 * time.Millisecond
 
-// Lacks records that the endpoint has said that it does not hold the unit.
-func (e *Endpoint) Lacks(unit string, now time.Time) {
+// MarkNotResident records that the endpoint has said that it does not hold the unit.
+func (e *Endpoint) MarkNotResident(unit string, now time.Time) {
 	e.missing.Store(unit, now.Add(missingTime).UnixNano())
 }
 
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -130,7 +130,7 @@
 	r := timelyRouter(a, b)
 	r.SetView(&View{Replicas: map[string][]*Endpoint{"m": {a, b}, "n": {a}}})
 	b.SetPeerLoad(PeerLoad{Running: 5, PromptWork: 300 * time.Millisecond})
-	a.Lacks("m", testNow)
+	a.MarkNotResident("m", testNow)
 	pick := func(unit string, now time.Time) (string, error) {
 		d, err := r.Pick(&Request{Unit: unit, PromptTokens: 100, Now: now})
 		if err != nil {
@@ -149,7 +149,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "a", name)
 	b.SetReplaced()
-	a.Lacks("m", testNow)
+	a.MarkNotResident("m", testNow)
 	_, err = pick("m", testNow)
 	require.ErrorIs(t, err, ErrNoReplica, "as good as held by nobody")
 }
