--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -263,7 +263,7 @@
 		a.Decision.Endpoint.MarkFull(p.cfg.Now())
 	case errors.As(err, &notStarted) && notStarted.Unsent:
 		a.Decision.Endpoint.RecordFailure(p.cfg.Now())
-		a.Decision.Endpoint.Unreached(p.cfg.Now())
+		a.Decision.Endpoint.MarkUnreachable(p.cfg.Now())
 	default:
 		a.Decision.Endpoint.RecordFailure(p.cfg.Now())
 	}
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -160,8 +160,8 @@
 // and again.
 const unreachedTime = 500 * time.Millisecond
 
-// Unreached records that no connection to the endpoint could be opened.
-func (e *Endpoint) Unreached(now time.Time) {
+// MarkUnreachable records that no connection to the endpoint could be opened.
+func (e *Endpoint) MarkUnreachable(now time.Time) {
 	e.unreachedUntil.Store(now.Add(unreachedTime).UnixNano())
 }
 
--- a/routing/pace_test.go
+++ b/routing/pace_test.go
@@ -176,7 +176,7 @@
 		until  time.Duration
 	}{
 		"full":    {func(e *Endpoint) { e.MarkFull(testNow) }, ErrNoCapacity, fullTime},
-		"no host": {func(e *Endpoint) { e.Unreached(testNow) }, ErrNoReplica, unreachedTime},
+		"no host": {func(e *Endpoint) { e.MarkUnreachable(testNow) }, ErrNoReplica, unreachedTime},
 	} {
 		e := &Endpoint{Name: "a", Concurrency: 8}
 		r := timelyRouter(e)
