--- a/pipeline/admit.go
+++ b/pipeline/admit.go
@@ -110,7 +110,7 @@
 		Late: req.Late, Arrived: now, StartBy: x.startBy(req.Late), Bytes: len(x.Call.Body),
 	}
 	req.Now = now
-	perSecond, limited := f.router.LimitedTo(&req)
+	perSecond, limited := f.router.RateLimit(&req)
 	if limited {
 		w.Bounded, w.MostAhead = true, placesUntil(w.StartBy.Sub(now), perSecond)
 	}
--- a/routing/router.go
+++ b/routing/router.go
@@ -125,10 +125,10 @@
 	return Scored{}, false
 }
 
-// LimitedTo returns how many requests a second the endpoints take that could serve the
+// RateLimit returns how many requests a second the endpoints take that could serve the
 // request, where all of them name limits; false if one does not, or if the unit can be
 // loaded beside its model at one that does not.
-func (r *Router) LimitedTo(req *Request) (perSecond float64, limited bool) {
+func (r *Router) RateLimit(req *Request) (perSecond float64, limited bool) {
 	if !r.permits.Limited() {
 		return 0, false
 	}
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -180,16 +180,16 @@
 		require.NoError(t, err)
 		require.Equal(t, "free", name, "without a permit the other one serves")
 	}
-	_, only := r.LimitedTo(&Request{Unit: "m/a", Model: "m", Now: now})
+	_, only := r.RateLimit(&Request{Unit: "m/a", Model: "m", Now: now})
 	require.False(t, only)
 
 	view(limited)
 	_, err := pick()
 	require.ErrorIs(t, err, ErrNoCapacity, "it waits")
-	_, only = r.LimitedTo(&Request{Unit: "m/a", Model: "m", Now: now})
+	_, only = r.RateLimit(&Request{Unit: "m/a", Model: "m", Now: now})
 	require.False(t, only, "it can be loaded beside its model elsewhere")
 	free.SetLeaving(true)
-	perSecond, only := r.LimitedTo(&Request{Unit: "m/a", Model: "m", Now: now})
+	perSecond, only := r.RateLimit(&Request{Unit: "m/a", Model: "m", Now: now})
 	require.True(t, only)
 	require.Equal(t, 2.0, perSecond)
 
