--- a/pipeline/admit.go
+++ b/pipeline/admit.go
@@ -103,7 +103,7 @@
 			f.unreachable()
 		}
 		// No wait helps where nothing is left to try; the error ends it below.
-		return pickErr == nil || errors.Is(pickErr, routing.ErrNoneLeft) || errors.Is(pickErr, routing.ErrNoOpenRegion)
+		return pickErr == nil || errors.Is(pickErr, routing.ErrNoEndpointLeft) || errors.Is(pickErr, routing.ErrNoOpenRegion)
 	}
 	w := &admission.Waiter{
 		ID: x.ID, Unit: x.Target.Unit, Priority: x.priority(),
--- a/pipeline/refused_test.go
+++ b/pipeline/refused_test.go
@@ -26,7 +26,7 @@
 		&DecodeError{Status: http.StatusBadRequest}, &DecodeError{Status: http.StatusRequestEntityTooLarge},
 		&AuthError{Status: http.StatusUnauthorized}, &AuthError{Status: http.StatusForbidden}, &StaleSettingsError{},
 		&AllowanceError{RetryAfter: time.Second}, &ResolveError{}, &OutdatedSettingsError{}, &ClaimError{Err: cause}, &ClaimError{Reused: true, Err: cause},
-		&QuarantineError{Err: cause}, &RouteError{Err: routing.ErrNoOpenRegion}, &RouteError{Err: routing.ErrNoneLeft},
+		&QuarantineError{Err: cause}, &RouteError{Err: routing.ErrNoOpenRegion}, &RouteError{Err: routing.ErrNoEndpointLeft},
 		&DispatchError{NotStarted: true, Err: cause}, &DispatchError{TimedOut: true, Err: cause}, &DispatchError{Err: cause},
 		&RelayError{Err: cause}, &RelayError{TimedOut: true, Err: cause}, &RelayError{CallerGone: true, Err: cause},
 	}
--- a/routing/router.go
+++ b/routing/router.go
@@ -13,9 +13,9 @@
 var (
 	// ErrNoReplica means that no endpoint holds the unit.
 	ErrNoReplica = errors.New("no endpoint holds the unit")
-	// ErrNoneLeft means that every endpoint that holds the unit was tried, or
+	// ErrNoEndpointLeft means that every endpoint that holds the unit was tried, or
 	// those that were not are leaving.
-	ErrNoneLeft = errors.New("no endpoint is left to try")
+	ErrNoEndpointLeft = errors.New("no endpoint is left to try")
 	// ErrNoOpenRegion means that all endpoints are evacuated, or in regions that the request may
 	// not be served in.
 	ErrNoOpenRegion = errors.New("no endpoint may get the request")
@@ -261,5 +261,5 @@
 	if !held && len(req.Excluded) == 0 {
 		return ErrNoReplica
 	}
-	return ErrNoneLeft
+	return ErrNoEndpointLeft
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -51,8 +51,8 @@
 			prepare: func(e []*Endpoint) { e[0].own.Store(2) }, err: ErrNoCapacity},
 		{name: "all leaving", loads: []Load{{}}, prepare: func(e []*Endpoint) { e[0].SetLeaving(true) }, err: ErrNoReplica},
 		{name: "all tried or leaving", loads: []Load{{}, {}}, prepare: func(e []*Endpoint) { e[1].SetLeaving(true) },
-			req: Request{Excluded: []string{"e0"}}, err: ErrNoneLeft},
-		{name: "all tried", loads: []Load{{}}, req: Request{Excluded: []string{"e0"}}, err: ErrNoneLeft},
+			req: Request{Excluded: []string{"e0"}}, err: ErrNoEndpointLeft},
+		{name: "all tried", loads: []Load{{}}, req: Request{Excluded: []string{"e0"}}, err: ErrNoEndpointLeft},
 		{name: "no replica", err: ErrNoReplica},
 		{name: "own failure domain among equals", loads: []Load{{}, {}}, req: Request{FailureDomain: "d1"}, want: "e1"},
 	} {
