--- a/admission/queue.go
+++ b/admission/queue.go
@@ -7,8 +7,8 @@
 
 // Limits bound a queue.
 type Limits struct {
-	// Waiters is the largest number of waiting requests.
-	Waiters int
+	// MaxWaiters is the largest number of waiting requests.
+	MaxWaiters int
 	// Bytes is the largest sum of their bodies.
 	Bytes int
 }
@@ -42,7 +42,7 @@
 	if w.Bounded && q.ahead(w) > w.MostAhead {
 		return append(refused, Refusal{Waiter: w, Reason: ReasonTooMany})
 	}
-	for q.count+1 > q.limits.Waiters || q.bytes+w.Bytes > q.limits.Bytes {
+	for q.count+1 > q.limits.MaxWaiters || q.bytes+w.Bytes > q.limits.Bytes {
 		last := q.last()
 		if last == nil || compare(w, last) >= 0 {
 			return append(refused, Refusal{Waiter: w, Reason: ReasonQueueFull})
