--- a/admission/queue.go
+++ b/admission/queue.go
@@ -9,8 +9,8 @@
 type Limits struct {
 	// MaxWaiters is the largest number of waiting requests.
 	MaxWaiters int
-	// Bytes is the largest sum of their bodies.
-	Bytes int
+	// MaxBytes is the largest sum of their bodies.
+	MaxBytes int
 }
 
 // Queue holds the waiting requests of one pool.
@@ -42,7 +42,7 @@
 	if w.Bounded && q.ahead(w) > w.MostAhead {
 		return append(refused, Refusal{Waiter: w, Reason: ReasonTooMany})
 	}
-	for q.count+1 > q.limits.MaxWaiters || q.bytes+w.Bytes > q.limits.Bytes {
+	for q.count+1 > q.limits.MaxWaiters || q.bytes+w.Bytes > q.limits.MaxBytes {
 		last := q.last()
 		if last == nil || compare(w, last) >= 0 {
 			return append(refused, Refusal{Waiter: w, Reason: ReasonQueueFull})
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -20,7 +20,7 @@
 func TestGolden(t *testing.T) {
 	start := time.Unix(0, 0)
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		q := NewQueue(Limits{MaxWaiters: 3, Bytes: 100})
+		q := NewQueue(Limits{MaxWaiters: 3, MaxBytes: 100})
 		at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			var ms, priority, startBy, bytes, n int
@@ -75,7 +75,7 @@
 // arrive within the head start of their priority.
 func TestNobodyStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := NewQueue(Limits{MaxWaiters: 1000, Bytes: 1000})
+		q := NewQueue(Limits{MaxWaiters: 1000, MaxBytes: 1000})
 		now := time.Unix(0, 0)
 		waiting := map[*Waiter]bool{}
 		for i := range 100 {
@@ -101,7 +101,7 @@
 
 func TestGateAdmitsInOrderAndRefusesInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := NewGate(Limits{MaxWaiters: 10, Bytes: 1000}, time.Now)
+		g := NewGate(Limits{MaxWaiters: 10, MaxBytes: 1000}, time.Now)
 		free := false
 		take := func() bool { return free }
 		results := make(chan error, 3)
@@ -136,7 +136,7 @@
 // whoever comes later gets a place that is free or is refused.
 func TestStoppedGateLetsNobodyWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := NewGate(Limits{MaxWaiters: 10, Bytes: 1000}, time.Now)
+		g := NewGate(Limits{MaxWaiters: 10, MaxBytes: 1000}, time.Now)
 		free := false
 		enter := func(id string) error {
 			return g.Enter(t.Context(), &Waiter{ID: id, Unit: "u", Arrived: time.Now(), StartBy: time.Now().Add(time.Hour)}, func() bool { return free })
--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -119,7 +119,7 @@
 		router: routing.NewRouter(routing.Policies()[cfg.RoutingPolicy], randv2.Float64),
 		events: ring.New[event](eventsCapacity, ring.Block), process: rand.Text(), allowances: allowance.NewEven(),
 	}
-	i.gates = pipeline.NewGates(admission.Limits{MaxWaiters: cfg.Limits.QueueRequests, Bytes: cfg.Limits.QueueBytes}, deps.Now)
+	i.gates = pipeline.NewGates(admission.Limits{MaxWaiters: cfg.Limits.QueueRequests, MaxBytes: cfg.Limits.QueueBytes}, deps.Now)
 	i.control = engine.NewClient(engine.Config{Dial: i.counted("engine_control")})
 	i.heard = newFreshness(deps.Now, milliseconds(cfg.Limits.FreshnessMS), func() {
 		_ = i.peers.events.Put(i.work, peer.StoreHeard{})
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -156,7 +156,7 @@
 	n.startedAt = n.now()
 	n.link = &storeLink{log: log, now: n.now}
 	n.idle = newIdleConns(log, n.now, n.idleLimit)
-	n.gates = pipeline.NewGates(admission.Limits{MaxWaiters: cfg.Limits.QueueRequests, Bytes: cfg.Limits.QueueBytes}, n.now)
+	n.gates = pipeline.NewGates(admission.Limits{MaxWaiters: cfg.Limits.QueueRequests, MaxBytes: cfg.Limits.QueueBytes}, n.now)
 	n.engine = engine.NewClient(engine.Config{Dial: watchfulDialer().DialContext, IdlePerEndpoint: idlePerEndpoint, Dialect: ports.Endpoints})
 	n.control = engine.NewClient(engine.Config{Dial: watchfulDialer().DialContext, Dialect: ports.Endpoints, IdlePerEndpoint: 1})
 	n.quarantine = quarantine.NewKeeper(quarantine.Config{
--- a/pipeline/bench_test.go
+++ b/pipeline/bench_test.go
@@ -89,7 +89,7 @@
 	cfg := Config{
 		Dialect: NewOpenAI(func() *settings.Catalog { return catalog }, 1<<20),
 		Catalog: func() *settings.Catalog { return catalog }, Router: router, Engine: engine.NewClient(engine.Config{}),
-		Gates:   NewGates(admission.Limits{MaxWaiters: 10, Bytes: 1 << 20}, time.Now),
+		Gates:   NewGates(admission.Limits{MaxWaiters: 10, MaxBytes: 1 << 20}, time.Now),
 		Metrics: NewMetrics(new(expvar.Map).Init()), Log: logr.Discard(), Now: time.Now,
 	}
 	change(&cfg)
--- a/pipeline/replay_test.go
+++ b/pipeline/replay_test.go
@@ -170,7 +170,7 @@
 		next := 0
 		router := routing.NewRouter(policy, func() float64 { next++; return float64(next%7) / 7 })
 		router.SetView(view)
-		gates := NewGates(admission.Limits{MaxWaiters: 1000, Bytes: 1 << 20}, time.Now)
+		gates := NewGates(admission.Limits{MaxWaiters: 1000, MaxBytes: 1 << 20}, time.Now)
 		go func() {
 			time.Sleep(replayOffset / 2)
 			for ctx.Err() == nil {
