--- a/admission/queue.go
+++ b/admission/queue.go
@@ -39,7 +39,7 @@
 // waiter itself, or waiters of lower rank that made room.
 func (q *Queue) Arrive(w *Waiter) []Refusal {
 	var refused []Refusal
-	if w.Bounded && q.ahead(w) > w.MostAhead {
+	if w.Bounded && q.ahead(w) > w.MaxAhead {
 		return append(refused, Refusal{Waiter: w, Reason: ReasonTooMany})
 	}
 	for q.count+1 > q.limits.MaxWaiters || q.bytes+w.Bytes > q.limits.MaxBytes {
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -46,7 +46,7 @@
 				d.MaybeScanArgs(t, "most-ahead", &mostAhead)
 				show(q.Arrive(&Waiter{
 					ID: id, Unit: unit, Priority: priority, Late: late, Arrived: at(ms), StartBy: at(startBy), Bytes: bytes,
-					Bounded: bounded, MostAhead: mostAhead,
+					Bounded: bounded, MaxAhead: mostAhead,
 				}))
 			case "offer":
 				d.ScanArgs(t, "unit", &unit)
--- a/admission/waiter.go
+++ b/admission/waiter.go
@@ -24,7 +24,7 @@
 	// Bounded is set if so few places come free until StartBy that the request can have
 	// one only with at most MostAhead others before it.
 	Bounded   bool
-	MostAhead int
+	MaxAhead int
 }
 
 // AgingStep is the head start that one level of priority gives. As every
--- a/pipeline/admit.go
+++ b/pipeline/admit.go
@@ -112,7 +112,7 @@
 	req.Now = now
 	perSecond, limited := f.router.RateLimit(&req)
 	if limited {
-		w.Bounded, w.MostAhead = true, placesUntil(w.StartBy.Sub(now), perSecond)
+		w.Bounded, w.MaxAhead = true, placesUntil(w.StartBy.Sub(now), perSecond)
 	}
 	if err := f.gates.Pool(x.Target.Pool).Enter(ctx, w, take); err != nil {
 		f.refusals.note(f.now(), x.Call.SessionHash)
