--- a/admission/queue.go
+++ b/admission/queue.go
@@ -40,7 +40,7 @@
 func (q *Queue) Arrive(w *Waiter) []Refusal {
 	var refused []Refusal
 	if w.Bounded && q.ahead(w) > w.MaxAhead {
-		return append(refused, Refusal{Waiter: w, Reason: ReasonTooMany})
+		return append(refused, Refusal{Waiter: w, Reason: ReasonTooManyAhead})
 	}
 	for q.count+1 > q.limits.MaxWaiters || q.bytes+w.Bytes > q.limits.MaxBytes {
 		last := q.last()
--- a/admission/waiter.go
+++ b/admission/waiter.go
@@ -58,8 +58,8 @@
 	ReasonQueueFull Reason = "queue_full"
 	ReasonExpired   Reason = "target_missed_in_queue"
 	ReasonStopping  Reason = "stopping"
-	// ReasonTooMany is for a request behind more others than can be served in its time.
-	ReasonTooMany Reason = "too_many_ahead"
+	// ReasonTooManyAhead is for a request behind more others than can be served in its time.
+	ReasonTooManyAhead Reason = "too_many_ahead"
 )
 
 // Refusal is a waiter that was refused.
--- a/pipeline/refused_test.go
+++ b/pipeline/refused_test.go
@@ -30,7 +30,7 @@
 		&DispatchError{NotStarted: true, Err: cause}, &DispatchError{TimedOut: true, Err: cause}, &DispatchError{Err: cause},
 		&RelayError{Err: cause}, &RelayError{TimedOut: true, Err: cause}, &RelayError{CallerGone: true, Err: cause},
 	}
-	for _, reason := range []admission.Reason{admission.ReasonQueueFull, admission.ReasonTooMany, admission.ReasonStopping} {
+	for _, reason := range []admission.Reason{admission.ReasonQueueFull, admission.ReasonTooManyAhead, admission.ReasonStopping} {
 		failures = append(failures, refusalOf(&admission.RefusedError{Reason: reason}, routing.ErrNoCapacity))
 	}
 	for _, f := range failures {
--- a/pipeline/waiting.go
+++ b/pipeline/waiting.go
@@ -108,7 +108,7 @@
 	switch {
 	case refused.Reason == admission.ReasonQueueFull:
 		refusal.Status = http.StatusTooManyRequests
-	case refused.Reason == admission.ReasonTooMany:
+	case refused.Reason == admission.ReasonTooManyAhead:
 		refusal.RetryAfter = roomRetryAfter
 	case refused.Reason == admission.ReasonStopping:
 		refusal.RetryAfter = elsewhereRetryAfter
