--- a/pipeline/claim.go
+++ b/pipeline/claim.go
@@ -19,10 +19,10 @@
 
 // Process implements Filter.
 func (f claimKey) Process(ctx context.Context, x *Exchange) error {
-	if x.Target.Policy.Repeatable || x.Call.Key == "" {
+	if x.Target.Policy.Repeatable || x.Call.IdempotencyKey == "" {
 		return nil
 	}
-	key := claim.Key{Caller: x.Caller.Name, Service: x.Call.Name, Key: x.Call.Key}
+	key := claim.Key{Caller: x.Caller.Name, Service: x.Call.Name, Key: x.Call.IdempotencyKey}
 	held, result, err := f.claims.Begin(ctx, key, claim.Fingerprint(x.Call.Method, x.Call.Path, x.Call.Body))
 	if err != nil {
 		return &ClaimError{Reused: errors.Is(err, claim.ErrMismatch), Err: err}
--- a/pipeline/decode.go
+++ b/pipeline/decode.go
@@ -29,8 +29,8 @@
 func (d decode) Process(_ context.Context, x *Exchange) error {
 	r := x.Request
 	x.Call.Method = r.Method
-	x.Call.Key = r.Header.Get(idempotencyKey)
-	if len(x.Call.Key) > maxKeyBytes {
+	x.Call.IdempotencyKey = r.Header.Get(idempotencyKey)
+	if len(x.Call.IdempotencyKey) > maxKeyBytes {
 		return &DecodeError{Status: http.StatusBadRequest, Field: idempotencyKey, Reason: "longer than 256 bytes"}
 	}
 	if err := x.ReadBody(d.maxBody); err != nil {
--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -40,8 +40,8 @@
 	PromptTokens, OutputTokens int64
 	// Timeout is how long the caller waits; 0 means that it did not say.
 	Timeout time.Duration
-	// Key is the caller's idempotency key, or empty.
-	Key string
+	// IdempotencyKey is the caller's idempotency key, or empty.
+	IdempotencyKey string
 	// Plain is set for a call below /services/.
 	Plain bool
 	// fields locates what is rewritten in Body.
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -142,7 +142,7 @@
 		return err
 	}
 	x.Fingerprint = quarantine.FingerprintOf(x.Caller.Name, x.Call.Method, x.Request.RequestURI, x.Call.Body)
-	if !x.Target.Policy.Repeatable && x.Call.Key != "" {
+	if !x.Target.Policy.Repeatable && x.Call.IdempotencyKey != "" {
 		// A claimed request goes on without its caller, who may ask again.
 		ctx = context.WithoutCancel(ctx)
 	}
