--- a/admission/waiter.go
+++ b/admission/waiter.go
@@ -23,7 +23,7 @@
 	Bytes   int
 	// Bounded is set if so few places come free until StartBy that the request can have
 	// one only with at most MostAhead others before it.
-	Bounded   bool
+	Bounded  bool
 	MaxAhead int
 }
 
--- a/pipeline/errors.go
+++ b/pipeline/errors.go
@@ -94,7 +94,9 @@
 // hear of tokens that were taken away. No endpoint has started it.
 type StaleSettingsError struct{}
 
-func (e *StaleSettingsError) Error() string            { return "authenticate: the settings are not known to be current" }
+func (e *StaleSettingsError) Error() string {
+	return "authenticate: the settings are not known to be current"
+}
 func (e *StaleSettingsError) Outcome() outcome.Outcome { return outcome.NotRun }
 
 // Answer implements Failure. Another instance may know.
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -80,8 +80,8 @@
 type PeerLoad struct {
 	// Running is requests, Prompt the work of reading the prompts of those that
 	// have had no answer.
-	Running int64
-	PromptWork  time.Duration
+	Running    int64
+	PromptWork time.Duration
 	// At is when they were told, on this instance's clock.
 	At time.Time
 }
--- a/routing/pace.go
+++ b/routing/pace.go
@@ -92,7 +92,9 @@
 
 // PromptWorkAhead is the work of reading the prompts of all instances' attempts at the endpoint
 // that have had no answer yet.
-func (e *Endpoint) PromptWorkAhead() time.Duration { return e.OwnPromptWork() + e.PeerLoad().PromptWork }
+func (e *Endpoint) PromptWorkAhead() time.Duration {
+	return e.OwnPromptWork() + e.PeerLoad().PromptWork
+}
 
 // Bounds of the mean gap between events.
 const (
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -19,8 +19,8 @@
 	PromptWork time.Duration
 	// FirstTokenBy is when the first token should be there, GapAim the longest pause
 	// between events; zero where there is no target.
-	FirstTokenBy time.Time
-	EventGapTarget  time.Duration
+	FirstTokenBy   time.Time
+	EventGapTarget time.Duration
 	// Late tells that the request cannot be in time any more.
 	Late bool
 	// FailureDomain is the instance's own.
