--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -15,7 +15,7 @@
 // permits is a node's part in the limits that endpoints name for all nodes: it asks other
 // instances for permits, and answers them. A nil one does nothing.
 type permits struct {
-	local *permit.Local
+	local *permit.Limiter
 	// wake holds at most one wish for a permit.
 	wake   chan struct{}
 	router *routing.Router
--- a/permit/golden_test.go
+++ b/permit/golden_test.go
@@ -13,7 +13,7 @@
 // session says so.
 type session struct {
 	now    time.Time
-	locals map[string]*Local
+	locals map[string]*Limiter
 	asks   map[string]Ask
 	grants map[string]Grant
 }
@@ -24,7 +24,7 @@
 // milliseconds since the start.
 func TestGolden(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		s := &session{locals: map[string]*Local{}, asks: map[string]Ask{}, grants: map[string]Grant{}}
+		s := &session{locals: map[string]*Limiter{}, asks: map[string]Ask{}, grants: map[string]Grant{}}
 		for _, name := range []string{"a", "b"} {
 			s.locals[name] = NewLocal(name, 0, func() {})
 			s.locals[name].SetFleet(Fleet{Members: []string{"a"}, Known: 1})
@@ -71,7 +71,7 @@
 	}
 }
 
-func (s *session) ask(l *Local, name string) string {
+func (s *session) ask(l *Limiter, name string) string {
 	var b strings.Builder
 	asks, got := l.Asks(s.now)
 	for _, a := range asks {
--- a/permit/issue.go
+++ b/permit/issue.go
@@ -55,7 +55,7 @@
 }
 
 // issue issues up to n permits as the issuer of a rank.
-func (l *Local) issue(now time.Time, k *limit, rank int, n int64) int64 {
+func (l *Limiter) issue(now time.Time, k *limit, rank int, n int64) int64 {
 	b := &k.buckets[rank]
 	b.fill(now, k.rate()*rankPart[rank]*l.fleet.part())
 	n = b.take(n)
@@ -74,7 +74,7 @@
 
 // Answer answers an ask of another instance. The word in the answer tells the other what
 // is known here.
-func (l *Local) Answer(now time.Time, a Ask) (g Grant, answered bool) {
+func (l *Limiter) Answer(now time.Time, a Ask) (g Grant, answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hear(now, a.Word)
@@ -109,7 +109,7 @@
 )
 
 // missed records that an issuer has not answered.
-func (l *Local) missed(now time.Time, name string) {
+func (l *Limiter) missed(now time.Time, name string) {
 	i := l.issuers[name]
 	if i == nil {
 		i = &issuer{}
@@ -122,7 +122,7 @@
 }
 
 // issuerOf returns who issues permits for the endpoint, and its rank; empty for nobody.
-func (l *Local) issuerOf(now time.Time, e Endpoint) (name string, rank int) {
+func (l *Limiter) issuerOf(now time.Time, e Endpoint) (name string, rank int) {
 	for rank, name := range l.ranked(e) {
 		i := l.issuers[name]
 		if i == nil || !now.Before(i.passedUntil) {
@@ -133,7 +133,7 @@
 }
 
 // ranked returns the issuers of the endpoint, the first one first.
-func (l *Local) ranked(e Endpoint) []string {
+func (l *Limiter) ranked(e Endpoint) []string {
 	type candidate struct {
 		name   string
 		weight uint64
--- a/permit/local.go
+++ b/permit/local.go
@@ -29,9 +29,9 @@
 	return e.Name
 }
 
-// Local is what one instance knows of the limits that endpoints name, and its part in
-// keeping them. It is safe for concurrent use; a nil Local knows of none.
-type Local struct {
+// Limiter is what one instance knows of the limits that endpoints name, and its part in
+// keeping them. It is safe for concurrent use; a nil Limiter knows of none.
+type Limiter struct {
 	self string
 	// wanted is called when a permit is wanted and none is there; it must not block.
 	wanted func()
@@ -103,15 +103,15 @@
 
 // NewLocal returns the part of an instance that has heard nothing. Its asks count up from
 // seq, which differs between the processes of an instance.
-func NewLocal(self string, seq uint64, wanted func()) *Local {
-	return &Local{
+func NewLocal(self string, seq uint64, wanted func()) *Limiter {
+	return &Limiter{
 		self: self, seq: seq, wanted: wanted, limits: map[Endpoint]*limit{}, issuers: map[string]*issuer{}, met: map[string]string{},
 		fleet: Fleet{Members: []string{self}, Known: 1},
 	}
 }
 
 // SetFleet replaces what is known of the others.
-func (l *Local) SetFleet(f Fleet) {
+func (l *Limiter) SetFleet(f Fleet) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fleet = f
@@ -119,7 +119,7 @@
 
 // Met notes that an instance was heard. A process that was not heard before knows of no
 // limits: it would find out by requests beyond them.
-func (l *Local) Met(instance, process string) {
+func (l *Limiter) Met(instance, process string) {
 	if !l.Limited() {
 		return
 	}
@@ -139,7 +139,7 @@
 
 // Named records that an answer of the endpoint has named a limit, in requests a second, and
 // reports whether that is news.
-func (l *Local) Named(now time.Time, e Endpoint, perSecond float64) bool {
+func (l *Limiter) Named(now time.Time, e Endpoint, perSecond float64) bool {
 	if l == nil {
 		return false
 	}
@@ -151,7 +151,7 @@
 // Unlimited records that an answer of the endpoint has named none, to a request that was
 // sent at sentAt, and reports whether that ends a limit. An answer to a request that was
 // sent before the limit was known may be from before it.
-func (l *Local) Unlimited(now time.Time, e Endpoint, sentAt time.Time) bool {
+func (l *Limiter) Unlimited(now time.Time, e Endpoint, sentAt time.Time) bool {
 	if !l.Limited() {
 		return false
 	}
@@ -166,7 +166,7 @@
 
 // said records what the endpoint said at a moment, as of now, and reports whether it is
 // another word than the one before.
-func (l *Local) said(at, now time.Time, e Endpoint, perSecond float64, ended bool) bool {
+func (l *Limiter) said(at, now time.Time, e Endpoint, perSecond float64, ended bool) bool {
 	known := l.limits[e]
 	if known == nil {
 		if ended || len(l.limits) >= maxLimits {
@@ -191,11 +191,11 @@
 }
 
 // Limited tells whether any limit is in force.
-func (l *Local) Limited() bool { return l != nil && l.limited.Load() > 0 }
+func (l *Limiter) Limited() bool { return l != nil && l.limited.Load() > 0 }
 
 // Rate is how many permits a second are issued for an endpoint; false for one that needs
 // none.
-func (l *Local) Rate(e Endpoint) (perSecond float64, limited bool) {
+func (l *Limiter) Rate(e Endpoint) (perSecond float64, limited bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.limits[e]
@@ -206,7 +206,7 @@
 }
 
 // Forget drops what endpoints have said that are not listed any more.
-func (l *Local) Forget(now time.Time, listed func(Endpoint) bool) {
+func (l *Limiter) Forget(now time.Time, listed func(Endpoint) bool) {
 	if l == nil {
 		return
 	}
@@ -244,7 +244,7 @@
 }
 
 // Stats returns the state for operators.
-func (l *Local) Stats(now time.Time, most int) Stats {
+func (l *Limiter) Stats(now time.Time, most int) Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := Stats{Limits: map[string]LimitStats{}, Taken: l.taken, Issued: l.issued}
--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -14,7 +14,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-func newLocal() *Local { return NewLocal("i1", 0, func() {}) }
+func newLocal() *Limiter { return NewLocal("i1", 0, func() {}) }
 
 func TestWhatAnEndpointSays(t *testing.T) {
 	l, e := newLocal(), Endpoint{Name: "e1"}
@@ -35,7 +35,7 @@
 }
 
 func TestLocalThatKnowsNothing(t *testing.T) {
-	var l *Local
+	var l *Limiter
 	e := Endpoint{Name: "e1"}
 	require.False(t, l.Named(start, e, 1))
 	require.False(t, l.Unlimited(start, e, start))
@@ -68,7 +68,7 @@
 	a.Named(start, e, 3)
 	now := start
 	for range 500 {
-		for _, pair := range [][2]*Local{{a, b}, {b, a}} {
+		for _, pair := range [][2]*Limiter{{a, b}, {b, a}} {
 			word := pair[0].limits[e]
 			if word == nil {
 				continue
@@ -172,7 +172,7 @@
 // TestAnswerTellsThatALimitHasEnded asks an issuer that knows more.
 func TestAnswerTellsThatALimitHasEnded(t *testing.T) {
 	asking, issuing, e := newLocal(), newLocal(), Endpoint{Name: "e1"}
-	for _, l := range []*Local{asking, issuing} {
+	for _, l := range []*Limiter{asking, issuing} {
 		l.Named(start, e, 10)
 	}
 	require.True(t, issuing.Unlimited(at(time.Second), e, at(500*time.Millisecond)))
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -40,7 +40,7 @@
 // simNode is one instance.
 type simNode struct {
 	name    string
-	local   *Local
+	local   *Limiter
 	process int
 	// group is which instances it reaches; down ones reach nobody.
 	group int
--- a/permit/stock.go
+++ b/permit/stock.go
@@ -65,7 +65,7 @@
 }
 
 // Ready tells whether a request may go to the endpoint now.
-func (l *Local) Ready(now time.Time, e Endpoint) bool {
+func (l *Limiter) Ready(now time.Time, e Endpoint) bool {
 	if !l.Limited() {
 		return true
 	}
@@ -77,7 +77,7 @@
 
 // Take uses a permit for a request that goes to the endpoint; false if there is none. An
 // endpoint without a limit needs none.
-func (l *Local) Take(now time.Time, e Endpoint) bool {
+func (l *Limiter) Take(now time.Time, e Endpoint) bool {
 	if !l.Limited() {
 		return true
 	}
@@ -104,7 +104,7 @@
 }
 
 // Want records that a request would go to the endpoint if there were a permit.
-func (l *Local) Want(now time.Time, e Endpoint) {
+func (l *Limiter) Want(now time.Time, e Endpoint) {
 	l.mu.Lock()
 	known := l.limits[e]
 	if known != nil {
@@ -179,7 +179,7 @@
 
 // Asks returns what is to be asked now, and whether permits have been issued here, where
 // this instance is the issuer itself.
-func (l *Local) Asks(now time.Time) (asks []Addressed, got bool) {
+func (l *Limiter) Asks(now time.Time) (asks []Addressed, got bool) {
 	if !l.Limited() {
 		return nil, false
 	}
@@ -216,14 +216,14 @@
 
 // pause is the time until the next ask behind one that brought nothing: about until this
 // instance's even share of the rate is one permit.
-func (l *Local) pause(k *limit) time.Duration {
+func (l *Limiter) pause(k *limit) time.Duration {
 	members := l.fleet.Known
 	share := time.Duration(float64(members) / k.rate() * float64(time.Second))
 	return min(max(share, leastPause), max(mostPause, mostPauseEach*time.Duration(members)))
 }
 
 // received takes permits, or that there were none, and reports whether there were some.
-func (l *Local) received(now time.Time, k *limit, n int64, askedAt time.Time) bool {
+func (l *Limiter) received(now time.Time, k *limit, n int64, askedAt time.Time) bool {
 	if n == 0 {
 		k.stock.nextAsk = now.Add(l.pause(k))
 		return false
@@ -233,12 +233,12 @@
 }
 
 // issueHere issues permits to this instance itself.
-func (l *Local) issueHere(now time.Time, k *limit, rank int) bool {
+func (l *Limiter) issueHere(now time.Time, k *limit, rank int) bool {
 	return l.received(now, k, l.issue(now, k, rank, k.stock.size(now)), now)
 }
 
 // goOn lets an instance go on that no issuer answers.
-func (l *Local) goOn(now time.Time, k *limit) bool {
+func (l *Limiter) goOn(now time.Time, k *limit) bool {
 	s := &k.stock
 	if now.Sub(s.evenAt) > evenLapse*l.pause(k) {
 		s.even = bucket{}
@@ -250,7 +250,7 @@
 
 // Granted takes the answer of an issuer, and reports whether it brought permits, or the
 // news that none are needed any more.
-func (l *Local) Granted(now time.Time, from string, g Grant) bool {
+func (l *Limiter) Granted(now time.Time, from string, g Grant) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.issuers, from)
--- a/permit/words.go
+++ b/permit/words.go
@@ -72,7 +72,7 @@
 }
 
 // Hear takes the words of another instance, and returns those that are news here.
-func (l *Local) Hear(now time.Time, words []Word) (news []Word) {
+func (l *Limiter) Hear(now time.Time, words []Word) (news []Word) {
 	if l == nil || len(words) == 0 {
 		return nil
 	}
@@ -87,7 +87,7 @@
 }
 
 // hear takes one word unless a newer one is known.
-func (l *Local) hear(now time.Time, w Word) bool {
+func (l *Limiter) hear(now time.Time, w Word) bool {
 	if !w.sound() {
 		return false
 	}
@@ -113,7 +113,7 @@
 }
 
 // Words returns words that the others are to hear, in so many bytes.
-func (l *Local) Words(now time.Time, room int) []Word {
+func (l *Limiter) Words(now time.Time, room int) []Word {
 	if l == nil {
 		return nil
 	}
--- a/pipeline/limits.go
+++ b/pipeline/limits.go
@@ -15,7 +15,7 @@
 // limits takes the limits that endpoints name with their answers.
 type limits struct {
 	client  *engine.Client
-	permits *permit.Local
+	permits *permit.Limiter
 	catalog func() *settings.Catalog
 	log     logr.Logger
 	now     func() time.Time
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -62,7 +62,7 @@
 	// Allowances bounds what accounts may ask; nil bounds nothing.
 	Allowances *allowance.Local
 	// Permits is told the limits that endpoints name; nil tells nobody.
-	Permits *permit.Local
+	Permits *permit.Limiter
 }
 
 // Pipeline serves callers. It is an http.Handler.
--- a/routing/router.go
+++ b/routing/router.go
@@ -52,12 +52,12 @@
 	// instances is how many share the endpoints, where the view does not tell.
 	instances atomic.Int64
 	// permits keeps the limits that endpoints name; nil where none does.
-	permits *permit.Local
+	permits *permit.Limiter
 }
 
 // SetPermits makes the router keep the limits that endpoints name. It is called before the
 // first Pick.
-func (r *Router) SetPermits(p *permit.Local) { r.permits = p }
+func (r *Router) SetPermits(p *permit.Limiter) { r.permits = p }
 
 // SetInstances says how many instances share the endpoints, where the view does not tell.
 func (r *Router) SetInstances(n int) { r.instances.Store(int64(n)) }
