--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -43,7 +43,7 @@
 
 func newPermits(instance string, router *routing.Router, log logr.Logger, now func() time.Time) *permits {
 	p := &permits{wake: make(chan struct{}, 1), router: router, log: log, now: now}
-	p.local = permit.NewLocal(instance, rand.Uint64(), p.wanted)
+	p.local = permit.NewLimiter(instance, rand.Uint64(), p.wanted)
 	return p
 }
 
--- a/permit/golden_test.go
+++ b/permit/golden_test.go
@@ -26,7 +26,7 @@
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := &session{locals: map[string]*Limiter{}, asks: map[string]Ask{}, grants: map[string]Grant{}}
 		for _, name := range []string{"a", "b"} {
-			s.locals[name] = NewLocal(name, 0, func() {})
+			s.locals[name] = NewLimiter(name, 0, func() {})
 			s.locals[name].SetFleet(Fleet{Members: []string{"a"}, Known: 1})
 		}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
--- a/permit/local.go
+++ b/permit/local.go
@@ -101,9 +101,9 @@
 	forgetAfter = 30 * time.Second
 )
 
-// NewLocal returns the part of an instance that has heard nothing. Its asks count up from
+// NewLimiter returns the part of an instance that has heard nothing. Its asks count up from
 // seq, which differs between the processes of an instance.
-func NewLocal(self string, seq uint64, wanted func()) *Limiter {
+func NewLimiter(self string, seq uint64, wanted func()) *Limiter {
 	return &Limiter{
 		self: self, seq: seq, wanted: wanted, limits: map[Endpoint]*limit{}, issuers: map[string]*issuer{}, met: map[string]string{},
 		fleet: Fleet{Members: []string{self}, Known: 1},
--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -14,7 +14,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-func newLocal() *Limiter { return NewLocal("i1", 0, func() {}) }
+func newLocal() *Limiter { return NewLimiter("i1", 0, func() {}) }
 
 func TestWhatAnEndpointSays(t *testing.T) {
 	l, e := newLocal(), Endpoint{Name: "e1"}
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -92,7 +92,7 @@
 func (s *simulation) begin(n *simNode) {
 	n.process++
 	n.down, n.waiting, n.toldAt, n.readyAt = false, nil, time.Time{}, s.now
-	n.local = NewLocal(n.name, s.random.Uint64(), func() {})
+	n.local = NewLimiter(n.name, s.random.Uint64(), func() {})
 	if n.process == 1 {
 		return
 	}
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -158,7 +158,7 @@
 func TestLimitedEndpoints(t *testing.T) {
 	now := time.Unix(1000, 0)
 	limited, free := &Endpoint{Name: "limited", Concurrency: 8}, &Endpoint{Name: "free", Concurrency: 8}
-	permits := permit.NewLocal("i1", 0, func() {})
+	permits := permit.NewLimiter("i1", 0, func() {})
 	r := NewRouter(Policies()[PolicyTimely], func() float64 { return 0 })
 	r.SetPermits(permits)
 	view := func(unit ...*Endpoint) {
