--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -154,7 +154,7 @@
 }
 
 // words returns what is to be told of limits, in so many bytes.
-func (p *permits) words(room int) []permit.Word {
+func (p *permits) words(room int) []permit.LimitReport {
 	if p == nil {
 		return nil
 	}
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -87,7 +87,7 @@
 	// Orphan tells that the sender has never heard a process that adds up.
 	Orphan bool `cbor:"33,keyasint,omitempty"`
 	// Limits is what endpoints have said lately of the requests that they take.
-	Limits []permit.Word `cbor:"34,keyasint,omitempty"`
+	Limits []permit.LimitReport `cbor:"34,keyasint,omitempty"`
 	// PermitAsks asks for permits, Grants answers. Such a packet tells nothing else, and
 	// has an Echo, by which releases without permits leave it alone.
 	PermitAsks []permit.Ask   `cbor:"35,keyasint,omitempty"`
--- a/permit/cold.go
+++ b/permit/cold.go
@@ -49,7 +49,7 @@
 }
 
 // hearCold takes the word of another instance on a cold endpoint. It never ends anything.
-func (l *Limiter) hearCold(now time.Time, e Endpoint, w Word) (news bool) {
+func (l *Limiter) hearCold(now time.Time, e Endpoint, w LimitReport) (news bool) {
 	if w.Ended || w.PerSecond <= 0 {
 		return false
 	}
--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -41,7 +41,7 @@
 	require.False(t, l.Unlimited(start, e, start))
 	require.True(t, l.Ready(start, e))
 	require.True(t, l.Take(start, e))
-	require.Empty(t, l.Hear(start, []Word{{Endpoint: "e1"}}))
+	require.Empty(t, l.Hear(start, []LimitReport{{Endpoint: "e1"}}))
 	require.Empty(t, l.Words(start, 1000))
 }
 
@@ -49,8 +49,8 @@
 // in another order.
 func TestOnlyNewerWordsCount(t *testing.T) {
 	l, e := newLocal(), Endpoint{Name: "e1", StartedAtMS: 5}
-	word := func(perSecond float64, ended bool, age time.Duration) []Word {
-		return []Word{{Endpoint: e.Name, StartedAtMS: e.StartedAtMS, PerSecond: perSecond, Ended: ended, AgeMS: age.Milliseconds()}}
+	word := func(perSecond float64, ended bool, age time.Duration) []LimitReport {
+		return []LimitReport{{Endpoint: e.Name, StartedAtMS: e.StartedAtMS, PerSecond: perSecond, Ended: ended, AgeMS: age.Milliseconds()}}
 	}
 	require.Empty(t, l.Hear(at(time.Second), word(0, true, 0)), "the end of a limit that nobody knows")
 	require.Len(t, l.Hear(at(time.Second), word(3, false, 100*time.Millisecond)), 1)
@@ -75,24 +75,24 @@
 			}
 			told := word.word(now, e)
 			now = now.Add(4 * time.Millisecond)
-			pair[1].Hear(now, []Word{told})
+			pair[1].Hear(now, []LimitReport{told})
 		}
 	}
-	ended := Word{Endpoint: e.Name, Ended: true, AgeMS: now.Sub(at(200 * time.Millisecond)).Milliseconds()}
-	require.Len(t, a.Hear(now, []Word{ended}), 1)
+	ended := LimitReport{Endpoint: e.Name, Ended: true, AgeMS: now.Sub(at(200 * time.Millisecond)).Milliseconds()}
+	require.Len(t, a.Hear(now, []LimitReport{ended}), 1)
 }
 
 func TestUnsoundWords(t *testing.T) {
 	l := newLocal()
-	for name, w := range map[string]Word{
+	for name, w := range map[string]LimitReport{
 		"negative": {Endpoint: "e1", PerSecond: -1}, "no number": {Endpoint: "e1", PerSecond: math.NaN()},
 		"without end": {Endpoint: "e1", PerSecond: math.Inf(1)}, "from the future": {Endpoint: "e1", AgeMS: -5},
 		"long name": {Endpoint: strings.Repeat("e", 300)},
 	} {
-		require.Empty(t, l.Hear(start, []Word{w}), name)
+		require.Empty(t, l.Hear(start, []LimitReport{w}), name)
 	}
 	require.False(t, l.Limited())
-	for _, a := range []Ask{{Word: Word{Endpoint: "e1", PerSecond: 1}, Rank: -1}, {Word: Word{Endpoint: "e1", PerSecond: 1}, Rank: mostIssuers}} {
+	for _, a := range []Ask{{Word: LimitReport{Endpoint: "e1", PerSecond: 1}, Rank: -1}, {Word: LimitReport{Endpoint: "e1", PerSecond: 1}, Rank: mostIssuers}} {
 		_, answered := l.Answer(start, a)
 		require.False(t, answered)
 	}
@@ -161,7 +161,7 @@
 // TestNobodyIsAskedForLessThanNothing has an ask that would fill the bucket.
 func TestNobodyIsAskedForLessThanNothing(t *testing.T) {
 	l := newLocal()
-	word := Word{Endpoint: "e1", PerSecond: 1}
+	word := LimitReport{Endpoint: "e1", PerSecond: 1}
 	g, answered := l.Answer(start, Ask{Word: word, N: -1000})
 	require.True(t, answered)
 	require.Zero(t, g.N)
--- a/permit/words.go
+++ b/permit/words.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Word is what an endpoint said last, as one instance tells another.
-type Word struct {
+// LimitReport is what an endpoint said last, as one instance tells another.
+type LimitReport struct {
 	_           struct{} `cbor:",toarray"`
 	Endpoint    string
 	StartedAtMS int64
@@ -21,7 +21,7 @@
 // Ask asks the issuer of an endpoint for permits.
 type Ask struct {
 	_    struct{} `cbor:",toarray"`
-	Word Word
+	Word LimitReport
 	// Seq stands for the ask in the answer.
 	Seq uint64
 	// Rank is how many issuers go before this one.
@@ -33,7 +33,7 @@
 // Grant answers an Ask.
 type Grant struct {
 	_    struct{} `cbor:",toarray"`
-	Word Word
+	Word LimitReport
 	Seq  uint64
 	// N is how many permits are issued.
 	N int64
@@ -50,29 +50,29 @@
 )
 
 // Bytes bounds the encoding of the word.
-func (w Word) Bytes() int { return wordHead + len(w.Endpoint) }
+func (w LimitReport) Bytes() int { return wordHead + len(w.Endpoint) }
 
 // start is the endpoint that the word is about.
-func (w Word) start() Endpoint {
+func (w LimitReport) start() Endpoint {
 	name, cold := strings.CutSuffix(w.Endpoint, coldSuffix)
 	return Endpoint{Name: name, StartedAtMS: w.StartedAtMS, Cold: cold}
 }
 
 // sound tells whether the word can be believed.
-func (w Word) sound() bool {
+func (w LimitReport) sound() bool {
 	return len(w.Endpoint) <= maxName && w.AgeMS >= 0 && w.PerSecond >= 0 && !math.IsInf(w.PerSecond, 0)
 }
 
 // word is what is told of an endpoint.
-func (k *limit) word(now time.Time, e Endpoint) Word {
-	return Word{
+func (k *limit) word(now time.Time, e Endpoint) LimitReport {
+	return LimitReport{
 		Endpoint: e.text(), StartedAtMS: e.StartedAtMS, PerSecond: k.perSecond, Ended: k.ended,
 		AgeMS: max(now.Sub(k.saidAt), 0).Milliseconds(),
 	}
 }
 
 // Hear takes the words of another instance, and returns those that are news here.
-func (l *Limiter) Hear(now time.Time, words []Word) (news []Word) {
+func (l *Limiter) Hear(now time.Time, words []LimitReport) (news []LimitReport) {
 	if l == nil || len(words) == 0 {
 		return nil
 	}
@@ -87,7 +87,7 @@
 }
 
 // hear takes one word unless a newer one is known.
-func (l *Limiter) hear(now time.Time, w Word) bool {
+func (l *Limiter) hear(now time.Time, w LimitReport) bool {
 	if !w.sound() {
 		return false
 	}
@@ -107,19 +107,19 @@
 const sameWithin = 50 * time.Millisecond
 
 // supersedes tells whether a word, said at a moment, changes nothing of what is known.
-func (k *limit) supersedes(w Word, said time.Time) bool {
+func (k *limit) supersedes(w LimitReport, said time.Time) bool {
 	same := k.ended == w.Ended && k.perSecond == w.PerSecond
 	return !said.After(k.saidAt) || same && said.Sub(k.saidAt) < sameWithin
 }
 
 // Words returns words that the others are to hear, in so many bytes.
-func (l *Limiter) Words(now time.Time, room int) []Word {
+func (l *Limiter) Words(now time.Time, room int) []LimitReport {
 	if l == nil {
 		return nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var words []Word
+	var words []LimitReport
 	for e, k := range l.limits {
 		w := k.word(now, e)
 		if k.tells == 0 || e.Cold || w.Bytes() > room {
