--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -73,7 +73,7 @@
 		}
 		asks, got := p.local.Asks(p.now())
 		for _, a := range asks {
-			p.tell(peer.Packet{PermitAsks: []permit.Ask{a.Ask}, Echo: a.Ask.Seq | 1}, a.To)
+			p.tell(peer.Packet{PermitAsks: []permit.Request{a.Ask}, Echo: a.Ask.Seq | 1}, a.To)
 		}
 		if got || len(warm) > 0 {
 			p.kick()
--- a/permit/golden_test.go
+++ b/permit/golden_test.go
@@ -14,7 +14,7 @@
 type session struct {
 	now    time.Time
 	locals map[string]*Limiter
-	asks   map[string]Ask
+	asks   map[string]Request
 	grants map[string]Grant
 }
 
@@ -24,7 +24,7 @@
 // milliseconds since the start.
 func TestGolden(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		s := &session{locals: map[string]*Limiter{}, asks: map[string]Ask{}, grants: map[string]Grant{}}
+		s := &session{locals: map[string]*Limiter{}, asks: map[string]Request{}, grants: map[string]Grant{}}
 		for _, name := range []string{"a", "b"} {
 			s.locals[name] = NewLimiter(name, 0, func() {})
 			s.locals[name].SetFleet(Fleet{Members: []string{"a"}, Known: 1})
--- a/permit/issue.go
+++ b/permit/issue.go
@@ -74,7 +74,7 @@
 
 // Answer answers an ask of another instance. The word in the answer tells the other what
 // is known here.
-func (l *Limiter) Answer(now time.Time, a Ask) (g Grant, answered bool) {
+func (l *Limiter) Answer(now time.Time, a Request) (g Grant, answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hear(now, a.Word)
--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -92,7 +92,7 @@
 		require.Empty(t, l.Hear(start, []LimitReport{w}), name)
 	}
 	require.False(t, l.Limited())
-	for _, a := range []Ask{{Word: LimitReport{Endpoint: "e1", PerSecond: 1}, Rank: -1}, {Word: LimitReport{Endpoint: "e1", PerSecond: 1}, Rank: mostIssuers}} {
+	for _, a := range []Request{{Word: LimitReport{Endpoint: "e1", PerSecond: 1}, Rank: -1}, {Word: LimitReport{Endpoint: "e1", PerSecond: 1}, Rank: mostIssuers}} {
 		_, answered := l.Answer(start, a)
 		require.False(t, answered)
 	}
@@ -162,10 +162,10 @@
 func TestNobodyIsAskedForLessThanNothing(t *testing.T) {
 	l := newLocal()
 	word := LimitReport{Endpoint: "e1", PerSecond: 1}
-	g, answered := l.Answer(start, Ask{Word: word, N: -1000})
+	g, answered := l.Answer(start, Request{Word: word, N: -1000})
 	require.True(t, answered)
 	require.Zero(t, g.N)
-	g, _ = l.Answer(start, Ask{Word: word, N: 1000})
+	g, _ = l.Answer(start, Request{Word: word, N: 1000})
 	require.Zero(t, g.N)
 }
 
--- a/permit/stock.go
+++ b/permit/stock.go
@@ -174,7 +174,7 @@
 // Addressed is an ask and whom it is for.
 type Addressed struct {
 	To  string
-	Ask Ask
+	Ask Request
 }
 
 // Asks returns what is to be asked now, and whether permits have been issued here, where
@@ -209,7 +209,7 @@
 		}
 		l.seq++
 		s.ask(now, l.seq, to)
-		asks = append(asks, Addressed{To: to, Ask: Ask{Word: k.word(now, e), Seq: l.seq, Rank: rank, N: s.size(now)}})
+		asks = append(asks, Addressed{To: to, Ask: Request{Word: k.word(now, e), Seq: l.seq, Rank: rank, N: s.size(now)}})
 	}
 	return asks, got
 }
--- a/permit/words.go
+++ b/permit/words.go
@@ -18,8 +18,8 @@
 	AgeMS int64
 }
 
-// Ask asks the issuer of an endpoint for permits.
-type Ask struct {
+// Request asks the issuer of an endpoint for permits.
+type Request struct {
 	_    struct{} `cbor:",toarray"`
 	Word LimitReport
 	// Seq stands for the ask in the answer.
