--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -137,7 +137,7 @@
 	l, e := newLocal(), Endpoint{Name: "e1"}
 	l.Named(start, e, 10)
 	l.SetFleet(Fleet{Members: []string{"other"}, Known: 1})
-	var asks []Addressed
+	var asks []OutgoingRequest
 	for i := range 3 {
 		now := at(time.Duration(i) * answerTime)
 		l.Want(now, e)
@@ -145,7 +145,7 @@
 		require.Len(t, more, 1)
 		asks = append(asks, more...)
 	}
-	grant := func(a Addressed) Grant { return Grant{Word: a.Ask.Word, Seq: a.Ask.Seq, N: 1} }
+	grant := func(a OutgoingRequest) Grant { return Grant{Word: a.Ask.Word, Seq: a.Ask.Seq, N: 1} }
 	now := at(3 * answerTime)
 	require.False(t, l.Granted(now, "third", grant(asks[1])), "nobody asked it")
 	require.True(t, l.Granted(now, "other", grant(asks[1])))
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -215,7 +215,7 @@
 	return nil
 }
 
-func (s *simulation) ask(n *simNode, a Addressed) {
+func (s *simulation) ask(n *simNode, a OutgoingRequest) {
 	to := s.named(a.To)
 	s.send(n, to, func() {
 		to.local.SetFleet(s.fleet(to))
--- a/permit/stock.go
+++ b/permit/stock.go
@@ -171,15 +171,15 @@
 	return s.batch
 }
 
-// Addressed is an ask and whom it is for.
-type Addressed struct {
+// OutgoingRequest is an ask and whom it is for.
+type OutgoingRequest struct {
 	To  string
 	Ask Request
 }
 
 // Asks returns what is to be asked now, and whether permits have been issued here, where
 // this instance is the issuer itself.
-func (l *Limiter) Asks(now time.Time) (asks []Addressed, got bool) {
+func (l *Limiter) Asks(now time.Time) (asks []OutgoingRequest, got bool) {
 	if !l.Limited() {
 		return nil, false
 	}
@@ -209,7 +209,7 @@
 		}
 		l.seq++
 		s.ask(now, l.seq, to)
-		asks = append(asks, Addressed{To: to, Ask: Request{Word: k.word(now, e), Seq: l.seq, Rank: rank, N: s.size(now)}})
+		asks = append(asks, OutgoingRequest{To: to, Ask: Request{Word: k.word(now, e), Seq: l.seq, Rank: rank, N: s.size(now)}})
 	}
 	return asks, got
 }
