--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -71,7 +71,7 @@
 		for _, e := range warm {
 			p.log.Info("endpoint warm", "endpoint", e.Name)
 		}
-		asks, got := p.local.Asks(p.now())
+		asks, got := p.local.PendingRequests(p.now())
 		for _, a := range asks {
 			p.tell(peer.Packet{PermitAsks: []permit.Request{a.Ask}, Echo: a.Ask.Seq | 1}, a.To)
 		}
--- a/permit/golden_test.go
+++ b/permit/golden_test.go
@@ -73,7 +73,7 @@
 
 func (s *session) ask(l *Limiter, name string) string {
 	var b strings.Builder
-	asks, got := l.Asks(s.now)
+	asks, got := l.PendingRequests(s.now)
 	for _, a := range asks {
 		s.asks[name] = a.Ask
 		fmt.Fprintf(&b, "to=%s rank=%d n=%d per-second=%v age=%dms\n", a.To, a.Ask.Rank, a.Ask.N, a.Ask.Word.PerSecond, a.Ask.Word.AgeMS)
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -197,7 +197,7 @@
 		s.evenPart(n)
 		return
 	}
-	asks, got := n.local.Asks(s.now)
+	asks, got := n.local.PendingRequests(s.now)
 	for _, a := range asks {
 		s.ask(n, a)
 	}
--- a/permit/stock.go
+++ b/permit/stock.go
@@ -177,9 +177,9 @@
 	Ask Request
 }
 
-// Asks returns what is to be asked now, and whether permits have been issued here, where
+// PendingRequests returns what is to be asked now, and whether permits have been issued here, where
 // this instance is the issuer itself.
-func (l *Limiter) Asks(now time.Time) (asks []OutgoingRequest, got bool) {
+func (l *Limiter) PendingRequests(now time.Time) (asks []OutgoingRequest, got bool) {
 	if !l.Limited() {
 		return nil, false
 	}
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -193,11 +193,11 @@
 	require.True(t, only)
 	require.Equal(t, 2.0, perSecond)
 
-	permits.Asks(now)
+	permits.PendingRequests(now)
 	now = now.Add(600 * time.Millisecond)
 	_, err = pick()
 	require.ErrorIs(t, err, ErrNoCapacity)
-	_, got := permits.Asks(now)
+	_, got := permits.PendingRequests(now)
 	require.True(t, got)
 	name, err := pick()
 	require.NoError(t, err)
