--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -144,7 +144,7 @@
 func (p *permits) grant(packet peer.Packet) {
 	var grants []permit.Grant
 	for _, a := range packet.PermitAsks {
-		if g, answered := p.local.Answer(p.now(), a); answered {
+		if g, answered := p.local.HandleRequest(p.now(), a); answered {
 			grants = append(grants, g)
 		}
 	}
--- a/permit/golden_test.go
+++ b/permit/golden_test.go
@@ -60,7 +60,7 @@
 	case "ask":
 		return s.ask(l, name)
 	case "answer":
-		g, answered := l.Answer(s.now, s.asks["b"])
+		g, answered := l.HandleRequest(s.now, s.asks["b"])
 		s.grants["b"] = g
 		return fmt.Sprintf("answered=%v n=%d ended=%v\n", answered, g.N, g.Word.Ended)
 	case "granted":
--- a/permit/issue.go
+++ b/permit/issue.go
@@ -72,9 +72,9 @@
 	return sum
 }
 
-// Answer answers an ask of another instance. The word in the answer tells the other what
+// HandleRequest answers an ask of another instance. The word in the answer tells the other what
 // is known here.
-func (l *Limiter) Answer(now time.Time, a Request) (g Grant, answered bool) {
+func (l *Limiter) HandleRequest(now time.Time, a Request) (g Grant, answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hear(now, a.Word)
--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -93,7 +93,7 @@
 	}
 	require.False(t, l.Limited())
 	for _, a := range []Request{{Word: LimitReport{Endpoint: "e1", PerSecond: 1}, Rank: -1}, {Word: LimitReport{Endpoint: "e1", PerSecond: 1}, Rank: mostIssuers}} {
-		_, answered := l.Answer(start, a)
+		_, answered := l.HandleRequest(start, a)
 		require.False(t, answered)
 	}
 }
@@ -162,10 +162,10 @@
 func TestNobodyIsAskedForLessThanNothing(t *testing.T) {
 	l := newLocal()
 	word := LimitReport{Endpoint: "e1", PerSecond: 1}
-	g, answered := l.Answer(start, Request{Word: word, N: -1000})
+	g, answered := l.HandleRequest(start, Request{Word: word, N: -1000})
 	require.True(t, answered)
 	require.Zero(t, g.N)
-	g, _ = l.Answer(start, Request{Word: word, N: 1000})
+	g, _ = l.HandleRequest(start, Request{Word: word, N: 1000})
 	require.Zero(t, g.N)
 }
 
@@ -180,7 +180,7 @@
 	asking.Want(at(2*time.Second), e)
 	asks, _ := asking.PendingRequests(at(2 * time.Second))
 	require.Len(t, asks, 1)
-	g, answered := issuing.Answer(at(2*time.Second), asks[0].Ask)
+	g, answered := issuing.HandleRequest(at(2*time.Second), asks[0].Ask)
 	require.True(t, answered)
 	require.True(t, asking.Granted(at(2*time.Second), "other", g))
 	require.True(t, asking.Ready(at(2*time.Second), e))
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -219,7 +219,7 @@
 	to := s.named(a.To)
 	s.send(n, to, func() {
 		to.local.SetFleet(s.fleet(to))
-		g, answered := to.local.Answer(s.now, a.Ask)
+		g, answered := to.local.HandleRequest(s.now, a.Ask)
 		if !answered {
 			return
 		}
