--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -122,7 +122,7 @@
 	}
 	p.grant(packet)
 	for _, g := range packet.Grants {
-		if p.local.Granted(p.now(), packet.From, g) {
+		if p.local.ReceiveGrant(p.now(), packet.From, g) {
 			p.kick()
 		}
 	}
--- a/permit/golden_test.go
+++ b/permit/golden_test.go
@@ -64,7 +64,7 @@
 		s.grants["b"] = g
 		return fmt.Sprintf("answered=%v n=%d ended=%v\n", answered, g.N, g.Word.Ended)
 	case "granted":
-		return fmt.Sprintf("goes-on=%v\n", l.Granted(s.now, "a", s.grants[name]))
+		return fmt.Sprintf("goes-on=%v\n", l.ReceiveGrant(s.now, "a", s.grants[name]))
 	default:
 		t.Fatalf("unknown command %s", d.Cmd)
 		return ""
--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -147,14 +147,14 @@
 	}
 	grant := func(a OutgoingRequest) Grant { return Grant{Word: a.Ask.Word, Seq: a.Ask.Seq, N: 1} }
 	now := at(3 * answerTime)
-	require.False(t, l.Granted(now, "third", grant(asks[1])), "nobody asked it")
-	require.True(t, l.Granted(now, "other", grant(asks[1])))
-	require.False(t, l.Granted(now, "other", grant(asks[1])), "doubled")
-	require.True(t, l.Granted(now, "other", grant(asks[0])), "in another order")
+	require.False(t, l.ReceiveGrant(now, "third", grant(asks[1])), "nobody asked it")
+	require.True(t, l.ReceiveGrant(now, "other", grant(asks[1])))
+	require.False(t, l.ReceiveGrant(now, "other", grant(asks[1])), "doubled")
+	require.True(t, l.ReceiveGrant(now, "other", grant(asks[0])), "in another order")
 	require.True(t, l.Take(now, e))
 	require.True(t, l.Take(now, e))
 	require.False(t, l.Take(now, e))
-	l.Granted(at(permitTime+2*answerTime), "other", grant(asks[2]))
+	l.ReceiveGrant(at(permitTime+2*answerTime), "other", grant(asks[2]))
 	require.False(t, l.Ready(at(permitTime+2*answerTime), e), "void")
 }
 
@@ -182,6 +182,6 @@
 	require.Len(t, asks, 1)
 	g, answered := issuing.HandleRequest(at(2*time.Second), asks[0].Ask)
 	require.True(t, answered)
-	require.True(t, asking.Granted(at(2*time.Second), "other", g))
+	require.True(t, asking.ReceiveGrant(at(2*time.Second), "other", g))
 	require.True(t, asking.Ready(at(2*time.Second), e))
 }
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -224,7 +224,7 @@
 			return
 		}
 		s.send(to, n, func() {
-			if n.local.Granted(s.now, to.name, g) {
+			if n.local.ReceiveGrant(s.now, to.name, g) {
 				s.kick(n)
 			}
 		})
--- a/permit/stock.go
+++ b/permit/stock.go
@@ -248,9 +248,9 @@
 	return l.received(now, k, s.even.take(1), now)
 }
 
-// Granted takes the answer of an issuer, and reports whether it brought permits, or the
+// ReceiveGrant takes the answer of an issuer, and reports whether it brought permits, or the
 // news that none are needed any more.
-func (l *Limiter) Granted(now time.Time, from string, g Grant) bool {
+func (l *Limiter) ReceiveGrant(now time.Time, from string, g Grant) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.issuers, from)
