--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -131,7 +131,7 @@
 
 // told takes the words of another instance on limits.
 func (p *permits) told(packet peer.Packet) {
-	for _, w := range p.local.Hear(p.now(), packet.Limits) {
+	for _, w := range p.local.ReceiveReports(p.now(), packet.Limits) {
 		if w.Ended {
 			p.log.Info("endpoint limit ended", "endpoint", w.Endpoint, "by", packet.From)
 			continue
--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -41,7 +41,7 @@
 	require.False(t, l.Unlimited(start, e, start))
 	require.True(t, l.Ready(start, e))
 	require.True(t, l.Take(start, e))
-	require.Empty(t, l.Hear(start, []LimitReport{{Endpoint: "e1"}}))
+	require.Empty(t, l.ReceiveReports(start, []LimitReport{{Endpoint: "e1"}}))
 	require.Empty(t, l.Words(start, 1000))
 }
 
@@ -52,12 +52,12 @@
 	word := func(perSecond float64, ended bool, age time.Duration) []LimitReport {
 		return []LimitReport{{Endpoint: e.Name, StartedAtMS: e.StartedAtMS, PerSecond: perSecond, Ended: ended, AgeMS: age.Milliseconds()}}
 	}
-	require.Empty(t, l.Hear(at(time.Second), word(0, true, 0)), "the end of a limit that nobody knows")
-	require.Len(t, l.Hear(at(time.Second), word(3, false, 100*time.Millisecond)), 1)
-	require.Empty(t, l.Hear(at(time.Second), word(3, false, 100*time.Millisecond)), "doubled")
-	require.Empty(t, l.Hear(at(2*time.Second), word(9, false, 1500*time.Millisecond)), "from before")
-	require.Len(t, l.Hear(at(2*time.Second), word(0, true, 0)), 1)
-	require.Empty(t, l.Hear(at(3*time.Second), word(3, false, 1500*time.Millisecond)), "from before its end")
+	require.Empty(t, l.ReceiveReports(at(time.Second), word(0, true, 0)), "the end of a limit that nobody knows")
+	require.Len(t, l.ReceiveReports(at(time.Second), word(3, false, 100*time.Millisecond)), 1)
+	require.Empty(t, l.ReceiveReports(at(time.Second), word(3, false, 100*time.Millisecond)), "doubled")
+	require.Empty(t, l.ReceiveReports(at(2*time.Second), word(9, false, 1500*time.Millisecond)), "from before")
+	require.Len(t, l.ReceiveReports(at(2*time.Second), word(0, true, 0)), 1)
+	require.Empty(t, l.ReceiveReports(at(3*time.Second), word(3, false, 1500*time.Millisecond)), "from before its end")
 	require.True(t, l.Ready(at(3*time.Second), e))
 }
 
@@ -75,11 +75,11 @@
 			}
 			told := word.word(now, e)
 			now = now.Add(4 * time.Millisecond)
-			pair[1].Hear(now, []LimitReport{told})
+			pair[1].ReceiveReports(now, []LimitReport{told})
 		}
 	}
 	ended := LimitReport{Endpoint: e.Name, Ended: true, AgeMS: now.Sub(at(200 * time.Millisecond)).Milliseconds()}
-	require.Len(t, a.Hear(now, []LimitReport{ended}), 1)
+	require.Len(t, a.ReceiveReports(now, []LimitReport{ended}), 1)
 }
 
 func TestUnsoundWords(t *testing.T) {
@@ -89,7 +89,7 @@
 		"without end": {Endpoint: "e1", PerSecond: math.Inf(1)}, "from the future": {Endpoint: "e1", AgeMS: -5},
 		"long name": {Endpoint: strings.Repeat("e", 300)},
 	} {
-		require.Empty(t, l.Hear(start, []LimitReport{w}), name)
+		require.Empty(t, l.ReceiveReports(start, []LimitReport{w}), name)
 	}
 	require.False(t, l.Limited())
 	for _, a := range []Request{{Word: LimitReport{Endpoint: "e1", PerSecond: 1}, Rank: -1}, {Word: LimitReport{Endpoint: "e1", PerSecond: 1}, Rank: mostIssuers}} {
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -241,7 +241,7 @@
 	hub := s.nodes[0]
 	for _, other := range s.nodes {
 		if other != n && (len(s.nodes) <= 16 || n == hub || other == hub) {
-			s.send(n, other, func() { other.local.Hear(s.now, words) })
+			s.send(n, other, func() { other.local.ReceiveReports(s.now, words) })
 		}
 	}
 }
--- a/permit/words.go
+++ b/permit/words.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Hear takes the words of another instance, and returns those that are news here.
-func (l *Limiter) Hear(now time.Time, words []LimitReport) (news []LimitReport) {
+// ReceiveReports takes the words of another instance, and returns those that are news here.
+func (l *Limiter) ReceiveReports(now time.Time, words []LimitReport) (news []LimitReport) {
 	if l == nil || len(words) == 0 {
 		return nil
 	}
