--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -158,7 +158,7 @@
 	if p == nil {
 		return nil
 	}
-	return p.local.Words(p.now(), min(room, maxLimitBytes))
+	return p.local.PendingReports(p.now(), min(room, maxLimitBytes))
 }
 
 // stats returns the limits that are known here.
--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -42,7 +42,7 @@
 	require.True(t, l.Ready(start, e))
 	require.True(t, l.Take(start, e))
 	require.Empty(t, l.ReceiveReports(start, []LimitReport{{Endpoint: "e1"}}))
-	require.Empty(t, l.Words(start, 1000))
+	require.Empty(t, l.PendingReports(start, 1000))
 }
 
 // TestOnlyNewerWordsCount hears words that were lost on their way for a while, doubled, or
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -234,7 +234,7 @@
 // tell tells the others what the endpoint has said: all of them in a small fleet, the first
 // one in a large fleet, which tells all.
 func (s *simulation) tell(n *simNode) {
-	words := n.local.Words(s.now, 500)
+	words := n.local.PendingReports(s.now, 500)
 	if len(words) == 0 {
 		return
 	}
--- a/permit/words.go
+++ b/permit/words.go
@@ -112,8 +112,8 @@
 	return !said.After(k.saidAt) || same && said.Sub(k.saidAt) < sameWithin
 }
 
-// Words returns words that the others are to hear, in so many bytes.
-func (l *Limiter) Words(now time.Time, room int) []LimitReport {
+// PendingReports returns words that the others are to hear, in so many bytes.
+func (l *Limiter) PendingReports(now time.Time, room int) []LimitReport {
 	if l == nil {
 		return nil
 	}
