--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -115,7 +115,7 @@
 	if p == nil {
 		return false
 	}
-	p.local.Met(packet.From, packet.Process)
+	p.local.RecordContact(packet.From, packet.Process)
 	if len(packet.PermitAsks) == 0 && len(packet.Grants) == 0 {
 		p.told(packet)
 		return false
--- a/permit/local.go
+++ b/permit/local.go
@@ -117,9 +117,9 @@
 	l.fleet = f
 }
 
-// Met notes that an instance was heard. A process that was not heard before knows of no
+// RecordContact notes that an instance was heard. A process that was not heard before knows of no
 // limits: it would find out by requests beyond them.
-func (l *Limiter) Met(instance, process string) {
+func (l *Limiter) RecordContact(instance, process string) {
 	if !l.Limited() {
 		return
 	}
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -98,7 +98,7 @@
 	}
 	n.readyAt = s.now.Add(simReady)
 	for _, other := range s.nodes {
-		s.send(n, other, func() { other.local.Met(n.name, fmt.Sprint(n.process)) })
+		s.send(n, other, func() { other.local.RecordContact(n.name, fmt.Sprint(n.process)) })
 	}
 }
 
