--- a/permit/golden_test.go
+++ b/permit/golden_test.go
@@ -46,7 +46,7 @@
 	case "named":
 		var perSecond float64
 		d.ScanArgs(t, "per-second", &perSecond)
-		return fmt.Sprintf("news=%v\n", l.Named(s.now, sessionEndpoint, perSecond))
+		return fmt.Sprintf("news=%v\n", l.RecordLimit(s.now, sessionEndpoint, perSecond))
 	case "unlimited":
 		var sent int
 		d.ScanArgs(t, "sent", &sent)
--- a/permit/local.go
+++ b/permit/local.go
@@ -137,9 +137,9 @@
 	}
 }
 
-// Named records that an answer of the endpoint has named a limit, in requests a second, and
+// RecordLimit records that an answer of the endpoint has named a limit, in requests a second, and
 // reports whether that is news.
-func (l *Limiter) Named(now time.Time, e Endpoint, perSecond float64) bool {
+func (l *Limiter) RecordLimit(now time.Time, e Endpoint, perSecond float64) bool {
 	if l == nil {
 		return false
 	}
--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -19,10 +19,10 @@
 func TestWhatAnEndpointSays(t *testing.T) {
 	l, e := newLocal(), Endpoint{Name: "e1"}
 	require.True(t, l.Ready(at(0), e))
-	require.True(t, l.Named(at(0), e, 1.1))
+	require.True(t, l.RecordLimit(at(0), e, 1.1))
 	require.False(t, l.Ready(at(0), e), "a permit is needed")
-	require.False(t, l.Named(at(time.Second), e, 1.1), "the same again")
-	require.True(t, l.Named(at(2*time.Second), e, 2))
+	require.False(t, l.RecordLimit(at(time.Second), e, 1.1), "the same again")
+	require.True(t, l.RecordLimit(at(2*time.Second), e, 2))
 	require.Equal(t, 2.0, l.Stats(start, 10).Limits["e1"].PerSecond)
 	require.True(t, l.Ready(at(0), Endpoint{Name: "e1", StartedAtMS: 7}), "another start of it")
 
@@ -31,13 +31,13 @@
 	require.False(t, l.Unlimited(at(4*time.Second), e, at(2*time.Second)), "it has ended")
 	require.True(t, l.Ready(at(4*time.Second), e))
 	require.False(t, l.Limited())
-	require.True(t, l.Named(at(5*time.Second), e, 2), "it begins again")
+	require.True(t, l.RecordLimit(at(5*time.Second), e, 2), "it begins again")
 }
 
 func TestLocalThatKnowsNothing(t *testing.T) {
 	var l *Limiter
 	e := Endpoint{Name: "e1"}
-	require.False(t, l.Named(start, e, 1))
+	require.False(t, l.RecordLimit(start, e, 1))
 	require.False(t, l.Unlimited(start, e, start))
 	require.True(t, l.Ready(start, e))
 	require.True(t, l.Take(start, e))
@@ -65,7 +65,7 @@
 // again: it stays as old as it is, so that a newer one is believed.
 func TestWordSeemsNoNewerOnItsWay(t *testing.T) {
 	a, b, e := newLocal(), newLocal(), Endpoint{Name: "e1"}
-	a.Named(start, e, 3)
+	a.RecordLimit(start, e, 3)
 	now := start
 	for range 500 {
 		for _, pair := range [][2]*Limiter{{a, b}, {b, a}} {
@@ -102,7 +102,7 @@
 func TestLimitsAreBounded(t *testing.T) {
 	l := newLocal()
 	for i := range 2 * maxLimits {
-		l.Named(start, Endpoint{Name: "e", StartedAtMS: int64(i)}, 1)
+		l.RecordLimit(start, Endpoint{Name: "e", StartedAtMS: int64(i)}, 1)
 	}
 	require.Len(t, l.limits, maxLimits)
 	l.Forget(at(time.Second), func(Endpoint) bool { return false })
@@ -115,7 +115,7 @@
 // TestPermitsAreVoidAfterAWhile gets a permit and uses it too late.
 func TestPermitsAreVoidAfterAWhile(t *testing.T) {
 	l, e := newLocal(), Endpoint{Name: "e1"}
-	l.Named(start, e, 10)
+	l.RecordLimit(start, e, 10)
 	l.Want(start, e)
 	_, got := l.PendingRequests(start)
 	require.False(t, got, "a bucket begins empty")
@@ -135,7 +135,7 @@
 // counts, once, until it is void.
 func TestLateAnswers(t *testing.T) {
 	l, e := newLocal(), Endpoint{Name: "e1"}
-	l.Named(start, e, 10)
+	l.RecordLimit(start, e, 10)
 	l.SetFleet(Fleet{Members: []string{"other"}, Known: 1})
 	var asks []OutgoingRequest
 	for i := range 3 {
@@ -173,7 +173,7 @@
 func TestAnswerTellsThatALimitHasEnded(t *testing.T) {
 	asking, issuing, e := newLocal(), newLocal(), Endpoint{Name: "e1"}
 	for _, l := range []*Limiter{asking, issuing} {
-		l.Named(start, e, 10)
+		l.RecordLimit(start, e, 10)
 	}
 	require.True(t, issuing.Unlimited(at(time.Second), e, at(500*time.Millisecond)))
 	asking.SetFleet(Fleet{Members: []string{"other"}, Known: 1})
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -290,7 +290,7 @@
 		if n.toldAt.IsZero() {
 			n.toldAt = s.now
 		}
-		n.local.Named(s.now, s.e, s.limit)
+		n.local.RecordLimit(s.now, s.e, s.limit)
 	}})
 }
 
--- a/pipeline/limits.go
+++ b/pipeline/limits.go
@@ -59,7 +59,7 @@
 	if !told.Named {
 		return false
 	}
-	if f.permits.Named(f.now(), e.PermitKey(), told.PerSecond) {
+	if f.permits.RecordLimit(f.now(), e.PermitKey(), told.PerSecond) {
 		f.log.Info("endpoint limit", "endpoint", e.Name, "per_second", told.PerSecond, "by", "its answer")
 	}
 	return true
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -172,7 +172,7 @@
 		r.Release(&d)
 		return d.Endpoint.Name, nil
 	}
-	permits.Named(now, limited.PermitKey(), 2)
+	permits.RecordLimit(now, limited.PermitKey(), 2)
 
 	view(limited, free)
 	for range 20 {
