--- a/permit/golden_test.go
+++ b/permit/golden_test.go
@@ -50,7 +50,7 @@
 	case "unlimited":
 		var sent int
 		d.ScanArgs(t, "sent", &sent)
-		return fmt.Sprintf("news=%v\n", l.Unlimited(s.now, sessionEndpoint, start.Add(time.Duration(sent)*time.Millisecond)))
+		return fmt.Sprintf("news=%v\n", l.RecordNoLimit(s.now, sessionEndpoint, start.Add(time.Duration(sent)*time.Millisecond)))
 	case "request":
 		if l.Take(s.now, sessionEndpoint) {
 			return "sent\n"
--- a/permit/local.go
+++ b/permit/local.go
@@ -148,10 +148,10 @@
 	return l.said(now, now, e, perSecond, false)
 }
 
-// Unlimited records that an answer of the endpoint has named none, to a request that was
+// RecordNoLimit records that an answer of the endpoint has named none, to a request that was
 // sent at sentAt, and reports whether that ends a limit. An answer to a request that was
 // sent before the limit was known may be from before it.
-func (l *Limiter) Unlimited(now time.Time, e Endpoint, sentAt time.Time) bool {
+func (l *Limiter) RecordNoLimit(now time.Time, e Endpoint, sentAt time.Time) bool {
 	if !l.Limited() {
 		return false
 	}
--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -26,9 +26,9 @@
 	require.Equal(t, 2.0, l.Stats(start, 10).Limits["e1"].PerSecond)
 	require.True(t, l.Ready(at(0), Endpoint{Name: "e1", StartedAtMS: 7}), "another start of it")
 
-	require.False(t, l.Unlimited(at(3*time.Second), e, start), "an answer to a request from before the limit")
-	require.True(t, l.Unlimited(at(3*time.Second), e, at(time.Second)))
-	require.False(t, l.Unlimited(at(4*time.Second), e, at(2*time.Second)), "it has ended")
+	require.False(t, l.RecordNoLimit(at(3*time.Second), e, start), "an answer to a request from before the limit")
+	require.True(t, l.RecordNoLimit(at(3*time.Second), e, at(time.Second)))
+	require.False(t, l.RecordNoLimit(at(4*time.Second), e, at(2*time.Second)), "it has ended")
 	require.True(t, l.Ready(at(4*time.Second), e))
 	require.False(t, l.Limited())
 	require.True(t, l.RecordLimit(at(5*time.Second), e, 2), "it begins again")
@@ -38,7 +38,7 @@
 	var l *Limiter
 	e := Endpoint{Name: "e1"}
 	require.False(t, l.RecordLimit(start, e, 1))
-	require.False(t, l.Unlimited(start, e, start))
+	require.False(t, l.RecordNoLimit(start, e, start))
 	require.True(t, l.Ready(start, e))
 	require.True(t, l.Take(start, e))
 	require.Empty(t, l.ReceiveReports(start, []LimitReport{{Endpoint: "e1"}}))
@@ -175,7 +175,7 @@
 	for _, l := range []*Limiter{asking, issuing} {
 		l.RecordLimit(start, e, 10)
 	}
-	require.True(t, issuing.Unlimited(at(time.Second), e, at(500*time.Millisecond)))
+	require.True(t, issuing.RecordNoLimit(at(time.Second), e, at(500*time.Millisecond)))
 	asking.SetFleet(Fleet{Members: []string{"other"}, Known: 1})
 	asking.Want(at(2*time.Second), e)
 	asks, _ := asking.PendingRequests(at(2 * time.Second))
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -284,7 +284,7 @@
 	sentAt := s.now
 	s.pending = append(s.pending, delivery{s.now.Add(simAnswer), n, n.process, func() {
 		if !s.limited {
-			n.local.Unlimited(s.now, s.e, sentAt)
+			n.local.RecordNoLimit(s.now, s.e, sentAt)
 			return
 		}
 		if n.toldAt.IsZero() {
--- a/pipeline/limits.go
+++ b/pipeline/limits.go
@@ -38,7 +38,7 @@
 	if f.named(d.Endpoint, resp.Header) || resp.StatusCode >= http.StatusMultipleChoices {
 		return
 	}
-	if f.permits.Unlimited(f.now(), d.Endpoint.PermitKey(), d.At) {
+	if f.permits.RecordNoLimit(f.now(), d.Endpoint.PermitKey(), d.At) {
 		f.log.Info("endpoint limit ended", "endpoint", d.Endpoint.Name, "by", "its answer")
 	}
 }
