--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -87,7 +87,7 @@
 
 // await returns when a permit is wanted, or after a while if one may have been.
 func (p *permits) await(ctx context.Context) {
-	if p.local.Limited() {
+	if p.local.AnyLimit() {
 		ctx, cancel := context.WithTimeout(ctx, permitTick)
 		defer cancel()
 		p.awaitWake(ctx)
--- a/permit/cold.go
+++ b/permit/cold.go
@@ -64,7 +64,7 @@
 // Warm lets endpoints that are no longer cold get more, and returns those that have become
 // warm.
 func (l *Limiter) Warm(now time.Time) (warm []Endpoint) {
-	if !l.Limited() {
+	if !l.AnyLimit() {
 		return nil
 	}
 	l.mu.Lock()
--- a/permit/local.go
+++ b/permit/local.go
@@ -120,7 +120,7 @@
 // RecordContact notes that an instance was heard. A process that was not heard before knows of no
 // limits: it would find out by requests beyond them.
 func (l *Limiter) RecordContact(instance, process string) {
-	if !l.Limited() {
+	if !l.AnyLimit() {
 		return
 	}
 	l.mu.Lock()
@@ -152,7 +152,7 @@
 // sent at sentAt, and reports whether that ends a limit. An answer to a request that was
 // sent before the limit was known may be from before it.
 func (l *Limiter) RecordNoLimit(now time.Time, e Endpoint, sentAt time.Time) bool {
-	if !l.Limited() {
+	if !l.AnyLimit() {
 		return false
 	}
 	l.mu.Lock()
@@ -190,8 +190,8 @@
 	return news
 }
 
-// Limited tells whether any limit is in force.
-func (l *Limiter) Limited() bool { return l != nil && l.limited.Load() > 0 }
+// AnyLimit tells whether any limit is in force.
+func (l *Limiter) AnyLimit() bool { return l != nil && l.limited.Load() > 0 }
 
 // Rate is how many permits a second are issued for an endpoint; false for one that needs
 // none.
--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -30,7 +30,7 @@
 	require.True(t, l.RecordNoLimit(at(3*time.Second), e, at(time.Second)))
 	require.False(t, l.RecordNoLimit(at(4*time.Second), e, at(2*time.Second)), "it has ended")
 	require.True(t, l.Ready(at(4*time.Second), e))
-	require.False(t, l.Limited())
+	require.False(t, l.AnyLimit())
 	require.True(t, l.RecordLimit(at(5*time.Second), e, 2), "it begins again")
 }
 
@@ -91,7 +91,7 @@
 	} {
 		require.Empty(t, l.ReceiveReports(start, []LimitReport{w}), name)
 	}
-	require.False(t, l.Limited())
+	require.False(t, l.AnyLimit())
 	for _, a := range []Request{{Word: LimitReport{Endpoint: "e1", PerSecond: 1}, Rank: -1}, {Word: LimitReport{Endpoint: "e1", PerSecond: 1}, Rank: mostIssuers}} {
 		_, answered := l.HandleRequest(start, a)
 		require.False(t, answered)
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -507,7 +507,7 @@
 		s.run(10 * time.Second)
 		for _, n := range s.nodes {
 			require.True(t, n.local.Ready(s.now, s.e), "%s, %v a second", n.name, perSecond)
-			require.False(t, n.local.Limited(), "%s, %v a second", n.name, perSecond)
+			require.False(t, n.local.AnyLimit(), "%s, %v a second", n.name, perSecond)
 		}
 	}
 }
--- a/permit/stock.go
+++ b/permit/stock.go
@@ -66,7 +66,7 @@
 
 // Ready tells whether a request may go to the endpoint now.
 func (l *Limiter) Ready(now time.Time, e Endpoint) bool {
-	if !l.Limited() {
+	if !l.AnyLimit() {
 		return true
 	}
 	l.mu.Lock()
@@ -78,7 +78,7 @@
 // Take uses a permit for a request that goes to the endpoint; false if there is none. An
 // endpoint without a limit needs none.
 func (l *Limiter) Take(now time.Time, e Endpoint) bool {
-	if !l.Limited() {
+	if !l.AnyLimit() {
 		return true
 	}
 	l.mu.Lock()
@@ -180,7 +180,7 @@
 // PendingRequests returns what is to be asked now, and whether permits have been issued here, where
 // this instance is the issuer itself.
 func (l *Limiter) PendingRequests(now time.Time) (asks []OutgoingRequest, got bool) {
-	if !l.Limited() {
+	if !l.AnyLimit() {
 		return nil, false
 	}
 	l.mu.Lock()
--- a/routing/router.go
+++ b/routing/router.go
@@ -129,7 +129,7 @@
 // request, where all of them name limits; false if one does not, or if the unit can be
 // loaded beside its model at one that does not.
 func (r *Router) RateLimit(req *Request) (perSecond float64, limited bool) {
-	if !r.permits.Limited() {
+	if !r.permits.AnyLimit() {
 		return 0, false
 	}
 	view := r.view.Load()
@@ -229,7 +229,7 @@
 // permitted tells whether an endpoint that would do takes one more request by the limit
 // that it names for all instances together, and wants a permit if it does not.
 func (r *Router) permitted(req *Request, e *Endpoint) bool {
-	if !r.permits.Limited() {
+	if !r.permits.AnyLimit() {
 		return true
 	}
 	return r.permitOf(req, e.ColdPermitKey()) && r.permitOf(req, e.PermitKey())
