--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -80,7 +80,7 @@
 		}
 		if p.now().Sub(forgotten) >= permitForget {
 			forgotten = p.now()
-			p.local.Forget(forgotten, p.listed)
+			p.local.ForgetUnlisted(forgotten, p.listed)
 		}
 	}
 }
--- a/permit/local.go
+++ b/permit/local.go
@@ -205,8 +205,8 @@
 	return known.rate(), true
 }
 
-// Forget drops what endpoints have said that are not listed any more.
-func (l *Limiter) Forget(now time.Time, listed func(Endpoint) bool) {
+// ForgetUnlisted drops what endpoints have said that are not listed any more.
+func (l *Limiter) ForgetUnlisted(now time.Time, listed func(Endpoint) bool) {
 	if l == nil {
 		return
 	}
--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -105,9 +105,9 @@
 		l.RecordLimit(start, Endpoint{Name: "e", StartedAtMS: int64(i)}, 1)
 	}
 	require.Len(t, l.limits, maxLimits)
-	l.Forget(at(time.Second), func(Endpoint) bool { return false })
+	l.ForgetUnlisted(at(time.Second), func(Endpoint) bool { return false })
 	require.Len(t, l.limits, maxLimits, "they may be listed yet")
-	l.Forget(at(forgetAfter), func(e Endpoint) bool { return e.StartedAtMS == 3 })
+	l.ForgetUnlisted(at(forgetAfter), func(e Endpoint) bool { return e.StartedAtMS == 3 })
 	require.Len(t, l.limits, 1)
 	require.Equal(t, int64(1), l.limited.Load())
 }
