--- a/permit/golden_test.go
+++ b/permit/golden_test.go
@@ -55,7 +55,7 @@
 		if l.Take(s.now, sessionEndpoint) {
 			return "sent\n"
 		}
-		l.Want(s.now, sessionEndpoint)
+		l.RecordDemand(s.now, sessionEndpoint)
 		return "waits\n"
 	case "ask":
 		return s.ask(l, name)
--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -116,15 +116,15 @@
 func TestPermitsAreVoidAfterAWhile(t *testing.T) {
 	l, e := newLocal(), Endpoint{Name: "e1"}
 	l.RecordLimit(start, e, 10)
-	l.Want(start, e)
+	l.RecordDemand(start, e)
 	_, got := l.PendingRequests(start)
 	require.False(t, got, "a bucket begins empty")
-	l.Want(at(time.Second), e)
+	l.RecordDemand(at(time.Second), e)
 	_, got = l.PendingRequests(at(time.Second))
 	require.True(t, got)
 	require.True(t, l.Ready(at(time.Second+permitTime-1), e))
 	require.False(t, l.Ready(at(time.Second+permitTime), e))
-	l.Want(at(3*time.Second), e)
+	l.RecordDemand(at(3*time.Second), e)
 	_, got = l.PendingRequests(at(3 * time.Second))
 	require.True(t, got)
 	require.True(t, l.Take(at(3*time.Second), e))
@@ -140,7 +140,7 @@
 	var asks []OutgoingRequest
 	for i := range 3 {
 		now := at(time.Duration(i) * answerTime)
-		l.Want(now, e)
+		l.RecordDemand(now, e)
 		more, _ := l.PendingRequests(now)
 		require.Len(t, more, 1)
 		asks = append(asks, more...)
@@ -177,7 +177,7 @@
 	}
 	require.True(t, issuing.RecordNoLimit(at(time.Second), e, at(500*time.Millisecond)))
 	asking.SetFleet(Fleet{Members: []string{"other"}, Known: 1})
-	asking.Want(at(2*time.Second), e)
+	asking.RecordDemand(at(2*time.Second), e)
 	asks, _ := asking.PendingRequests(at(2 * time.Second))
 	require.Len(t, asks, 1)
 	g, answered := issuing.HandleRequest(at(2*time.Second), asks[0].Ask)
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -266,7 +266,7 @@
 			continue
 		}
 		if !n.local.Ready(s.now, s.e) {
-			n.local.Want(s.now, s.e)
+			n.local.RecordDemand(s.now, s.e)
 			return
 		}
 		n.local.Take(s.now, s.e)
--- a/permit/stock.go
+++ b/permit/stock.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// Want records that a request would go to the endpoint if there were a permit.
-func (l *Limiter) Want(now time.Time, e Endpoint) {
+// RecordDemand records that a request would go to the endpoint if there were a permit.
+func (l *Limiter) RecordDemand(now time.Time, e Endpoint) {
 	l.mu.Lock()
 	known := l.limits[e]
 	if known != nil {
--- a/routing/router.go
+++ b/routing/router.go
@@ -240,7 +240,7 @@
 	if r.permits.Ready(req.Now, e) {
 		return true
 	}
-	r.permits.Want(req.Now, e)
+	r.permits.RecordDemand(req.Now, e)
 	return false
 }
 
