--- a/daemon/node.go
+++ b/daemon/node.go
@@ -287,7 +287,7 @@
 
 // endpointCold is told that an endpoint is cold.
 func (n *Node) endpointCold(e *routing.Endpoint, perSecond float64, remaining time.Duration) {
-	if n.permits.local.Cold(n.now(), e.ColdPermitKey(), perSecond, remaining) {
+	if n.permits.local.RecordCold(n.now(), e.ColdPermitKey(), perSecond, remaining) {
 		n.log.Info("endpoint cold", "endpoint", e.Name, "remaining_ms", remaining.Milliseconds(), "per_second", perSecond)
 	}
 	n.permits.wanted()
--- a/permit/cold.go
+++ b/permit/cold.go
@@ -19,9 +19,9 @@
 	warmGrowth = 2
 )
 
-// Cold records that an endpoint stays cold for so long, in which it takes so many requests a
+// RecordCold records that an endpoint stays cold for so long, in which it takes so many requests a
 // second from all instances together, and reports whether it was not cold before.
-func (l *Limiter) Cold(now time.Time, e Endpoint, perSecond float64, remaining time.Duration) (news bool) {
+func (l *Limiter) RecordCold(now time.Time, e Endpoint, perSecond float64, remaining time.Duration) (news bool) {
 	if l == nil || perSecond <= 0 || remaining <= 0 {
 		return false
 	}
--- a/pipeline/limits.go
+++ b/pipeline/limits.go
@@ -28,7 +28,7 @@
 		return
 	}
 	pool := f.catalog().Tree.Pools[x.Target.Pool]
-	if pool != nil && f.permits.Cold(f.now(), e.ColdPermitKey(), pool.ColdPerSecond, remaining) {
+	if pool != nil && f.permits.RecordCold(f.now(), e.ColdPermitKey(), pool.ColdPerSecond, remaining) {
 		f.log.Info("endpoint cold", "endpoint", e.Name, "remaining_ms", remaining.Milliseconds(), "by", "its answer")
 	}
 }
