--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -67,7 +67,7 @@
 	for ctx.Err() == nil {
 		p.await(ctx)
 		p.local.SetFleet(p.fleet())
-		warm := p.local.Warm(p.now())
+		warm := p.local.AdvanceWarmUp(p.now())
 		for _, e := range warm {
 			p.log.Info("endpoint warm", "endpoint", e.Name)
 		}
--- a/permit/cold.go
+++ b/permit/cold.go
@@ -61,9 +61,9 @@
 	return l.coldUntil(now, e, w.PerSecond, now.Add(coldHeard))
 }
 
-// Warm lets endpoints that are no longer cold get more, and returns those that have become
+// AdvanceWarmUp lets endpoints that are no longer cold get more, and returns those that have become
 // warm.
-func (l *Limiter) Warm(now time.Time) (warm []Endpoint) {
+func (l *Limiter) AdvanceWarmUp(now time.Time) (warm []Endpoint) {
 	if !l.AnyLimit() {
 		return nil
 	}
