--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -534,7 +534,7 @@
 // issuers is what is known of the instances that issue permits. In a small fleet those that
 // are heard count, as entries of some may be those of machines that are gone.
 func (m *mesh) issuers() permit.Fleet {
-	f := permit.Fleet{Alone: m.isolated()}
+	f := permit.Fleet{Isolated: m.isolated()}
 	small := m.small()
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/permit/local.go
+++ b/permit/local.go
@@ -79,8 +79,8 @@
 	Members []string
 	// Known is how many there are, those that are not heard included.
 	Known int
-	// Alone is set while others are known and none is heard.
-	Alone bool
+	// Isolated is set while others are known and none is heard.
+	Isolated bool
 }
 
 // part is the part of a limit that members may issue: all of it only to a majority, as
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -180,7 +180,7 @@
 		}
 	}
 	f.Known = len(s.nodes)
-	f.Alone = heard == 0 && len(s.nodes) > 1
+	f.Isolated = heard == 0 && len(s.nodes) > 1
 	return f
 }
 
--- a/permit/stock.go
+++ b/permit/stock.go
@@ -199,7 +199,7 @@
 			s.awaited = false
 		}
 		to, rank := l.issuerOf(now, e)
-		if to == "" || to == l.self && l.fleet.Alone {
+		if to == "" || to == l.self && l.fleet.Isolated {
 			got = l.goOn(now, k) || got
 			continue
 		}
