--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -547,7 +547,7 @@
 	if !slices.Contains(f.Members, m.instance) {
 		f.Members = append(f.Members, m.instance)
 	}
-	f.Known = max(len(m.listed), len(f.Members))
+	f.KnownCount = max(len(m.listed), len(f.Members))
 	return f
 }
 
--- a/permit/golden_test.go
+++ b/permit/golden_test.go
@@ -27,7 +27,7 @@
 		s := &session{locals: map[string]*Limiter{}, asks: map[string]Request{}, grants: map[string]Grant{}}
 		for _, name := range []string{"a", "b"} {
 			s.locals[name] = NewLimiter(name, 0, func() {})
-			s.locals[name].SetFleet(Fleet{Members: []string{"a"}, Known: 1})
+			s.locals[name].SetFleet(Fleet{Members: []string{"a"}, KnownCount: 1})
 		}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			var ms int
--- a/permit/local.go
+++ b/permit/local.go
@@ -77,8 +77,8 @@
 type Fleet struct {
 	// Members are the names of those that may issue, this one included.
 	Members []string
-	// Known is how many there are, those that are not heard included.
-	Known int
+	// KnownCount is how many there are, those that are not heard included.
+	KnownCount int
 	// Isolated is set while others are known and none is heard.
 	Isolated bool
 }
@@ -86,10 +86,10 @@
 // part is the part of a limit that members may issue: all of it only to a majority, as
 // the others may be there and hear each other.
 func (f Fleet) part() float64 {
-	if 2*len(f.Members) > f.Known {
+	if 2*len(f.Members) > f.KnownCount {
 		return 1
 	}
-	return evenPart * float64(len(f.Members)) / float64(f.Known)
+	return evenPart * float64(len(f.Members)) / float64(f.KnownCount)
 }
 
 const (
@@ -106,7 +106,7 @@
 func NewLimiter(self string, seq uint64, wanted func()) *Limiter {
 	return &Limiter{
 		self: self, seq: seq, wanted: wanted, limits: map[Endpoint]*limit{}, issuers: map[string]*issuer{}, met: map[string]string{},
-		fleet: Fleet{Members: []string{self}, Known: 1},
+		fleet: Fleet{Members: []string{self}, KnownCount: 1},
 	}
 }
 
--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -136,7 +136,7 @@
 func TestLateAnswers(t *testing.T) {
 	l, e := newLocal(), Endpoint{Name: "e1"}
 	l.RecordLimit(start, e, 10)
-	l.SetFleet(Fleet{Members: []string{"other"}, Known: 1})
+	l.SetFleet(Fleet{Members: []string{"other"}, KnownCount: 1})
 	var asks []OutgoingRequest
 	for i := range 3 {
 		now := at(time.Duration(i) * answerTime)
@@ -176,7 +176,7 @@
 		l.RecordLimit(start, e, 10)
 	}
 	require.True(t, issuing.RecordNoLimit(at(time.Second), e, at(500*time.Millisecond)))
-	asking.SetFleet(Fleet{Members: []string{"other"}, Known: 1})
+	asking.SetFleet(Fleet{Members: []string{"other"}, KnownCount: 1})
 	asking.RecordDemand(at(2*time.Second), e)
 	asks, _ := asking.PendingRequests(at(2 * time.Second))
 	require.Len(t, asks, 1)
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -179,7 +179,7 @@
 			f.Members = append(f.Members, other.name)
 		}
 	}
-	f.Known = len(s.nodes)
+	f.KnownCount = len(s.nodes)
 	f.Isolated = heard == 0 && len(s.nodes) > 1
 	return f
 }
@@ -535,7 +535,7 @@
 	}
 	s.fleets = map[*simNode]Fleet{}
 	for _, n := range s.nodes {
-		s.fleets[n] = Fleet{Members: []string{n.name}, Known: 1}
+		s.fleets[n] = Fleet{Members: []string{n.name}, KnownCount: 1}
 	}
 	s.run(contact)
 	known := s.now
--- a/permit/stock.go
+++ b/permit/stock.go
@@ -217,7 +217,7 @@
 // pause is the time until the next ask behind one that brought nothing: about until this
 // instance's even share of the rate is one permit.
 func (l *Limiter) pause(k *limit) time.Duration {
-	members := l.fleet.Known
+	members := l.fleet.KnownCount
 	share := time.Duration(float64(members) / k.rate() * float64(time.Second))
 	return min(max(share, leastPause), max(mostPause, mostPauseEach*time.Duration(members)))
 }
@@ -244,7 +244,7 @@
 		s.even = bucket{}
 	}
 	s.evenAt = now
-	s.even.fill(now, k.rate()*evenPart/float64(max(l.fleet.Known, 1)))
+	s.even.fill(now, k.rate()*evenPart/float64(max(l.fleet.KnownCount, 1)))
 	return l.received(now, k, s.even.take(1), now)
 }
 
