--- a/allowance/local.go
+++ b/allowance/local.go
@@ -10,9 +10,9 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// Local is one instance's part in the allowances. It is safe for concurrent use; a nil
-// Local admits everything.
-type Local struct {
+// Limiter is one instance's part in the allowances. It is safe for concurrent use; a nil
+// Limiter admits everything.
+type Limiter struct {
 	tolerance Tolerance
 	// even is set where no instance adds up: each admits an even part of the limits.
 	even bool
@@ -82,21 +82,21 @@
 )
 
 // NewLocal returns the part of an instance that has heard nothing.
-func NewLocal(t Tolerance, random func() float64) *Local {
-	return &Local{tolerance: t, random: random, limits: Limits{}, accounts: map[Mark]*localAccount{}}
+func NewLocal(t Tolerance, random func() float64) *Limiter {
+	return &Limiter{tolerance: t, random: random, limits: Limits{}, accounts: map[Mark]*localAccount{}}
 }
 
 // NewEven returns the part of an instance of a deployment in which none adds up. Such
 // instances admit an even part of the limits each, and refuse callers within their limits
 // where these come unevenly.
-func NewEven() *Local {
+func NewEven() *Limiter {
 	l := NewLocal(Tolerance{}, nil)
 	l.even = true
 	return l
 }
 
 // SetLimits replaces the limits.
-func (l *Local) SetLimits(limits Limits) {
+func (l *Limiter) SetLimits(limits Limits) {
 	if l == nil {
 		return
 	}
@@ -111,7 +111,7 @@
 }
 
 // SetInstances says how many instances there are.
-func (l *Local) SetInstances(n int) {
+func (l *Limiter) SetInstances(n int) {
 	if l == nil {
 		return
 	}
@@ -122,7 +122,7 @@
 
 // Admit tells whether a request of an account that counts so much may run, and if not when
 // to come again.
-func (l *Local) Admit(now time.Time, account string, cost float64) (admitted bool, retryAfter time.Duration) {
+func (l *Limiter) Admit(now time.Time, account string, cost float64) (admitted bool, retryAfter time.Duration) {
 	if l == nil {
 		return true, 0
 	}
@@ -146,7 +146,7 @@
 }
 
 // Refund gives back what a request counted that was admitted and has not run.
-func (l *Local) Refund(now time.Time, account string, cost float64) {
+func (l *Limiter) Refund(now time.Time, account string, cost float64) {
 	if l == nil {
 		return
 	}
@@ -159,7 +159,7 @@
 
 // account returns what is known of an account. A process that has heard no word begins
 // with its even part of the tolerance.
-func (l *Local) account(now time.Time, mark Mark, limit settings.Allowance) *localAccount {
+func (l *Limiter) account(now time.Time, mark Mark, limit settings.Allowance) *localAccount {
 	a := l.accounts[mark]
 	if a == nil {
 		a = &localAccount{usage: Usage{Account: mark}, rateAt: now, bucketAt: now, madeAt: now, bucket: l.atOnce(limit)}
@@ -168,7 +168,7 @@
 	return a
 }
 
-func (l *Local) admits(now time.Time, a *localAccount, limit settings.Allowance, cost float64) bool {
+func (l *Limiter) admits(now time.Time, a *localAccount, limit settings.Allowance, cost float64) bool {
 	switch {
 	case !a.hears(now) && l.adder != 0 && now.Sub(l.adderAt) < wordTime && !a.short(now):
 		// The adder tells of accounts that have drawn on their allowance.
@@ -200,7 +200,7 @@
 }
 
 // atOnce is what this instance may admit at once that has heard no word.
-func (l *Local) atOnce(limit settings.Allowance) float64 {
+func (l *Limiter) atOnce(limit settings.Allowance) float64 {
 	if l.even {
 		return limit.Burst / float64(max(l.instances, 1))
 	}
@@ -210,7 +210,7 @@
 // withoutWord tells whether a request may run while no word counts: a token bucket with
 // this instance's part of the limit. All parts together are the limit, as the ledger counts
 // on for instances that are silent.
-func (l *Local) withoutWord(now time.Time, a *localAccount, limit settings.Allowance, cost float64) bool {
+func (l *Limiter) withoutWord(now time.Time, a *localAccount, limit settings.Allowance, cost float64) bool {
 	most := l.atOnce(limit)
 	rate := l.tolerance.evenRate(limit, l.instances)
 	ended := a.heardAt.Add(wordTime)
@@ -238,7 +238,7 @@
 
 // needed is what a bucket must hold for a request to be admitted. An even part may be smaller
 // than any request: one is admitted then when the part is whole, and paid for later.
-func (l *Local) needed(cost, most float64) float64 {
+func (l *Limiter) needed(cost, most float64) float64 {
 	if l.even {
 		return min(cost, most)
 	}
@@ -277,7 +277,7 @@
 
 // Hear takes the words of a process that adds up. While there are two, as for a moment
 // when the lease changes hands, all go by the same one.
-func (l *Local) Hear(now time.Time, adder Adder, words []Word) {
+func (l *Limiter) Hear(now time.Time, adder Adder, words []Word) {
 	if l == nil {
 		return
 	}
@@ -303,7 +303,7 @@
 }
 
 // begin counts anew for another process that adds up.
-func (l *Local) begin(adder Adder) {
+func (l *Limiter) begin(adder Adder) {
 	l.adder = adder
 	for mark, a := range l.accounts {
 		a.usage, a.tells = Usage{Account: mark}, 0
@@ -312,7 +312,7 @@
 
 // GiveUp gives up this instance's part of the limits, as its own ledger no longer hears the
 // others: they go by the ledger of another one, which does not count this one.
-func (l *Local) GiveUp(now time.Time) {
+func (l *Limiter) GiveUp(now time.Time) {
 	if l == nil {
 		return
 	}
@@ -329,14 +329,14 @@
 }
 
 // Orphan tells whether this process has never heard one that adds up.
-func (l *Local) Orphan() bool {
+func (l *Limiter) Orphan() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.adder == 0
 }
 
 // Known returns the last words, for the ledger of an instance that is to add up.
-func (l *Local) Known(now time.Time) []Word {
+func (l *Limiter) Known(now time.Time) []Word {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var words []Word
@@ -350,7 +350,7 @@
 
 // Usage returns up to so many usages that have changed since they were told often enough,
 // and the process that they are for.
-func (l *Local) Usage(most int) ([]Usage, Adder) {
+func (l *Limiter) Usage(most int) ([]Usage, Adder) {
 	if l == nil || most <= 0 {
 		return nil, 0
 	}
@@ -387,7 +387,7 @@
 
 // Stats returns the state of the given accounts, by name, and how many requests were not
 // admitted.
-func (l *Local) Stats(now time.Time, names []string) (accounts map[string]AccountStats, rejected int64) {
+func (l *Limiter) Stats(now time.Time, names []string) (accounts map[string]AccountStats, rejected int64) {
 	accounts = map[string]AccountStats{}
 	if l == nil {
 		return accounts, 0
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -19,7 +19,7 @@
 	now       time.Time
 	limit     settings.Allowance
 	tolerance Tolerance
-	locals    []*Local
+	locals    []*Limiter
 	processes []int
 	// adder is the instance that adds up, -1 for none, and ledger its sums.
 	adder  int
@@ -429,7 +429,7 @@
 		ok, _ := l.Admit(time.Unix(0, 0), "other", 1e9)
 		require.True(t, ok)
 	}
-	var none *Local
+	var none *Limiter
 	ok, _ := none.Admit(time.Unix(0, 0), "other", 1)
 	require.True(t, ok)
 }
--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -30,7 +30,7 @@
 // allowances is a node's part in the accounts' allowances, and the ledger while it adds up.
 // Nil ones tell and hear nothing.
 type allowances struct {
-	local     *allowance.Local
+	local     *allowance.Limiter
 	tolerance allowance.Tolerance
 	process   string
 	// holds tells whether this instance holds the lease, and so is to add up; listed returns
--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -68,7 +68,7 @@
 	// quarantine holds back requests that end endpoints.
 	quarantine *quarantine.Keeper
 	// allowances is this instance's even part of the callers' allowances.
-	allowances *allowance.Local
+	allowances *allowance.Limiter
 	events     *ring.Ring[event]
 	catalog    atomic.Pointer[settings.Catalog]
 	current    atomic.Pointer[revision.Accepted]
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -60,7 +60,7 @@
 	// Quarantine holds back requests that end endpoints; nil holds none.
 	Quarantine *quarantine.Keeper
 	// Allowances bounds what accounts may ask; nil bounds nothing.
-	Allowances *allowance.Local
+	Allowances *allowance.Limiter
 	// Permits is told the limits that endpoints name; nil tells nobody.
 	Permits *permit.Limiter
 }
--- a/pipeline/settle.go
+++ b/pipeline/settle.go
@@ -27,7 +27,7 @@
 	metrics *Metrics
 	now     func() time.Time
 	// allowances gets back what a request counted that has not run.
-	allowances *allowance.Local
+	allowances *allowance.Limiter
 }
 
 // claimTimeout bounds the writes that end a claim.
