--- a/allowance/local.go
+++ b/allowance/local.go
@@ -81,8 +81,8 @@
 	unknownRetryAfter = 500 * time.Millisecond
 )
 
-// NewLocal returns the part of an instance that has heard nothing.
-func NewLocal(t Tolerance, random func() float64) *Limiter {
+// NewLimiter returns the part of an instance that has heard nothing.
+func NewLimiter(t Tolerance, random func() float64) *Limiter {
 	return &Limiter{tolerance: t, random: random, limits: Limits{}, accounts: map[Mark]*localAccount{}}
 }
 
@@ -90,7 +90,7 @@
 // instances admit an even part of the limits each, and refuse callers within their limits
 // where these come unevenly.
 func NewEven() *Limiter {
-	l := NewLocal(Tolerance{}, nil)
+	l := NewLimiter(Tolerance{}, nil)
 	l.even = true
 	return l
 }
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -72,7 +72,7 @@
 // start begins a new process of an instance.
 func (s *simulation) start(i int) {
 	s.processes[i]++
-	l := NewLocal(s.tolerance, s.random.Float64)
+	l := NewLimiter(s.tolerance, s.random.Float64)
 	l.SetInstances(len(s.locals))
 	l.SetLimits(Limits{MarkOf(account): s.limit})
 	s.locals[i] = l
@@ -424,7 +424,7 @@
 
 // TestWithoutLimitNothingIsBound asks without an allowance, and of a nil Local.
 func TestWithoutLimitNothingIsBound(t *testing.T) {
-	l := NewLocal(tolerance, func() float64 { return 0 })
+	l := NewLimiter(tolerance, func() float64 { return 0 })
 	for range 1000 {
 		ok, _ := l.Admit(time.Unix(0, 0), "other", 1e9)
 		require.True(t, ok)
@@ -436,7 +436,7 @@
 
 // BenchmarkAdmit is what a request costs.
 func BenchmarkAdmit(b *testing.B) {
-	l := NewLocal(tolerance, rand.Float64)
+	l := NewLimiter(tolerance, rand.Float64)
 	l.SetLimits(Limits{MarkOf(account): limits[0]})
 	now := time.Unix(1000, 0)
 	l.Hear(now, 1, []Word{{Account: MarkOf(account), Permille: wholeShare, Level: 1 << 50}})
--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -58,7 +58,7 @@
 func newAllowances(c AllowanceConfig, process string, holds func() bool, listed func() int, now func() time.Time) *allowances {
 	t := c.tolerance()
 	return &allowances{
-		local: allowance.NewLocal(t, rand.Float64), tolerance: t, process: process, holds: holds, listed: listed, now: now,
+		local: allowance.NewLimiter(t, rand.Float64), tolerance: t, process: process, holds: holds, listed: listed, now: now,
 		orphans: map[string]time.Time{},
 	}
 }
