--- a/allowance/local.go
+++ b/allowance/local.go
@@ -86,10 +86,10 @@
 	return &Limiter{tolerance: t, random: random, limits: Limits{}, accounts: map[Mark]*localAccount{}}
 }
 
-// NewEven returns the part of an instance of a deployment in which none adds up. Such
+// NewEvenLimiter returns the part of an instance of a deployment in which none adds up. Such
 // instances admit an even part of the limits each, and refuse callers within their limits
 // where these come unevenly.
-func NewEven() *Limiter {
+func NewEvenLimiter() *Limiter {
 	l := NewLimiter(Tolerance{}, nil)
 	l.even = true
 	return l
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -448,7 +448,7 @@
 
 // TestEvenPartAdmitsAtLeastOneRequest has an allowance whose even part is below one request.
 func TestEvenPartAdmitsAtLeastOneRequest(t *testing.T) {
-	l := NewEven()
+	l := NewEvenLimiter()
 	l.SetInstances(6)
 	l.SetLimits(Limits{MarkOf(account): {Unit: settings.CountRequests, PerSecond: 3, Burst: 3}})
 	admitted := 0
--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -117,7 +117,7 @@
 		cfg: cfg, deps: deps, exact: exact, wakes: wakes, log: deps.Log.WithValues("instance", cfg.Instance), vars: new(expvar.Map).Init(),
 		engine: engine.NewClient(engine.Config{Dial: deps.Dial}),
 		router: routing.NewRouter(routing.Policies()[cfg.RoutingPolicy], randv2.Float64),
-		events: ring.New[event](eventsCapacity, ring.Block), process: rand.Text(), allowances: allowance.NewEven(),
+		events: ring.New[event](eventsCapacity, ring.Block), process: rand.Text(), allowances: allowance.NewEvenLimiter(),
 	}
 	i.gates = pipeline.NewGates(admission.Limits{MaxWaiters: cfg.Limits.QueueRequests, MaxBytes: cfg.Limits.QueueBytes}, deps.Now)
 	i.control = engine.NewClient(engine.Config{Dial: i.counted("engine_control")})
