--- a/allowance/ledger.go
+++ b/allowance/ledger.go
@@ -10,8 +10,8 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// Ledger adds up what all instances admit. One goroutine uses it at a time.
-type Ledger struct {
+// Aggregator adds up what all instances admit. One goroutine uses it at a time.
+type Aggregator struct {
 	// began is when it began to add up: nothing is known of what was admitted before, so
 	// that each account begins with nothing.
 	began     time.Time
@@ -73,13 +73,13 @@
 )
 
 // NewLedger returns a ledger that has heard nothing.
-func NewLedger(now time.Time, t Tolerance) *Ledger {
-	return &Ledger{began: now, tolerance: t, accounts: map[Mark]*ledgerAccount{}, heardAt: map[string]time.Time{}}
+func NewLedger(now time.Time, t Tolerance) *Aggregator {
+	return &Aggregator{began: now, tolerance: t, accounts: map[Mark]*ledgerAccount{}, heardAt: map[string]time.Time{}}
 }
 
 // Learn takes over what accounts have exceeded their limits by, from the last words of the
 // process that added up before.
-func (l *Ledger) Learn(words []Word) {
+func (l *Aggregator) Learn(words []Word) {
 	l.owed = make(map[Mark]float64, len(words))
 	for _, w := range words {
 		l.owed[w.Account] = float64(max(-w.Level, 0))
@@ -87,7 +87,7 @@
 }
 
 // SetLimits replaces the limits: a level above a new burst is lost.
-func (l *Ledger) SetLimits(limits Limits) {
+func (l *Aggregator) SetLimits(limits Limits) {
 	l.limits = limits
 	for mark, a := range l.accounts {
 		limit, known := limits[mark]
@@ -99,7 +99,7 @@
 	}
 }
 
-func (l *Ledger) account(now time.Time, mark Mark, limit settings.Allowance) *ledgerAccount {
+func (l *Aggregator) account(now time.Time, mark Mark, limit settings.Allowance) *ledgerAccount {
 	a := l.accounts[mark]
 	if a == nil {
 		level := min(limit.PerSecond*now.Sub(l.began).Seconds(), l.tolerance.burst(limit)) - l.owed[mark]
@@ -110,7 +110,7 @@
 }
 
 // Heard takes what an instance tells.
-func (l *Ledger) Heard(now time.Time, instance, process string, usage []Usage) {
+func (l *Aggregator) Heard(now time.Time, instance, process string, usage []Usage) {
 	l.heardAt[instance] = now
 	for _, u := range usage {
 		limit, limited := l.limits[u.Account]
@@ -215,7 +215,7 @@
 
 // Words tells the share of each account that was heard of. Where fewer than half of those
 // are heard that were lately, others may add up elsewhere: then it reports false.
-func (l *Ledger) Words(now time.Time) (words []Word, told bool) {
+func (l *Aggregator) Words(now time.Time) (words []Word, told bool) {
 	maps.DeleteFunc(l.heardAt, func(_ string, at time.Time) bool { return now.Sub(at) >= lately })
 	heard := 0
 	for _, at := range l.heardAt {
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -24,7 +24,7 @@
 	// adder is the instance that adds up, -1 for none, and ledger its sums.
 	adder  int
 	reign  int
-	ledger *Ledger
+	ledger *Aggregator
 	// cut instances neither hear nor are heard.
 	cut []bool
 	// weights is how the requests are spread over the instances.
--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -43,7 +43,7 @@
 	limits allowance.Limits
 	// ledger is nil while another instance adds up; adder stands for it, reign counts how
 	// often this process has begun to add up.
-	ledger *allowance.Ledger
+	ledger *allowance.Aggregator
 	adder  allowance.Adder
 	reign  int
 	// orphans holds when each instance last told that it had never heard an adder; standsIn
