--- a/allowance/ledger.go
+++ b/allowance/ledger.go
@@ -72,8 +72,8 @@
 	quietAfter = 30 * time.Second
 )
 
-// NewLedger returns a ledger that has heard nothing.
-func NewLedger(now time.Time, t Tolerance) *Aggregator {
+// NewAggregator returns a ledger that has heard nothing.
+func NewAggregator(now time.Time, t Tolerance) *Aggregator {
 	return &Aggregator{began: now, tolerance: t, accounts: map[Mark]*ledgerAccount{}, heardAt: map[string]time.Time{}}
 }
 
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -96,7 +96,7 @@
 	if i < 0 {
 		return
 	}
-	s.ledger = NewLedger(s.now, s.tolerance)
+	s.ledger = NewAggregator(s.now, s.tolerance)
 	s.ledger.SetLimits(Limits{MarkOf(account): s.limit})
 	s.ledger.Learn(s.locals[i].Known(s.now))
 }
--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -199,7 +199,7 @@
 	if a.ledger == nil {
 		a.reign++
 		a.adder = a.newAdder(fmt.Sprint(a.process, "/", a.reign))
-		a.ledger = allowance.NewLedger(now, a.tolerance)
+		a.ledger = allowance.NewAggregator(now, a.tolerance)
 		a.ledger.SetLimits(a.limits)
 		a.ledger.Learn(a.local.Known(now))
 	}
