--- a/allowance/local.go
+++ b/allowance/local.go
@@ -25,7 +25,7 @@
 	limits    Limits
 	accounts  map[Mark]*localAccount
 	// adder is the process that adds up, heard at adderAt; 0 for none.
-	adder   Adder
+	adder   AggregatorID
 	adderAt time.Time
 	// next is the account that is told first the next time.
 	next Mark
@@ -277,7 +277,7 @@
 
 // Hear takes the words of a process that adds up. While there are two, as for a moment
 // when the lease changes hands, all go by the same one.
-func (l *Limiter) Hear(now time.Time, adder Adder, words []Word) {
+func (l *Limiter) Hear(now time.Time, adder AggregatorID, words []Word) {
 	if l == nil {
 		return
 	}
@@ -303,7 +303,7 @@
 }
 
 // begin counts anew for another process that adds up.
-func (l *Limiter) begin(adder Adder) {
+func (l *Limiter) begin(adder AggregatorID) {
 	l.adder = adder
 	for mark, a := range l.accounts {
 		a.usage, a.tells = Usage{Account: mark}, 0
@@ -350,7 +350,7 @@
 
 // Usage returns up to so many usages that have changed since they were told often enough,
 // and the process that they are for.
-func (l *Limiter) Usage(most int) ([]Usage, Adder) {
+func (l *Limiter) Usage(most int) ([]Usage, AggregatorID) {
 	if l == nil || most <= 0 {
 		return nil, 0
 	}
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -183,7 +183,7 @@
 	}
 }
 
-func (s *simulation) adderMark() Adder {
+func (s *simulation) adderMark() AggregatorID {
 	return AdderOf(fmt.Sprintf("%s reign %d", s.process(s.adder), s.reign))
 }
 
--- a/allowance/usage.go
+++ b/allowance/usage.go
@@ -15,18 +15,20 @@
 // MarkOf returns the mark of an account.
 func MarkOf(account string) Mark { return Mark(xxhash.Sum64String(account)) }
 
-// Adder stands for the process that adds up, among all that ever run.
-type Adder uint64
+// AggregatorID stands for the process that adds up, among all that ever run.
+type AggregatorID uint64
 
 // standInBit is set in those that stand in for a holder of the lease. Of two adders all go by
 // the smaller one, and so by the holder's.
 const standInBit = 1 << 63
 
 // AdderOf returns what stands for a process that holds the lease.
-func AdderOf(process string) Adder { return Adder(xxhash.Sum64String(process) &^ standInBit) }
+func AdderOf(process string) AggregatorID {
+	return AggregatorID(xxhash.Sum64String(process) &^ standInBit)
+}
 
 // StandInOf returns what stands for a process that stands in while there is no holder.
-func StandInOf(process string) Adder { return AdderOf(process) | standInBit }
+func StandInOf(process string) AggregatorID { return AdderOf(process) | standInBit }
 
 // Usage is what one process has been asked for by an account and has admitted, in the unit
 // of the account's allowance, since it first heard the process that adds up now. What was
--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -44,7 +44,7 @@
 	// ledger is nil while another instance adds up; adder stands for it, reign counts how
 	// often this process has begun to add up.
 	ledger *allowance.Aggregator
-	adder  allowance.Adder
+	adder  allowance.AggregatorID
 	reign  int
 	// orphans holds when each instance last told that it had never heard an adder; standsIn
 	// is set while this one adds up for them, until a holder of the lease does.
@@ -153,7 +153,7 @@
 }
 
 // newAdder returns what stands for this process from now on.
-func (a *allowances) newAdder(reign string) allowance.Adder {
+func (a *allowances) newAdder(reign string) allowance.AggregatorID {
 	if a.standsIn {
 		return allowance.StandInOf(reign)
 	}
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -79,11 +79,11 @@
 	EchoTo    string `cbor:"26,keyasint,omitempty"`
 	Confirmed int64  `cbor:"27,keyasint,omitempty"`
 	// Usage is what accounts have asked of the sender, for the process UsageFor.
-	Usage    []allowance.Usage `cbor:"28,keyasint,omitempty"`
-	UsageFor allowance.Adder   `cbor:"29,keyasint,omitempty"`
+	Usage    []allowance.Usage      `cbor:"28,keyasint,omitempty"`
+	UsageFor allowance.AggregatorID `cbor:"29,keyasint,omitempty"`
 	// Allowances tells, with Instances, what accounts may have, by the process Adder.
-	Allowances []allowance.Word `cbor:"30,keyasint,omitempty"`
-	Adder      allowance.Adder  `cbor:"31,keyasint,omitempty"`
+	Allowances []allowance.Word       `cbor:"30,keyasint,omitempty"`
+	Adder      allowance.AggregatorID `cbor:"31,keyasint,omitempty"`
 	// Orphan tells that the sender has never heard a process that adds up.
 	Orphan bool `cbor:"33,keyasint,omitempty"`
 	// Limits is what endpoints have said lately of the requests that they take.
