--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -184,7 +184,7 @@
 }
 
 func (s *simulation) adderMark() AggregatorID {
-	return AdderOf(fmt.Sprintf("%s reign %d", s.process(s.adder), s.reign))
+	return HolderAggregatorID(fmt.Sprintf("%s reign %d", s.process(s.adder), s.reign))
 }
 
 func (s *simulation) word() {
--- a/allowance/usage.go
+++ b/allowance/usage.go
@@ -22,13 +22,13 @@
 // the smaller one, and so by the holder's.
 const standInBit = 1 << 63
 
-// AdderOf returns what stands for a process that holds the lease.
-func AdderOf(process string) AggregatorID {
+// HolderAggregatorID returns what stands for a process that holds the lease.
+func HolderAggregatorID(process string) AggregatorID {
 	return AggregatorID(xxhash.Sum64String(process) &^ standInBit)
 }
 
 // StandInOf returns what stands for a process that stands in while there is no holder.
-func StandInOf(process string) AggregatorID { return AdderOf(process) | standInBit }
+func StandInOf(process string) AggregatorID { return HolderAggregatorID(process) | standInBit }
 
 // Usage is what one process has been asked for by an account and has admitted, in the unit
 // of the account's allowance, since it first heard the process that adds up now. What was
--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -157,7 +157,7 @@
 	if a.standsIn {
 		return allowance.StandInOf(reign)
 	}
-	return allowance.AdderOf(reign)
+	return allowance.HolderAggregatorID(reign)
 }
 
 // mostOrphans is the part of the instances that must never have heard an adder for one to
