--- a/allowance/usage.go
+++ b/allowance/usage.go
@@ -27,8 +27,10 @@
 	return AggregatorID(xxhash.Sum64String(process) &^ standInBit)
 }
 
-// StandInOf returns what stands for a process that stands in while there is no holder.
-func StandInOf(process string) AggregatorID { return HolderAggregatorID(process) | standInBit }
+// StandInAggregatorID returns what stands for a process that stands in while there is no holder.
+func StandInAggregatorID(process string) AggregatorID {
+	return HolderAggregatorID(process) | standInBit
+}
 
 // Usage is what one process has been asked for by an account and has admitted, in the unit
 // of the account's allowance, since it first heard the process that adds up now. What was
--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -155,7 +155,7 @@
 // newAdder returns what stands for this process from now on.
 func (a *allowances) newAdder(reign string) allowance.AggregatorID {
 	if a.standsIn {
-		return allowance.StandInOf(reign)
+		return allowance.StandInAggregatorID(reign)
 	}
 	return allowance.HolderAggregatorID(reign)
 }
