--- a/allowance/ledger.go
+++ b/allowance/ledger.go
@@ -79,7 +79,7 @@
 
 // Learn takes over what accounts have exceeded their limits by, from the last words of the
 // process that added up before.
-func (l *Aggregator) Learn(words []Word) {
+func (l *Aggregator) Learn(words []Share) {
 	l.owed = make(map[Mark]float64, len(words))
 	for _, w := range words {
 		l.owed[w.Account] = float64(max(-w.Level, 0))
@@ -215,7 +215,7 @@
 
 // Words tells the share of each account that was heard of. Where fewer than half of those
 // are heard that were lately, others may add up elsewhere: then it reports false.
-func (l *Aggregator) Words(now time.Time) (words []Word, told bool) {
+func (l *Aggregator) Words(now time.Time) (words []Share, told bool) {
 	maps.DeleteFunc(l.heardAt, func(_ string, at time.Time) bool { return now.Sub(at) >= lately })
 	heard := 0
 	for _, at := range l.heardAt {
@@ -226,25 +226,25 @@
 	if 2*heard < len(l.heardAt) {
 		return nil, false
 	}
-	words = make([]Word, 0, len(l.accounts))
+	words = make([]Share, 0, len(l.accounts))
 	for mark, a := range l.accounts {
 		limit := l.limits[mark]
 		a.pass(now, limit, l.tolerance)
 		words = append(words, a.word(mark, limit, l.tolerance))
 	}
-	slices.SortFunc(words, func(a, b Word) int { return cmp.Compare(a.Account, b.Account) })
+	slices.SortFunc(words, func(a, b Share) int { return cmp.Compare(a.Account, b.Account) })
 	return words, true
 }
 
 // word tells how the account stands, and notes what those will go by who hear nothing more.
-func (a *ledgerAccount) word(mark Mark, limit settings.Allowance, tolerance Tolerance) Word {
+func (a *ledgerAccount) word(mark Mark, limit settings.Allowance, tolerance Tolerance) Share {
 	rate := a.rate()
 	for _, t := range a.by {
 		if t.heard {
 			t.part, t.level, t.heard = t.rate/max(rate, 1), a.level, false
 		}
 	}
-	return Word{Account: mark, Permille: a.share(limit, tolerance), Level: int64(a.level), Rate: int64(rate)}
+	return Share{Account: mark, Permille: a.share(limit, tolerance), Level: int64(a.level), Rate: int64(rate)}
 }
 
 // share is all while half of the burst is left, and else the part of what is asked that
--- a/allowance/local.go
+++ b/allowance/local.go
@@ -42,7 +42,7 @@
 	// tells is how often the usage is to be told still since it changed.
 	tells int
 	// word is the last that was heard, at heardAt; zero for none.
-	word    Word
+	word    Share
 	heardAt time.Time
 	// sinceWord is what was admitted since then, part which part of all that was admitted
 	// lately was admitted here, as of then.
@@ -172,7 +172,7 @@
 	switch {
 	case !a.hears(now) && l.adder != 0 && now.Sub(l.adderAt) < wordTime && !a.short(now):
 		// The adder tells of accounts that have drawn on their allowance.
-		a.word, a.heardAt, a.sinceWord = Word{Account: a.usage.Account, Permille: wholeShare, Level: int64(limit.Burst)}, now, 0
+		a.word, a.heardAt, a.sinceWord = Share{Account: a.usage.Account, Permille: wholeShare, Level: int64(limit.Burst)}, now, 0
 	case !a.hears(now):
 		return l.withoutWord(now, a, limit, cost)
 	}
@@ -277,7 +277,7 @@
 
 // Hear takes the words of a process that adds up. While there are two, as for a moment
 // when the lease changes hands, all go by the same one.
-func (l *Limiter) Hear(now time.Time, adder AggregatorID, words []Word) {
+func (l *Limiter) Hear(now time.Time, adder AggregatorID, words []Share) {
 	if l == nil {
 		return
 	}
@@ -336,10 +336,10 @@
 }
 
 // Known returns the last words, for the ledger of an instance that is to add up.
-func (l *Limiter) Known(now time.Time) []Word {
+func (l *Limiter) Known(now time.Time) []Share {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var words []Word
+	var words []Share
 	for _, a := range l.accounts {
 		if !a.heardAt.IsZero() && now.Sub(a.heardAt) < wordTime+ownTime {
 			words = append(words, a.word)
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -439,7 +439,7 @@
 	l := NewLimiter(tolerance, rand.Float64)
 	l.SetLimits(Limits{MarkOf(account): limits[0]})
 	now := time.Unix(1000, 0)
-	l.Hear(now, 1, []Word{{Account: MarkOf(account), Permille: wholeShare, Level: 1 << 50}})
+	l.Hear(now, 1, []Share{{Account: MarkOf(account), Permille: wholeShare, Level: 1 << 50}})
 	b.ReportAllocs()
 	for b.Loop() {
 		l.Admit(now, account, 2400)
--- a/allowance/usage.go
+++ b/allowance/usage.go
@@ -44,8 +44,8 @@
 // UsageBytes bounds the encoding of a Usage.
 const UsageBytes = 1 + 3*9
 
-// Word tells which share of what an account asks can be admitted.
-type Word struct {
+// Share tells which share of what an account asks can be admitted.
+type Share struct {
 	_       struct{} `cbor:",toarray"`
 	Account Mark
 	// Permille is the share in thousandths, 1000 for all.
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -82,7 +82,7 @@
 	Usage    []allowance.Usage      `cbor:"28,keyasint,omitempty"`
 	UsageFor allowance.AggregatorID `cbor:"29,keyasint,omitempty"`
 	// Allowances tells, with Instances, what accounts may have, by the process Adder.
-	Allowances []allowance.Word       `cbor:"30,keyasint,omitempty"`
+	Allowances []allowance.Share      `cbor:"30,keyasint,omitempty"`
 	Adder      allowance.AggregatorID `cbor:"31,keyasint,omitempty"`
 	// Orphan tells that the sender has never heard a process that adds up.
 	Orphan bool `cbor:"33,keyasint,omitempty"`
