--- a/allowance/usage.go
+++ b/allowance/usage.go
@@ -54,8 +54,8 @@
 	Level, Rate int64
 }
 
-// WordBytes bounds the encoding of a Word.
-const WordBytes = 1 + 4*9
+// ShareBytes bounds the encoding of a Word.
+const ShareBytes = 1 + 4*9
 
 // wholeShare is the share of an account below its limit.
 const wholeShare = 1000
