--- a/allowance/ledger.go
+++ b/allowance/ledger.go
@@ -18,9 +18,9 @@
 	tolerance Tolerance
 	// owed is by how much accounts had exceeded their limits by the words of the process that
 	// added up before.
-	owed     map[Mark]float64
+	owed     map[AccountHash]float64
 	limits   Limits
-	accounts map[Mark]*ledgerAccount
+	accounts map[AccountHash]*ledgerAccount
 	// heardAt is when each instance was last heard.
 	heardAt map[string]time.Time
 }
@@ -74,13 +74,13 @@
 
 // NewAggregator returns a ledger that has heard nothing.
 func NewAggregator(now time.Time, t Tolerance) *Aggregator {
-	return &Aggregator{began: now, tolerance: t, accounts: map[Mark]*ledgerAccount{}, heardAt: map[string]time.Time{}}
+	return &Aggregator{began: now, tolerance: t, accounts: map[AccountHash]*ledgerAccount{}, heardAt: map[string]time.Time{}}
 }
 
 // Learn takes over what accounts have exceeded their limits by, from the last words of the
 // process that added up before.
 func (l *Aggregator) Learn(words []Share) {
-	l.owed = make(map[Mark]float64, len(words))
+	l.owed = make(map[AccountHash]float64, len(words))
 	for _, w := range words {
 		l.owed[w.Account] = float64(max(-w.Level, 0))
 	}
@@ -99,7 +99,7 @@
 	}
 }
 
-func (l *Aggregator) account(now time.Time, mark Mark, limit settings.Allowance) *ledgerAccount {
+func (l *Aggregator) account(now time.Time, mark AccountHash, limit settings.Allowance) *ledgerAccount {
 	a := l.accounts[mark]
 	if a == nil {
 		level := min(limit.PerSecond*now.Sub(l.began).Seconds(), l.tolerance.burst(limit)) - l.owed[mark]
@@ -237,7 +237,7 @@
 }
 
 // word tells how the account stands, and notes what those will go by who hear nothing more.
-func (a *ledgerAccount) word(mark Mark, limit settings.Allowance, tolerance Tolerance) Share {
+func (a *ledgerAccount) word(mark AccountHash, limit settings.Allowance, tolerance Tolerance) Share {
 	rate := a.rate()
 	for _, t := range a.by {
 		if t.heard {
--- a/allowance/local.go
+++ b/allowance/local.go
@@ -23,12 +23,12 @@
 	// instances is how many there are.
 	instances int
 	limits    Limits
-	accounts  map[Mark]*localAccount
+	accounts  map[AccountHash]*localAccount
 	// adder is the process that adds up, heard at adderAt; 0 for none.
 	adder   AggregatorID
 	adderAt time.Time
 	// next is the account that is told first the next time.
-	next Mark
+	next AccountHash
 	// rejected counts requests that were not admitted.
 	rejected int64
 }
@@ -83,7 +83,7 @@
 
 // NewLimiter returns the part of an instance that has heard nothing.
 func NewLimiter(t Tolerance, random func() float64) *Limiter {
-	return &Limiter{tolerance: t, random: random, limits: Limits{}, accounts: map[Mark]*localAccount{}}
+	return &Limiter{tolerance: t, random: random, limits: Limits{}, accounts: map[AccountHash]*localAccount{}}
 }
 
 // NewEvenLimiter returns the part of an instance of a deployment in which none adds up. Such
@@ -159,7 +159,7 @@
 
 // account returns what is known of an account. A process that has heard no word begins
 // with its even part of the tolerance.
-func (l *Limiter) account(now time.Time, mark Mark, limit settings.Allowance) *localAccount {
+func (l *Limiter) account(now time.Time, mark AccountHash, limit settings.Allowance) *localAccount {
 	a := l.accounts[mark]
 	if a == nil {
 		a = &localAccount{usage: Usage{Account: mark}, rateAt: now, bucketAt: now, madeAt: now, bucket: l.atOnce(limit)}
@@ -359,14 +359,14 @@
 	if l.adder == 0 {
 		return nil, 0
 	}
-	var changed []Mark
+	var changed []AccountHash
 	for mark, a := range l.accounts {
 		if a.tells > 0 {
 			changed = append(changed, mark)
 		}
 	}
 	// Those behind the last that was told go first.
-	slices.SortFunc(changed, func(a, b Mark) int { return cmp.Compare(a-l.next, b-l.next) })
+	slices.SortFunc(changed, func(a, b AccountHash) int { return cmp.Compare(a-l.next, b-l.next) })
 	changed = changed[:min(len(changed), most)]
 	usage := make([]Usage, 0, len(changed))
 	for _, mark := range changed {
--- a/allowance/usage.go
+++ b/allowance/usage.go
@@ -8,12 +8,12 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// Mark stands for an account in what instances tell each other. With 1,000 accounts two
+// AccountHash stands for an account in what instances tell each other. With 1,000 accounts two
 // have the same one in fewer than 1 of 10^13 deployments.
-type Mark uint64
+type AccountHash uint64
 
 // MarkOf returns the mark of an account.
-func MarkOf(account string) Mark { return Mark(xxhash.Sum64String(account)) }
+func MarkOf(account string) AccountHash { return AccountHash(xxhash.Sum64String(account)) }
 
 // AggregatorID stands for the process that adds up, among all that ever run.
 type AggregatorID uint64
@@ -37,7 +37,7 @@
 // admitted and has not run is taken off again.
 type Usage struct {
 	_                 struct{} `cbor:",toarray"`
-	Account           Mark
+	Account           AccountHash
 	Offered, Admitted int64
 }
 
@@ -47,7 +47,7 @@
 // Share tells which share of what an account asks can be admitted.
 type Share struct {
 	_       struct{} `cbor:",toarray"`
-	Account Mark
+	Account AccountHash
 	// Permille is the share in thousandths, 1000 for all.
 	Permille int64
 	// Level is what the account may have at once, Rate what is admitted of it a second.
@@ -61,7 +61,7 @@
 const wholeShare = 1000
 
 // Limits holds the allowance of each account that has one.
-type Limits map[Mark]settings.Allowance
+type Limits map[AccountHash]settings.Allowance
 
 // LimitsOf returns the limits that settings give.
 func LimitsOf(t *settings.Tree) Limits {
--- a/daemon/allowances_test.go
+++ b/daemon/allowances_test.go
@@ -76,7 +76,7 @@
 func TestWordsOfAllowancesFitADatagram(t *testing.T) {
 	var words []allowance.Share
 	for i := range maxWords {
-		words = append(words, allowance.Share{Account: allowance.Mark(1<<63 + uint64(i)), Permille: 999, Level: -1 << 40, Rate: 1 << 40})
+		words = append(words, allowance.Share{Account: allowance.AccountHash(1<<63 + uint64(i)), Permille: 999, Level: -1 << 40, Rate: 1 << 40})
 	}
 	p := peer.Packet{
 		Version: peer.PacketVersion, From: "edge-hall-outremeuse-12", Process: "ABCDEFGHIJKLMNOPQRSTUVWXYZ", Address: "10.200.100.100:17380",
