--- a/allowance/local.go
+++ b/allowance/local.go
@@ -126,7 +126,7 @@
 	if l == nil {
 		return true, 0
 	}
-	mark := MarkOf(account)
+	mark := HashAccount(account)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	limit, limited := l.limits[mark]
@@ -152,7 +152,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if a := l.accounts[MarkOf(account)]; a != nil {
+	if a := l.accounts[HashAccount(account)]; a != nil {
 		a.take(now, -cost)
 	}
 }
@@ -395,7 +395,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, name := range names {
-		a := l.accounts[MarkOf(name)]
+		a := l.accounts[HashAccount(name)]
 		if a == nil {
 			continue
 		}
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -74,7 +74,7 @@
 	s.processes[i]++
 	l := NewLimiter(s.tolerance, s.random.Float64)
 	l.SetInstances(len(s.locals))
-	l.SetLimits(Limits{MarkOf(account): s.limit})
+	l.SetLimits(Limits{HashAccount(account): s.limit})
 	s.locals[i] = l
 }
 
@@ -82,10 +82,10 @@
 func (s *simulation) setLimit(a settings.Allowance) {
 	s.limit = a
 	for _, l := range s.locals {
-		l.SetLimits(Limits{MarkOf(account): a})
+		l.SetLimits(Limits{HashAccount(account): a})
 	}
 	if s.ledger != nil {
-		s.ledger.SetLimits(Limits{MarkOf(account): a})
+		s.ledger.SetLimits(Limits{HashAccount(account): a})
 	}
 }
 
@@ -97,7 +97,7 @@
 		return
 	}
 	s.ledger = NewAggregator(s.now, s.tolerance)
-	s.ledger.SetLimits(Limits{MarkOf(account): s.limit})
+	s.ledger.SetLimits(Limits{HashAccount(account): s.limit})
 	s.ledger.Learn(s.locals[i].Known(s.now))
 }
 
@@ -437,9 +437,9 @@
 // BenchmarkAdmit is what a request costs.
 func BenchmarkAdmit(b *testing.B) {
 	l := NewLimiter(tolerance, rand.Float64)
-	l.SetLimits(Limits{MarkOf(account): limits[0]})
+	l.SetLimits(Limits{HashAccount(account): limits[0]})
 	now := time.Unix(1000, 0)
-	l.Hear(now, 1, []Share{{Account: MarkOf(account), Permille: wholeShare, Level: 1 << 50}})
+	l.Hear(now, 1, []Share{{Account: HashAccount(account), Permille: wholeShare, Level: 1 << 50}})
 	b.ReportAllocs()
 	for b.Loop() {
 		l.Admit(now, account, 2400)
@@ -450,7 +450,7 @@
 func TestEvenPartAdmitsAtLeastOneRequest(t *testing.T) {
 	l := NewEvenLimiter()
 	l.SetInstances(6)
-	l.SetLimits(Limits{MarkOf(account): {Unit: settings.CountRequests, PerSecond: 3, Burst: 3}})
+	l.SetLimits(Limits{HashAccount(account): {Unit: settings.CountRequests, PerSecond: 3, Burst: 3}})
 	admitted := 0
 	for i := range 100 {
 		if ok, _ := l.Admit(time.Unix(1000, 0).Add(time.Duration(i)*200*time.Millisecond), account, 1); ok {
--- a/allowance/usage.go
+++ b/allowance/usage.go
@@ -12,8 +12,8 @@
 // have the same one in fewer than 1 of 10^13 deployments.
 type AccountHash uint64
 
-// MarkOf returns the mark of an account.
-func MarkOf(account string) AccountHash { return AccountHash(xxhash.Sum64String(account)) }
+// HashAccount returns the mark of an account.
+func HashAccount(account string) AccountHash { return AccountHash(xxhash.Sum64String(account)) }
 
 // AggregatorID stands for the process that adds up, among all that ever run.
 type AggregatorID uint64
@@ -68,7 +68,7 @@
 	limits := Limits{}
 	for name, caller := range t.Callers {
 		if caller.Allowance != nil {
-			limits[MarkOf(name)] = *caller.Allowance
+			limits[HashAccount(name)] = *caller.Allowance
 		}
 	}
 	return limits
