--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -53,7 +53,7 @@
 	account = "desk"
 )
 
-var tolerance = Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 17_000}
+var tolerance = Tolerance{Window: 8 * time.Second, OverFraction: 0.1, Slack: 17_000}
 
 func newSimulation(seed uint64, instances int, limit settings.Allowance) *simulation {
 	s := &simulation{
@@ -214,7 +214,7 @@
 
 // bound is what the rule allows in a window.
 func bound(a settings.Allowance) float64 {
-	return (a.PerSecond*tolerance.Window.Seconds()+a.Burst)*(1+tolerance.Over) + tolerance.Slack
+	return (a.PerSecond*tolerance.Window.Seconds()+a.Burst)*(1+tolerance.OverFraction) + tolerance.Slack
 }
 
 // refusedShare is the share of what was asked that was not admitted since reset.
--- a/allowance/usage.go
+++ b/allowance/usage.go
@@ -77,9 +77,9 @@
 // Tolerance is by how much the sum of all instances may exceed the limits for moments:
 // Over times what the rate and the burst allow in Window, and Slack besides.
 type Tolerance struct {
-	Window time.Duration
-	Over   float64
-	Slack  float64
+	Window       time.Duration
+	OverFraction float64
+	Slack        float64
 }
 
 // Parts of the tolerance. The rest is for what is on its way: requests that are admitted
@@ -94,7 +94,7 @@
 
 // all is by how much the limits of an account may be exceeded in a window.
 func (t Tolerance) all(a settings.Allowance) float64 {
-	return t.Over*(a.PerSecond*t.Window.Seconds()+a.Burst) + t.Slack
+	return t.OverFraction*(a.PerSecond*t.Window.Seconds()+a.Burst) + t.Slack
 }
 
 // burst is what an account may have at once.
@@ -107,5 +107,5 @@
 }
 
 func (t Tolerance) evenRate(a settings.Allowance, instances int) float64 {
-	return partWithoutWord * t.Over * a.PerSecond / float64(max(instances, 1))
+	return partWithoutWord * t.OverFraction * a.PerSecond / float64(max(instances, 1))
 }
--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -24,7 +24,7 @@
 }
 
 func (c AllowanceConfig) tolerance() allowance.Tolerance {
-	return allowance.Tolerance{Window: time.Duration(c.WindowS * float64(time.Second)), Over: c.Over, Slack: c.Slack}
+	return allowance.Tolerance{Window: time.Duration(c.WindowS * float64(time.Second)), OverFraction: c.Over, Slack: c.Slack}
 }
 
 // allowances is a node's part in the accounts' allowances, and the ledger while it adds up.
