--- a/allowance/ledger.go
+++ b/allowance/ledger.go
@@ -109,8 +109,8 @@
 	return a
 }
 
-// Heard takes what an instance tells.
-func (l *Aggregator) Heard(now time.Time, instance, process string, usage []Usage) {
+// RecordUsage takes what an instance tells.
+func (l *Aggregator) RecordUsage(now time.Time, instance, process string, usage []Usage) {
 	l.heardAt[instance] = now
 	for _, u := range usage {
 		limit, limited := l.limits[u.Account]
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -178,7 +178,7 @@
 			if adder != s.adderMark() {
 				usage = nil
 			}
-			ledger.Heard(s.now, instance, process, usage)
+			ledger.RecordUsage(s.now, instance, process, usage)
 		})
 	}
 }
--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -114,7 +114,7 @@
 	if p.UsageFor != a.adder {
 		usage = nil
 	}
-	a.ledger.Heard(a.now(), p.From, p.Process, usage)
+	a.ledger.RecordUsage(a.now(), p.From, p.Process, usage)
 }
 
 // heardAdder takes the words of a process that adds up. One that stands in gives way.
