--- a/allowance/ledger.go
+++ b/allowance/ledger.go
@@ -77,9 +77,9 @@
 	return &Aggregator{began: now, tolerance: t, accounts: map[AccountHash]*ledgerAccount{}, heardAt: map[string]time.Time{}}
 }
 
-// Learn takes over what accounts have exceeded their limits by, from the last words of the
+// CarryOverDebts takes over what accounts have exceeded their limits by, from the last words of the
 // process that added up before.
-func (l *Aggregator) Learn(words []Share) {
+func (l *Aggregator) CarryOverDebts(words []Share) {
 	l.owed = make(map[AccountHash]float64, len(words))
 	for _, w := range words {
 		l.owed[w.Account] = float64(max(-w.Level, 0))
