--- a/allowance/ledger.go
+++ b/allowance/ledger.go
@@ -213,9 +213,9 @@
 	return more
 }
 
-// Words tells the share of each account that was heard of. Where fewer than half of those
+// Shares tells the share of each account that was heard of. Where fewer than half of those
 // are heard that were lately, others may add up elsewhere: then it reports false.
-func (l *Aggregator) Words(now time.Time) (words []Share, told bool) {
+func (l *Aggregator) Shares(now time.Time) (words []Share, told bool) {
 	maps.DeleteFunc(l.heardAt, func(_ string, at time.Time) bool { return now.Sub(at) >= lately })
 	heard := 0
 	for _, at := range l.heardAt {
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -189,7 +189,7 @@
 
 func (s *simulation) word() {
 	adder := s.adderMark()
-	words, told := s.ledger.Words(s.now)
+	words, told := s.ledger.Shares(s.now)
 	if !told {
 		s.locals[s.adder].GiveUp(s.now)
 		return
--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -203,7 +203,7 @@
 		a.ledger.SetLimits(a.limits)
 		a.ledger.CarryOverDebts(a.local.Known(now))
 	}
-	words, told := a.ledger.Words(now)
+	words, told := a.ledger.Shares(now)
 	if !told {
 		a.local.GiveUp(now)
 		return nil
