--- a/allowance/local.go
+++ b/allowance/local.go
@@ -275,9 +275,9 @@
 	return min(max(after, leastRetryAfter), mostRetryAfter)
 }
 
-// Hear takes the words of a process that adds up. While there are two, as for a moment
+// ReceiveShares takes the words of a process that adds up. While there are two, as for a moment
 // when the lease changes hands, all go by the same one.
-func (l *Limiter) Hear(now time.Time, adder AggregatorID, words []Share) {
+func (l *Limiter) ReceiveShares(now time.Time, adder AggregatorID, words []Share) {
 	if l == nil {
 		return
 	}
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -195,7 +195,7 @@
 		return
 	}
 	for i, l := range s.locals {
-		s.send(s.adder, i, func() { l.Hear(s.now, adder, words) })
+		s.send(s.adder, i, func() { l.ReceiveShares(s.now, adder, words) })
 	}
 }
 
@@ -439,7 +439,7 @@
 	l := NewLimiter(tolerance, rand.Float64)
 	l.SetLimits(Limits{HashAccount(account): limits[0]})
 	now := time.Unix(1000, 0)
-	l.Hear(now, 1, []Share{{Account: HashAccount(account), Permille: wholeShare, Level: 1 << 50}})
+	l.ReceiveShares(now, 1, []Share{{Account: HashAccount(account), Permille: wholeShare, Level: 1 << 50}})
 	b.ReportAllocs()
 	for b.Loop() {
 		l.Admit(now, account, 2400)
--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -119,7 +119,7 @@
 
 // heardAdder takes the words of a process that adds up. One that stands in gives way.
 func (a *allowances) heardAdder(p peer.Packet) {
-	a.local.Hear(a.now(), p.Adder, p.Allowances)
+	a.local.ReceiveShares(a.now(), p.Adder, p.Allowances)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.adderAddress, a.adderAt = p.Address, a.now()
