--- a/allowance/local.go
+++ b/allowance/local.go
@@ -310,9 +310,9 @@
 	}
 }
 
-// GiveUp gives up this instance's part of the limits, as its own ledger no longer hears the
+// RelinquishShares gives up this instance's part of the limits, as its own ledger no longer hears the
 // others: they go by the ledger of another one, which does not count this one.
-func (l *Limiter) GiveUp(now time.Time) {
+func (l *Limiter) RelinquishShares(now time.Time) {
 	if l == nil {
 		return
 	}
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -191,7 +191,7 @@
 	adder := s.adderMark()
 	words, told := s.ledger.Shares(s.now)
 	if !told {
-		s.locals[s.adder].GiveUp(s.now)
+		s.locals[s.adder].RelinquishShares(s.now)
 		return
 	}
 	for i, l := range s.locals {
--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -205,7 +205,7 @@
 	}
 	words, told := a.ledger.Shares(now)
 	if !told {
-		a.local.GiveUp(now)
+		a.local.RelinquishShares(now)
 		return nil
 	}
 	var packets []peer.Packet
