--- a/allowance/local.go
+++ b/allowance/local.go
@@ -328,8 +328,8 @@
 	l.adder = 0
 }
 
-// Orphan tells whether this process has never heard one that adds up.
-func (l *Limiter) Orphan() bool {
+// NoAggregator tells whether this process has never heard one that adds up.
+func (l *Limiter) NoAggregator() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.adder == 0
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -311,7 +311,7 @@
 	replaced := s.adder < 0 || s.cut[s.adder]
 	orphans := 0
 	for _, l := range s.locals {
-		if l.Orphan() {
+		if l.NoAggregator() {
 			orphans++
 		}
 	}
--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -133,7 +133,7 @@
 	a.mu.Lock()
 	needed := len(a.limits) > 0
 	a.mu.Unlock()
-	return needed && a.local.Orphan()
+	return needed && a.local.NoAggregator()
 }
 
 // adderHeard is for how long the address of the process that adds up counts.
@@ -180,7 +180,7 @@
 			orphans++
 		}
 	}
-	a.standsIn = orphans > 0 && float64(orphans) >= mostOrphans*float64(a.listed()) && a.local.Orphan()
+	a.standsIn = orphans > 0 && float64(orphans) >= mostOrphans*float64(a.listed()) && a.local.NoAggregator()
 	return a.standsIn
 }
 
