--- a/allowance/local.go
+++ b/allowance/local.go
@@ -335,8 +335,8 @@
 	return l.adder == 0
 }
 
-// Known returns the last words, for the ledger of an instance that is to add up.
-func (l *Limiter) Known(now time.Time) []Share {
+// LastShares returns the last words, for the ledger of an instance that is to add up.
+func (l *Limiter) LastShares(now time.Time) []Share {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var words []Share
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -98,7 +98,7 @@
 	}
 	s.ledger = NewAggregator(s.now, s.tolerance)
 	s.ledger.SetLimits(Limits{HashAccount(account): s.limit})
-	s.ledger.CarryOverDebts(s.locals[i].Known(s.now))
+	s.ledger.CarryOverDebts(s.locals[i].LastShares(s.now))
 }
 
 func (s *simulation) process(i int) string { return fmt.Sprintf("%d/%d", i, s.processes[i]) }
--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -201,7 +201,7 @@
 		a.adder = a.newAdder(fmt.Sprint(a.process, "/", a.reign))
 		a.ledger = allowance.NewAggregator(now, a.tolerance)
 		a.ledger.SetLimits(a.limits)
-		a.ledger.CarryOverDebts(a.local.Known(now))
+		a.ledger.CarryOverDebts(a.local.LastShares(now))
 	}
 	words, told := a.ledger.Shares(now)
 	if !told {
