--- a/allowance/local.go
+++ b/allowance/local.go
@@ -348,9 +348,9 @@
 	return words
 }
 
-// Usage returns up to so many usages that have changed since they were told often enough,
+// PendingUsage returns up to so many usages that have changed since they were told often enough,
 // and the process that they are for.
-func (l *Limiter) Usage(most int) ([]Usage, AggregatorID) {
+func (l *Limiter) PendingUsage(most int) ([]Usage, AggregatorID) {
 	if l == nil || most <= 0 {
 		return nil, 0
 	}
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -169,7 +169,7 @@
 func (s *simulation) tell() {
 	reign, ledger := s.reign, s.ledger
 	for i, l := range s.locals {
-		usage, adder := l.Usage(8)
+		usage, adder := l.PendingUsage(8)
 		process, instance := s.process(i), fmt.Sprint(i)
 		s.send(i, s.adder, func() {
 			if s.reign != reign {
--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -87,7 +87,7 @@
 		return
 	}
 	p.Orphan = a.orphan()
-	p.Usage, p.UsageFor = a.local.Usage(min(maxUsages, room/allowance.UsageBytes))
+	p.Usage, p.UsageFor = a.local.PendingUsage(min(maxUsages, room/allowance.UsageBytes))
 }
 
 // heard takes what a packet tells, also one of this instance's own.
