--- a/allowance/local.go
+++ b/allowance/local.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// SetInstances says how many instances there are.
-func (l *Limiter) SetInstances(n int) {
+// SetInstanceCount says how many instances there are.
+func (l *Limiter) SetInstanceCount(n int) {
 	if l == nil {
 		return
 	}
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -73,7 +73,7 @@
 func (s *simulation) start(i int) {
 	s.processes[i]++
 	l := NewLimiter(s.tolerance, s.random.Float64)
-	l.SetInstances(len(s.locals))
+	l.SetInstanceCount(len(s.locals))
 	l.SetLimits(Limits{HashAccount(account): s.limit})
 	s.locals[i] = l
 }
@@ -449,7 +449,7 @@
 // TestEvenPartAdmitsAtLeastOneRequest has an allowance whose even part is below one request.
 func TestEvenPartAdmitsAtLeastOneRequest(t *testing.T) {
 	l := NewEvenLimiter()
-	l.SetInstances(6)
+	l.SetInstanceCount(6)
 	l.SetLimits(Limits{HashAccount(account): {Unit: settings.CountRequests, PerSecond: 3, Burst: 3}})
 	admitted := 0
 	for i := range 100 {
--- a/daemon/allowances_test.go
+++ b/daemon/allowances_test.go
@@ -29,7 +29,7 @@
 	adder = newAllowances(c, "p1", func() bool { return true }, two, now)
 	other = newAllowances(c, "p2", func() bool { return false }, two, now)
 	for _, a := range []*allowances{adder, other} {
-		a.local.SetInstances(2)
+		a.local.SetInstanceCount(2)
 		a.adopt(limitedTree())
 	}
 	return adder, other
--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -152,7 +152,7 @@
 	}
 	i.asking = peer.NewStreamClient(identity)
 	i.peers = &peersDuty{
-		counted: i.allowances.SetInstances,
+		counted: i.allowances.SetInstanceCount,
 		gossip:  peer.NewGossip(peer.GossipConfig{Name: i.cfg.Instance, Process: i.process}), sealer: sealer,
 		events: ring.New[peer.Event](peerEvents, ring.DropOldest), wanted: ring.New[wanted](wantedCapacity, ring.DropOldest),
 		heard: i.heard, quarantine: i.quarantine, log: i.log, now: i.deps.Now,
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -211,7 +211,7 @@
 // counted is told how many instances are listed.
 func (n *Node) counted(instances int) {
 	n.shareRetries(instances)
-	n.allowances.local.SetInstances(instances)
+	n.allowances.local.SetInstanceCount(instances)
 	n.router.SetInstances(instances)
 }
 
