--- a/daemon/holds.go
+++ b/daemon/holds.go
@@ -32,7 +32,7 @@
 	client store.Client
 	keeper *quarantine.Keeper
 	// words holds requests that have come to be held here.
-	words *ring.Ring[quarantine.Word]
+	words *ring.Ring[quarantine.Report]
 	// isolated tells whether this instance hears none of the others.
 	isolated func() bool
 	memory   time.Duration
@@ -76,7 +76,7 @@
 			d.log.Info("held request unreadable", "name", o.Metadata.Name, "error", err.Error())
 			continue
 		}
-		d.keeper.Hear([]quarantine.Word{word}, false)
+		d.keeper.Hear([]quarantine.Report{word}, false)
 	}
 	return nil
 }
@@ -103,7 +103,7 @@
 
 // put writes a request, over what was written when it was held before, and removes those
 // that count no more.
-func (d *holdsDuty) put(ctx context.Context, w quarantine.Word) error {
+func (d *holdsDuty) put(ctx context.Context, w quarantine.Report) error {
 	o, err := store.NewObject(store.KindHold, hex.EncodeToString(w.Fingerprint), d.encode(w))
 	if err != nil {
 		return err
@@ -140,7 +140,7 @@
 	return nil
 }
 
-func (d *holdsDuty) encode(w quarantine.Word) heldRequest {
+func (d *holdsDuty) encode(w quarantine.Report) heldRequest {
 	now := d.timeOfDay().UnixMilli()
 	var h heldRequest
 	for i, endpoint := range w.Endpoints {
@@ -157,24 +157,24 @@
 )
 
 // decode reads a request; endings that are too old to count are left out.
-func (d *holdsDuty) decode(o store.Object) (quarantine.Word, error) {
+func (d *holdsDuty) decode(o store.Object) (quarantine.Report, error) {
 	var h heldRequest
 	if err := json.Unmarshal(o.Spec, &h); err != nil {
-		return quarantine.Word{}, err
+		return quarantine.Report{}, err
 	}
 	fingerprint, err := hex.DecodeString(o.Metadata.Name)
 	if err != nil {
-		return quarantine.Word{}, err
+		return quarantine.Report{}, err
 	}
 	if len(h.Endpoints) != len(h.EndedMS) {
-		return quarantine.Word{}, errHoldUneven
+		return quarantine.Report{}, errHoldUneven
 	}
-	w := quarantine.Word{Fingerprint: fingerprint}
+	w := quarantine.Report{Fingerprint: fingerprint}
 	now := d.timeOfDay().UnixMilli()
 	for i, text := range h.Endpoints {
 		endpoint, err := strconv.ParseUint(text, 16, 64)
 		if err != nil {
-			return quarantine.Word{}, err
+			return quarantine.Report{}, err
 		}
 		// Clocks of instances differ a little.
 		age := max(now-h.EndedMS[i], 0)
--- a/daemon/holds_test.go
+++ b/daemon/holds_test.go
@@ -75,11 +75,11 @@
 
 func newHoldsDuty(s store.Client, isolated func() bool) *holdsDuty {
 	d := &holdsDuty{
-		client: s, words: ring.New[quarantine.Word](holdsWaiting, ring.DropOldest), isolated: isolated,
+		client: s, words: ring.New[quarantine.Report](holdsWaiting, ring.DropOldest), isolated: isolated,
 		memory: quarantine.DefaultLimits.Memory(), log: logr.Discard(), timeOfDay: time.Now,
 	}
 	d.keeper = quarantine.NewKeeper(quarantine.Config{
-		Limits: quarantine.DefaultLimits, Now: time.Now, Log: logr.Discard(), Keep: func(w quarantine.Word) { _ = d.words.Put(context.Background(), w) },
+		Limits: quarantine.DefaultLimits, Now: time.Now, Log: logr.Discard(), Keep: func(w quarantine.Report) { _ = d.words.Put(context.Background(), w) },
 	})
 	return d
 }
@@ -130,7 +130,7 @@
 		o.Metadata.Name = name
 		s.objects[name] = o
 	}
-	w := quarantine.Word{Fingerprint: make([]byte, quarantine.FingerprintBytes), Endpoints: []uint64{1 << 63}, AgesMS: []int64{5}}
+	w := quarantine.Report{Fingerprint: make([]byte, quarantine.FingerprintBytes), Endpoints: []uint64{1 << 63}, AgesMS: []int64{5}}
 	require.NoError(t, d.put(context.Background(), w))
 	w.Endpoints, w.AgesMS = append(w.Endpoints, 2), append(w.AgesMS, 1)
 	require.NoError(t, d.put(context.Background(), w))
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -93,7 +93,7 @@
 	allowances *allowances
 	// permits holds the limits that endpoints name for all nodes.
 	permits *permits
-	held    *ring.Ring[quarantine.Word]
+	held    *ring.Ring[quarantine.Report]
 	// control carries reports and orders, apart from callers' requests.
 	control *engine.Client
 	mesh    *mesh
@@ -144,7 +144,7 @@
 		retries: pipeline.NewRetryBudgets(cfg.Retries.limits(0)),
 		events:  ring.New[event](eventsCapacity, ring.Block),
 		wakes:   ring.New[time.Duration](wakesCapacity, ring.DropOldest),
-		held:    ring.New[quarantine.Word](holdsWaiting, ring.DropOldest),
+		held:    ring.New[quarantine.Report](holdsWaiting, ring.DropOldest),
 		eras:    &store.Eras{}, eraBegun: make(chan struct{}, 1),
 	}
 	n.eras.OnBegin(n.eraBegan)
@@ -161,7 +161,7 @@
 	n.control = engine.NewClient(engine.Config{Dial: watchfulDialer().DialContext, Dialect: ports.Endpoints, IdlePerEndpoint: 1})
 	n.quarantine = quarantine.NewKeeper(quarantine.Config{
 		Limits: cfg.Quarantine.limits(), Now: n.now, Log: log, News: func() { n.mesh.hurry() },
-		Keep: func(w quarantine.Word) { _ = n.held.Put(n.work, w) },
+		Keep: func(w quarantine.Report) { _ = n.held.Put(n.work, w) },
 	})
 	n.vars.Set("quarantine", expvar.Func(func() any { return n.quarantine.Stats() }))
 	n.storeCalls = newInterruptible(&http.Transport{
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -114,7 +114,7 @@
 
 // endings is what the hints among the actions tell of requests that end endpoints, all
 // neighbours the same.
-func (d *peersDuty) endings(actions []peer.Action) []quarantine.Word {
+func (d *peersDuty) endings(actions []peer.Action) []quarantine.Report {
 	for _, a := range actions {
 		if _, sends := a.(peer.Send); sends {
 			return d.quarantine.Words(peer.MaxHintBytes - hintHead)
@@ -123,7 +123,7 @@
 	return nil
 }
 
-func (d *peersDuty) carryOut(ctx context.Context, a peer.Action, words []quarantine.Word) {
+func (d *peersDuty) carryOut(ctx context.Context, a peer.Action, words []quarantine.Report) {
 	switch a := a.(type) {
 	case peer.Send:
 		address := d.address(a.To).datagrams
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -73,7 +73,7 @@
 type PeerLeaving struct{ Name string }
 
 // EndingsHeard are the words of a neighbour on requests under which endpoints ended.
-type EndingsHeard struct{ Words []quarantine.Word }
+type EndingsHeard struct{ Words []quarantine.Report }
 
 func (EndingsHeard) isAction() {}
 func (Send) isAction()         {}
--- a/peer/hint.go
+++ b/peer/hint.go
@@ -37,7 +37,7 @@
 	// does not tell it leaves it 0, which asks for nothing.
 	List int64 `cbor:"9,keyasint,omitempty"`
 	// Endings are requests under which endpoints have ended.
-	Endings []quarantine.Word `cbor:"10,keyasint,omitempty"`
+	Endings []quarantine.Report `cbor:"10,keyasint,omitempty"`
 	// EndingsDigest stands for all that the sender knows of them.
 	EndingsDigest uint64 `cbor:"11,keyasint,omitempty"`
 }
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -68,7 +68,7 @@
 	// Leaving tells that the sender makes a planned stop.
 	Leaving bool `cbor:"9,keyasint,omitempty"`
 	// Endings are requests under which endpoints have ended.
-	Endings []quarantine.Word `cbor:"22,keyasint,omitempty"`
+	Endings []quarantine.Report `cbor:"22,keyasint,omitempty"`
 	// EndingsDigest stands for all that the sender knows of them.
 	EndingsDigest uint64 `cbor:"23,keyasint,omitempty"`
 	// Ask is a token that the instance which places units answers with Echo, to the process
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -36,7 +36,7 @@
 
 type packet struct {
 	to     int
-	words  []Word
+	words  []Report
 	digest uint64
 	atMS   int
 }
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -18,7 +18,7 @@
 	// news is called when there is something to tell the others at once, keep with what
 	// is to outlast all instances.
 	news func()
-	keep func(Word)
+	keep func(Report)
 
 	mu     sync.Mutex
 	ledger *Ledger
@@ -39,7 +39,7 @@
 	News func()
 	// Keep is called with what is known of a request that has come to be held by what
 	// this instance has seen; nil calls nothing. It must not block.
-	Keep func(Word)
+	Keep func(Report)
 }
 
 // NewKeeper returns a keeper that knows nothing.
@@ -48,7 +48,7 @@
 		c.News = func() {}
 	}
 	if c.Keep == nil {
-		c.Keep = func(Word) {}
+		c.Keep = func(Report) {}
 	}
 	return &Keeper{now: c.Now, log: c.Log, news: c.News, keep: c.Keep, ledger: NewLedger(c.Limits), flights: map[Fingerprint]*Flight{}}
 }
@@ -217,7 +217,7 @@
 }
 
 // Hear takes the words of another instance. Those that are news are told on if so asked.
-func (k *Keeper) Hear(words []Word, tellOn bool) {
+func (k *Keeper) Hear(words []Report, tellOn bool) {
 	if k == nil || len(words) == 0 {
 		return
 	}
@@ -251,7 +251,7 @@
 }
 
 // Words returns what is to be told the other instances now, in so many bytes.
-func (k *Keeper) Words(room int) []Word {
+func (k *Keeper) Words(room int) []Report {
 	if k == nil {
 		return nil
 	}
@@ -261,7 +261,7 @@
 }
 
 // HeldWords returns what is known of the requests that are held back now.
-func (k *Keeper) HeldWords() []Word {
+func (k *Keeper) HeldWords() []Report {
 	if k == nil {
 		return nil
 	}
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -100,7 +100,7 @@
 	(&Flight{}).End()
 	k.Ended(request(1), "", "e", 1)
 	k.Served(request(1))
-	k.Hear([]Word{{}}, true)
+	k.Hear([]Report{{}}, true)
 	k.HearDigest(1)
 	k.SetLimits(limits)
 	require.False(t, k.Tells())
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -134,7 +134,7 @@
 
 // Hear takes the word of another instance, to be told so many times if it is news. It
 // reports false for a word that no instance says.
-func (l *Ledger) Hear(now time.Time, w Word, tells int) bool {
+func (l *Ledger) Hear(now time.Time, w Report, tells int) bool {
 	if l.limits.Endings == 0 {
 		return true
 	}
@@ -330,8 +330,8 @@
 }
 
 // HeldWords returns what is known of the requests that are held back now.
-func (l *Ledger) HeldWords(now time.Time) []Word {
-	var words []Word
+func (l *Ledger) HeldWords(now time.Time) []Report {
+	var words []Report
 	for _, f := range l.all {
 		if l.Held(now, f) > 0 {
 			words = append(words, l.records[f].word(now, f))
@@ -397,7 +397,7 @@
 
 // Words returns what is to be told now in so many bytes: news first, then, where another
 // instance knows other endings, what was not told lately.
-func (l *Ledger) Words(now time.Time, room int) []Word {
+func (l *Ledger) Words(now time.Time, room int) []Report {
 	b := batch{now: now, room: room}
 	l.tellNews(&b)
 	if l.differ(now) {
@@ -449,7 +449,7 @@
 type batch struct {
 	now   time.Time
 	room  int
-	words []Word
+	words []Report
 }
 
 // add adds the word of a request. It reports false where there is no room.
@@ -465,15 +465,15 @@
 }
 
 // Word is what is known of a request; the zero Word for nothing.
-func (l *Ledger) Word(now time.Time, f Fingerprint) Word {
+func (l *Ledger) Word(now time.Time, f Fingerprint) Report {
 	if r := l.records[f]; r != nil {
 		return r.word(now, f)
 	}
-	return Word{}
+	return Report{}
 }
 
-func (r *record) word(now time.Time, f Fingerprint) Word {
-	w := Word{Fingerprint: slices.Clone(f[:])}
+func (r *record) word(now time.Time, f Fingerprint) Report {
+	w := Report{Fingerprint: slices.Clone(f[:])}
 	if !r.servedAt.IsZero() {
 		w.ServedMS = max(now.Sub(r.servedAt).Milliseconds(), 0) + 1
 	}
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -124,7 +124,7 @@
 
 func TestUnsoundWordsAreRefused(t *testing.T) {
 	f := request(1)
-	for name, w := range map[string]Word{
+	for name, w := range map[string]Report{
 		"short":       {Fingerprint: f[:3]},
 		"uneven":      {Fingerprint: f[:], Endpoints: []uint64{1, 2}, AgesMS: []int64{1}},
 		"of to-come":  {Fingerprint: f[:], Endpoints: []uint64{1}, AgesMS: []int64{-1}},
@@ -223,7 +223,7 @@
 				l.Served(now, f, 1)
 			case 2:
 				age := rapid.Int64Range(0, l.memory().Milliseconds()).Draw(t, "age")
-				l.Hear(now, Word{Fingerprint: f[:], Endpoints: []uint64{endpoint}, AgesMS: []int64{age}}, 1)
+				l.Hear(now, Report{Fingerprint: f[:], Endpoints: []uint64{endpoint}, AgesMS: []int64{age}}, 1)
 			case 3:
 				hold := time.Duration(rapid.IntRange(1, 3).Draw(t, "hold")) * time.Minute
 				l.SetLimits(Limits{Endings: rapid.IntRange(0, 3).Draw(t, "endings"), Hold: hold})
--- a/quarantine/word.go
+++ b/quarantine/word.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Word is what instances tell each other of one request: the endpoints that have ended
+// Report is what instances tell each other of one request: the endpoints that have ended
 // under it, and when it was last answered well. Ages are in milliseconds, as clocks differ.
-type Word struct {
+type Report struct {
 	Fingerprint []byte `cbor:"1,keyasint"`
 	// Endpoints stand for starts of endpoints, by EndpointMark; AgesMS is how long ago
 	// each ended.
@@ -21,10 +21,10 @@
 )
 
 // size bounds the word's encoding, in bytes.
-func (w Word) size() int { return wordBytes + len(w.Endpoints)*endingBytes }
+func (w Report) size() int { return wordBytes + len(w.Endpoints)*endingBytes }
 
 // sound tells whether a word can be what an instance says.
-func (w Word) sound(memory time.Duration) bool {
+func (w Report) sound(memory time.Duration) bool {
 	if len(w.Fingerprint) != FingerprintBytes || len(w.Endpoints) != len(w.AgesMS) || len(w.Endpoints) > maxEndings {
 		return false
 	}
