--- a/daemon/eras.go
+++ b/daemon/eras.go
@@ -39,7 +39,7 @@
 		// All nodes do so at once.
 		wait.For(ctx, jitter(presencePause))
 		n.presence.run(ctx)
-		for _, w := range n.quarantine.HeldWords() {
+		for _, w := range n.quarantine.HeldReports() {
 			_ = n.held.Put(ctx, w)
 		}
 	}
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -260,8 +260,8 @@
 	return k.ledger.Words(k.now(), room)
 }
 
-// HeldWords returns what is known of the requests that are held back now.
-func (k *Keeper) HeldWords() []Report {
+// HeldReports returns what is known of the requests that are held back now.
+func (k *Keeper) HeldReports() []Report {
 	if k == nil {
 		return nil
 	}
