--- a/daemon/endings_test.go
+++ b/daemon/endings_test.go
@@ -119,7 +119,7 @@
 			p.Demands = append(p.Demands, peer.UnitDemand{Unit: fmt.Sprintf("model-%d/adapter", i), Work: 1e9, Waiting: 100})
 		}
 		p.EndingsDigest = keeper.Digest()
-		p.Endings = keeper.Words(m.room(p))
+		p.Endings = keeper.PendingReports(m.room(p))
 		data, err := peer.EncodePacket(p)
 		require.NoError(t, err)
 		require.LessOrEqual(t, len(data), peer.MaxPacketBytes)
--- a/daemon/meshhub.go
+++ b/daemon/meshhub.go
@@ -153,7 +153,7 @@
 		return
 	}
 	p := m.stamp(peer.Packet{Instances: instances, Revision: m.revision(), EndingsDigest: m.quarantine.Digest()})
-	if p.Endings = m.quarantine.Words(m.room(p)); len(p.Endings) > 0 {
+	if p.Endings = m.quarantine.PendingReports(m.room(p)); len(p.Endings) > 0 {
 		m.send(p, m.addresses())
 	}
 }
--- a/daemon/meshtell.go
+++ b/daemon/meshtell.go
@@ -73,7 +73,7 @@
 	if len(to) > 0 || m.allowances.address() == m.address {
 		p.Ask = m.rights.ask()
 		m.allowances.tell(&p, roomIn(p))
-		p.Endings = m.quarantine.Words(m.room(p))
+		p.Endings = m.quarantine.PendingReports(m.room(p))
 	}
 	if len(to) > 0 {
 		p.Limits = m.permits.words(roomIn(p))
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -117,7 +117,7 @@
 func (d *peersDuty) endings(actions []peer.Action) []quarantine.Report {
 	for _, a := range actions {
 		if _, sends := a.(peer.Send); sends {
-			return d.quarantine.Words(peer.MaxHintBytes - hintHead)
+			return d.quarantine.PendingReports(peer.MaxHintBytes - hintHead)
 		}
 	}
 	return nil
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -250,8 +250,8 @@
 	return k.ledger.Tells(k.now())
 }
 
-// Words returns what is to be told the other instances now, in so many bytes.
-func (k *Keeper) Words(room int) []Report {
+// PendingReports returns what is to be told the other instances now, in so many bytes.
+func (k *Keeper) PendingReports(room int) []Report {
 	if k == nil {
 		return nil
 	}
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -51,12 +51,12 @@
 	for i := range int64(3) {
 		there.Ended(f, "account", "e", i)
 	}
-	here.Hear(there.Words(1000), false)
+	here.Hear(there.PendingReports(1000), false)
 	require.Equal(t, []int{1, 1, 0, 0}, []int{first, second, answered, other})
 	require.NotNil(t, a.Held())
 	require.NotNil(t, b.Held())
 	require.Nil(t, c.Held())
-	here.Hear(there.Words(1000), false)
+	here.Hear(there.PendingReports(1000), false)
 	require.Equal(t, 1, first, "once")
 	a.End()
 	b.End()
@@ -104,7 +104,7 @@
 	k.HearDigest(1)
 	k.SetLimits(limits)
 	require.False(t, k.Tells())
-	require.Empty(t, k.Words(100))
+	require.Empty(t, k.PendingReports(100))
 	require.Zero(t, k.Digest())
 	require.Zero(t, k.Stats())
 }
