--- a/daemon/meshtell.go
+++ b/daemon/meshtell.go
@@ -59,7 +59,7 @@
 	p := m.stamp(m.summary())
 	m.totals.tell(p.Loads)
 	to := m.hubAddress()
-	if m.small() || len(to) == 0 && m.quarantine.Tells() && !m.holds() {
+	if m.small() || len(to) == 0 && m.quarantine.HasPendingReports() && !m.holds() {
 		// While there is no hub, news of requests that end endpoints goes straight to all.
 		to = m.addresses()
 	}
@@ -114,7 +114,7 @@
 
 // room is how many bytes of words of endings a packet has room for.
 func (m *mesh) room(p peer.Packet) int {
-	if !m.quarantine.Tells() {
+	if !m.quarantine.HasPendingReports() {
 		return 0
 	}
 	return roomIn(p)
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -240,8 +240,8 @@
 	}
 }
 
-// Tells tells whether Words may have anything to tell.
-func (k *Keeper) Tells() bool {
+// HasPendingReports tells whether Words may have anything to tell.
+func (k *Keeper) HasPendingReports() bool {
 	if k == nil {
 		return false
 	}
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -103,7 +103,7 @@
 	k.Hear([]Report{{}}, true)
 	k.HearDigest(1)
 	k.SetLimits(limits)
-	require.False(t, k.Tells())
+	require.False(t, k.HasPendingReports())
 	require.Empty(t, k.PendingReports(100))
 	require.Zero(t, k.Digest())
 	require.Zero(t, k.Stats())
