--- a/daemon/holds.go
+++ b/daemon/holds.go
@@ -76,7 +76,7 @@
 			d.log.Info("held request unreadable", "name", o.Metadata.Name, "error", err.Error())
 			continue
 		}
-		d.keeper.Hear([]quarantine.Report{word}, false)
+		d.keeper.ReceiveReports([]quarantine.Report{word}, false)
 	}
 	return nil
 }
--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -299,7 +299,7 @@
 	}
 	if p.From != m.instance && len(p.Placements) == 0 {
 		// In a large fleet only the hub reaches all.
-		m.quarantine.Hear(p.Endings, m.small() || m.holds())
+		m.quarantine.ReceiveReports(p.Endings, m.small() || m.holds())
 		m.quarantine.HearDigest(p.EndingsDigest)
 	}
 	m.hearRevision(p.Revision)
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -216,8 +216,8 @@
 	return k.ledger.HearDigest(k.now(), digest)
 }
 
-// Hear takes the words of another instance. Those that are news are told on if so asked.
-func (k *Keeper) Hear(words []Report, tellOn bool) {
+// ReceiveReports takes the words of another instance. Those that are news are told on if so asked.
+func (k *Keeper) ReceiveReports(words []Report, tellOn bool) {
 	if k == nil || len(words) == 0 {
 		return
 	}
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -51,12 +51,12 @@
 	for i := range int64(3) {
 		there.Ended(f, "account", "e", i)
 	}
-	here.Hear(there.PendingReports(1000), false)
+	here.ReceiveReports(there.PendingReports(1000), false)
 	require.Equal(t, []int{1, 1, 0, 0}, []int{first, second, answered, other})
 	require.NotNil(t, a.Held())
 	require.NotNil(t, b.Held())
 	require.Nil(t, c.Held())
-	here.Hear(there.PendingReports(1000), false)
+	here.ReceiveReports(there.PendingReports(1000), false)
 	require.Equal(t, 1, first, "once")
 	a.End()
 	b.End()
@@ -100,7 +100,7 @@
 	(&Flight{}).End()
 	k.Ended(request(1), "", "e", 1)
 	k.Served(request(1))
-	k.Hear([]Report{{}}, true)
+	k.ReceiveReports([]Report{{}}, true)
 	k.HearDigest(1)
 	k.SetLimits(limits)
 	require.False(t, k.HasPendingReports())
