--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -300,7 +300,7 @@
 	if p.From != m.instance && len(p.Placements) == 0 {
 		// In a large fleet only the hub reaches all.
 		m.quarantine.ReceiveReports(p.Endings, m.small() || m.holds())
-		m.quarantine.HearDigest(p.EndingsDigest)
+		m.quarantine.ReceiveDigest(p.EndingsDigest)
 	}
 	m.hearRevision(p.Revision)
 	if len(p.Withdrawn) > 0 && p.From != m.instance {
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -105,7 +105,7 @@
 // to: an instance sends to others than those that send to it.
 func (d *peersDuty) answering(e peer.Event) peer.Event {
 	r, ok := e.(peer.Received)
-	if !ok || !d.quarantine.HearDigest(r.Hint.EndingsDigest) || d.now().Sub(d.repliedAt) < replyEvery {
+	if !ok || !d.quarantine.ReceiveDigest(r.Hint.EndingsDigest) || d.now().Sub(d.repliedAt) < replyEvery {
 		return e
 	}
 	d.repliedAt, r.Reply = d.now(), true
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -205,9 +205,9 @@
 	return k.ledger.Digest(k.now())
 }
 
-// HearDigest takes the digest of another instance: if it is not that of this one, all that
+// ReceiveDigest takes the digest of another instance: if it is not that of this one, all that
 // is known is told again. It tells whether it is another one.
-func (k *Keeper) HearDigest(digest uint64) bool {
+func (k *Keeper) ReceiveDigest(digest uint64) bool {
 	if k == nil {
 		return false
 	}
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -101,7 +101,7 @@
 	k.Ended(request(1), "", "e", 1)
 	k.Served(request(1))
 	k.ReceiveReports([]Report{{}}, true)
-	k.HearDigest(1)
+	k.ReceiveDigest(1)
 	k.SetLimits(limits)
 	require.False(t, k.HasPendingReports())
 	require.Empty(t, k.PendingReports(100))
