--- a/daemon/endings_test.go
+++ b/daemon/endings_test.go
@@ -83,7 +83,7 @@
 		for r := range requests {
 			for e := range 3 {
 				d := f.peers[f.names[e%n]]
-				d.quarantine.Ended(quarantine.Fingerprint{byte(r)}, "account", "e", int64(100*r+e))
+				d.quarantine.RecordTermination(quarantine.Fingerprint{byte(r)}, "account", "e", int64(100*r+e))
 			}
 		}
 		for range 3 * time.Second / peerTick {
@@ -106,7 +106,7 @@
 	now := time.Unix(1_000, 0)
 	keeper := quarantine.NewKeeper(quarantine.Config{Limits: quarantine.DefaultLimits, Now: func() time.Time { return now }, Log: logr.Discard()})
 	for r := range 200 {
-		keeper.Ended(quarantine.Fingerprint{byte(r)}, "account", "e", int64(r))
+		keeper.RecordTermination(quarantine.Fingerprint{byte(r)}, "account", "e", int64(r))
 	}
 	m := &mesh{quarantine: keeper}
 	told := map[string]bool{}
--- a/daemon/holds_test.go
+++ b/daemon/holds_test.go
@@ -99,7 +99,7 @@
 		isolated.Store(true)
 		f := quarantine.Fingerprint{1, 2, 3}
 		for i := range int64(3) {
-			here.keeper.Ended(f, "account", "e", i)
+			here.keeper.RecordTermination(f, "account", "e", i)
 		}
 		go here.write(ctx)
 		synctest.Wait()
--- a/pipeline/breaks.go
+++ b/pipeline/breaks.go
@@ -71,7 +71,7 @@
 	}
 	b.log.Info("endpoint ended", "endpoint", e.Name, "address", e.Address, "requests", len(requests))
 	for _, r := range requests {
-		b.keeper.Ended(r.fingerprint, r.account, e.Name, e.StartedAtMS)
+		b.keeper.RecordTermination(r.fingerprint, r.account, e.Name, e.StartedAtMS)
 	}
 }
 
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -11,7 +11,7 @@
 func BenchmarkLookup(b *testing.B) {
 	k := NewKeeper(Config{Limits: limits, Now: time.Now, Log: logr.Discard()})
 	for i := range 100 {
-		k.Ended(request(i), "", "e", int64(i))
+		k.RecordTermination(request(i), "", "e", int64(i))
 	}
 	body := make([]byte, 4<<10)
 	b.Run("identity", func(b *testing.B) {
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// Ended says that an endpoint has ended under a request.
-func (k *Keeper) Ended(f Fingerprint, account, endpoint string, startedAtMS int64) {
+// RecordTermination says that an endpoint has ended under a request.
+func (k *Keeper) RecordTermination(f Fingerprint, account, endpoint string, startedAtMS int64) {
 	if k == nil {
 		return
 	}
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -26,7 +26,7 @@
 	k := keeperAt(&now)
 	f := request(1)
 	for i := range int64(3) {
-		k.Ended(f, "account", "e", i)
+		k.RecordTermination(f, "account", "e", i)
 	}
 	var held *HeldError
 	require.ErrorAs(t, k.Begin(&Flight{}, f, nil), &held)
@@ -49,7 +49,7 @@
 	begin(t, here, f, &answered).End()
 	c := begin(t, here, request(2), &other)
 	for i := range int64(3) {
-		there.Ended(f, "account", "e", i)
+		there.RecordTermination(f, "account", "e", i)
 	}
 	here.ReceiveReports(there.PendingReports(1000), false)
 	require.Equal(t, []int{1, 1, 0, 0}, []int{first, second, answered, other})
@@ -72,8 +72,8 @@
 	var n int
 	begin(t, k, f, &n)
 	begin(t, k, f, &n).End()
-	k.Ended(f, "account", "e", 1)
-	k.Ended(f, "account", "e", 2)
+	k.RecordTermination(f, "account", "e", 1)
+	k.RecordTermination(f, "account", "e", 2)
 	var held *HeldError
 	require.ErrorAs(t, k.Begin(&Flight{}, f, nil), &held)
 	require.Equal(t, behindAnother, held.For)
@@ -85,7 +85,7 @@
 	k := keeperAt(&now)
 	f := request(1)
 	for i := range int64(3) {
-		k.Ended(f, "account", "e", i)
+		k.RecordTermination(f, "account", "e", i)
 	}
 	require.Error(t, k.Begin(&Flight{}, f, nil))
 	k.SetLimits(Limits{Hold: limits.Hold})
@@ -98,7 +98,7 @@
 	var k *Keeper
 	require.NoError(t, k.Begin(&Flight{}, request(1), nil))
 	(&Flight{}).End()
-	k.Ended(request(1), "", "e", 1)
+	k.RecordTermination(request(1), "", "e", 1)
 	k.Served(request(1))
 	k.ReceiveReports([]Report{{}}, true)
 	k.ReceiveDigest(1)
