--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -275,7 +275,7 @@
 	if err == nil {
 		// A failure that an endpoint tells may come before it runs the request.
 		if x.attempt().response.StatusCode < http.StatusMultipleChoices {
-			p.cfg.Quarantine.Served(x.Fingerprint)
+			p.cfg.Quarantine.RecordSuccess(x.Fingerprint)
 		}
 		return
 	}
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -183,8 +183,8 @@
 	return true
 }
 
-// Served says that a request was answered well and whole.
-func (k *Keeper) Served(f Fingerprint) {
+// RecordSuccess says that a request was answered well and whole.
+func (k *Keeper) RecordSuccess(f Fingerprint) {
 	if k == nil {
 		return
 	}
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -99,7 +99,7 @@
 	require.NoError(t, k.Begin(&Flight{}, request(1), nil))
 	(&Flight{}).End()
 	k.RecordTermination(request(1), "", "e", 1)
-	k.Served(request(1))
+	k.RecordSuccess(request(1))
 	k.ReceiveReports([]Report{{}}, true)
 	k.ReceiveDigest(1)
 	k.SetLimits(limits)
