--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -77,7 +77,7 @@
 	charged float64
 
 	// flight is the request's entry among those in progress.
-	flight quarantine.Flight
+	flight quarantine.InFlight
 	// overdue is set once its deadline has passed while its timer stood still.
 	overdue atomic.Bool
 	// reached is set once any byte of an answer may have reached the caller.
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -22,7 +22,7 @@
 	})
 	b.Run("identity and lookup", func(b *testing.B) {
 		b.ReportAllocs()
-		flight := &Flight{}
+		flight := &InFlight{}
 		for b.Loop() {
 			if err := k.Begin(flight, FingerprintOf("account", "POST", "/path/of/a/request", body), nil); err != nil {
 				b.Fatal(err)
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -23,7 +23,7 @@
 	mu     sync.Mutex
 	ledger *Ledger
 	// flights are the requests in progress that have had no answer.
-	flights map[Fingerprint]*Flight
+	flights map[Fingerprint]*InFlight
 	// rejected counts the requests that were not let in, cancelled those that waited or
 	// had been sent when they came to be held.
 	rejected, cancelled int64
@@ -50,7 +50,7 @@
 	if c.Keep == nil {
 		c.Keep = func(Report) {}
 	}
-	return &Keeper{now: c.Now, log: c.Log, news: c.News, keep: c.Keep, ledger: NewLedger(c.Limits), flights: map[Fingerprint]*Flight{}}
+	return &Keeper{now: c.Now, log: c.Log, news: c.News, keep: c.Keep, ledger: NewLedger(c.Limits), flights: map[Fingerprint]*InFlight{}}
 }
 
 // How often news is told. Datagrams are lost now and then: what was seen here is told
@@ -77,23 +77,23 @@
 	return fmt.Sprintf("the request is held back for %s, as %d endpoints have ended under it", e.For.Round(time.Millisecond), e.Endings)
 }
 
-// Flight is a request in progress. Its zero value is none.
-type Flight struct {
+// InFlight is a request in progress. Its zero value is none.
+type InFlight struct {
 	keeper      *Keeper
 	fingerprint Fingerprint
 	cancel      context.CancelFunc
 	held        atomic.Pointer[HeldError]
 	// next and previous are the others with its fingerprint.
-	next, previous *Flight
+	next, previous *InFlight
 	listed         bool
 }
 
 // Held returns why the request was cancelled; nil if it was not held back.
-func (f *Flight) Held() *HeldError { return f.held.Load() }
+func (f *InFlight) Held() *HeldError { return f.held.Load() }
 
 // Begin lets a request in, unless it is held back: then it returns a *HeldError. If it
 // comes to be held before End, Held tells why and cancel is called.
-func (k *Keeper) Begin(flight *Flight, f Fingerprint, cancel context.CancelFunc) error {
+func (k *Keeper) Begin(flight *InFlight, f Fingerprint, cancel context.CancelFunc) error {
 	if k == nil {
 		return nil
 	}
@@ -119,7 +119,7 @@
 
 // End says that the request has had its answer, or the beginning of one: it is not
 // cancelled any more. It may be called again.
-func (f *Flight) End() {
+func (f *InFlight) End() {
 	if f.keeper == nil {
 		return
 	}
@@ -128,7 +128,7 @@
 	f.unlist()
 }
 
-func (f *Flight) unlist() {
+func (f *InFlight) unlist() {
 	if !f.listed {
 		return
 	}
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -14,9 +14,9 @@
 }
 
 // begin lets a request in and counts how often it is cancelled.
-func begin(t *testing.T, k *Keeper, f Fingerprint, cancelled *int) *Flight {
+func begin(t *testing.T, k *Keeper, f Fingerprint, cancelled *int) *InFlight {
 	t.Helper()
-	flight := &Flight{}
+	flight := &InFlight{}
 	require.NoError(t, k.Begin(flight, f, func() { *cancelled++ }))
 	return flight
 }
@@ -29,12 +29,12 @@
 		k.RecordTermination(f, "account", "e", i)
 	}
 	var held *HeldError
-	require.ErrorAs(t, k.Begin(&Flight{}, f, nil), &held)
+	require.ErrorAs(t, k.Begin(&InFlight{}, f, nil), &held)
 	require.Equal(t, 3, held.Endings)
 	require.GreaterOrEqual(t, held.For, limits.Hold)
-	require.NoError(t, k.Begin(&Flight{}, request(2), nil))
+	require.NoError(t, k.Begin(&InFlight{}, request(2), nil))
 	now = held.For.Seconds() + 0.001
-	require.NoError(t, k.Begin(&Flight{}, f, nil), "what it was told is true")
+	require.NoError(t, k.Begin(&InFlight{}, f, nil), "what it was told is true")
 	require.Equal(t, Stats{Known: 1, Held: 0, Rejected: 1}, k.Stats())
 }
 
@@ -75,7 +75,7 @@
 	k.RecordTermination(f, "account", "e", 1)
 	k.RecordTermination(f, "account", "e", 2)
 	var held *HeldError
-	require.ErrorAs(t, k.Begin(&Flight{}, f, nil), &held)
+	require.ErrorAs(t, k.Begin(&InFlight{}, f, nil), &held)
 	require.Equal(t, behindAnother, held.For)
 	require.Zero(t, n)
 }
@@ -87,17 +87,17 @@
 	for i := range int64(3) {
 		k.RecordTermination(f, "account", "e", i)
 	}
-	require.Error(t, k.Begin(&Flight{}, f, nil))
+	require.Error(t, k.Begin(&InFlight{}, f, nil))
 	k.SetLimits(Limits{Hold: limits.Hold})
-	require.NoError(t, k.Begin(&Flight{}, f, nil))
+	require.NoError(t, k.Begin(&InFlight{}, f, nil))
 	k.SetLimits(limits)
-	require.NoError(t, k.Begin(&Flight{}, f, nil), "nothing is left of what was known")
+	require.NoError(t, k.Begin(&InFlight{}, f, nil), "nothing is left of what was known")
 }
 
 func TestNoKeeperHoldsNothing(t *testing.T) {
 	var k *Keeper
-	require.NoError(t, k.Begin(&Flight{}, request(1), nil))
-	(&Flight{}).End()
+	require.NoError(t, k.Begin(&InFlight{}, request(1), nil))
+	(&InFlight{}).End()
 	k.RecordTermination(request(1), "", "e", 1)
 	k.RecordSuccess(request(1))
 	k.ReceiveReports([]Report{{}}, true)
@@ -114,7 +114,7 @@
 	now := 0.0
 	k := keeperAt(&now)
 	var n int
-	var flights []*Flight
+	var flights []*InFlight
 	for range 5 {
 		flights = append(flights, begin(t, k, request(1), &n))
 	}
