--- a/daemon/node.go
+++ b/daemon/node.go
@@ -160,7 +160,7 @@
 	n.engine = engine.NewClient(engine.Config{Dial: watchfulDialer().DialContext, IdlePerEndpoint: idlePerEndpoint, Dialect: ports.Endpoints})
 	n.control = engine.NewClient(engine.Config{Dial: watchfulDialer().DialContext, Dialect: ports.Endpoints, IdlePerEndpoint: 1})
 	n.quarantine = quarantine.NewKeeper(quarantine.Config{
-		Limits: cfg.Quarantine.limits(), Now: n.now, Log: log, News: func() { n.mesh.hurry() },
+		Limits: cfg.Quarantine.limits(), Now: n.now, Log: log, Wake: func() { n.mesh.hurry() },
 		Keep: func(w quarantine.Report) { _ = n.held.Put(n.work, w) },
 	})
 	n.vars.Set("quarantine", expvar.Func(func() any { return n.quarantine.Stats() }))
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -34,9 +34,9 @@
 	Limits Limits
 	Now    func() time.Time
 	Log    logr.Logger
-	// News is called when there is something to tell the other instances at once; nil
+	// Wake is called when there is something to tell the other instances at once; nil
 	// calls nothing.
-	News func()
+	Wake func()
 	// Keep is called with what is known of a request that has come to be held by what
 	// this instance has seen; nil calls nothing. It must not block.
 	Keep func(Report)
@@ -44,13 +44,13 @@
 
 // NewKeeper returns a keeper that knows nothing.
 func NewKeeper(c Config) *Keeper {
-	if c.News == nil {
-		c.News = func() {}
+	if c.Wake == nil {
+		c.Wake = func() {}
 	}
 	if c.Keep == nil {
 		c.Keep = func(Report) {}
 	}
-	return &Keeper{now: c.Now, log: c.Log, news: c.News, keep: c.Keep, ledger: NewLedger(c.Limits), flights: map[Fingerprint]*InFlight{}}
+	return &Keeper{now: c.Now, log: c.Log, news: c.Wake, keep: c.Keep, ledger: NewLedger(c.Limits), flights: map[Fingerprint]*InFlight{}}
 }
 
 // How often news is told. Datagrams are lost now and then: what was seen here is told
