--- a/daemon/holds_test.go
+++ b/daemon/holds_test.go
@@ -79,7 +79,7 @@
 		memory: quarantine.DefaultLimits.Memory(), log: logr.Discard(), timeOfDay: time.Now,
 	}
 	d.keeper = quarantine.NewKeeper(quarantine.Config{
-		Limits: quarantine.DefaultLimits, Now: time.Now, Log: logr.Discard(), Keep: func(w quarantine.Report) { _ = d.words.Put(context.Background(), w) },
+		Limits: quarantine.DefaultLimits, Now: time.Now, Log: logr.Discard(), Persist: func(w quarantine.Report) { _ = d.words.Put(context.Background(), w) },
 	})
 	return d
 }
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -161,7 +161,7 @@
 	n.control = engine.NewClient(engine.Config{Dial: watchfulDialer().DialContext, Dialect: ports.Endpoints, IdlePerEndpoint: 1})
 	n.quarantine = quarantine.NewKeeper(quarantine.Config{
 		Limits: cfg.Quarantine.limits(), Now: n.now, Log: log, Wake: func() { n.mesh.hurry() },
-		Keep: func(w quarantine.Report) { _ = n.held.Put(n.work, w) },
+		Persist: func(w quarantine.Report) { _ = n.held.Put(n.work, w) },
 	})
 	n.vars.Set("quarantine", expvar.Func(func() any { return n.quarantine.Stats() }))
 	n.storeCalls = newInterruptible(&http.Transport{
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -37,9 +37,9 @@
 	// Wake is called when there is something to tell the other instances at once; nil
 	// calls nothing.
 	Wake func()
-	// Keep is called with what is known of a request that has come to be held by what
+	// Persist is called with what is known of a request that has come to be held by what
 	// this instance has seen; nil calls nothing. It must not block.
-	Keep func(Report)
+	Persist func(Report)
 }
 
 // NewKeeper returns a keeper that knows nothing.
@@ -47,10 +47,10 @@
 	if c.Wake == nil {
 		c.Wake = func() {}
 	}
-	if c.Keep == nil {
-		c.Keep = func(Report) {}
+	if c.Persist == nil {
+		c.Persist = func(Report) {}
 	}
-	return &Keeper{now: c.Now, log: c.Log, news: c.Wake, keep: c.Keep, ledger: NewLedger(c.Limits), flights: map[Fingerprint]*InFlight{}}
+	return &Keeper{now: c.Now, log: c.Log, news: c.Wake, keep: c.Persist, ledger: NewLedger(c.Limits), flights: map[Fingerprint]*InFlight{}}
 }
 
 // How often news is told. Datagrams are lost now and then: what was seen here is told
