--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -115,7 +115,7 @@
 			continue
 		}
 		f.upAtMS[e] = f.nowMS + backMS
-		mark := EndpointMark(fmt.Sprint(e), int64(f.starts[e]))
+		mark := IncarnationHash(fmt.Sprint(e), int64(f.starts[e]))
 		f.starts[e]++
 		for _, r := range batch {
 			if r/1000 < f.guilty {
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -153,7 +153,7 @@
 	}
 	k.mu.Lock()
 	before := k.ledger.Held(k.now(), f)
-	n := k.ledger.Ended(k.now(), f, EndpointMark(endpoint, startedAtMS), tellsOfOwn)
+	n := k.ledger.Ended(k.now(), f, IncarnationHash(endpoint, startedAtMS), tellsOfOwn)
 	k.log.Info("request suspected", "fingerprint", f.String(), "caller", account, "endpoint", endpoint, "endings", n)
 	if k.holdFrom(f, before, "own") {
 		k.keep(k.ledger.Word(k.now(), f))
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -86,8 +86,8 @@
 // NewLedger returns a ledger that knows nothing.
 func NewLedger(l Limits) *Ledger { return &Ledger{limits: l, records: map[Fingerprint]*record{}} }
 
-// EndpointMark stands for one start of an endpoint.
-func EndpointMark(name string, startedAtMS int64) uint64 {
+// IncarnationHash stands for one start of an endpoint.
+func IncarnationHash(name string, startedAtMS int64) uint64 {
 	return xxhash.Sum64String(name + "@" + strconv.FormatInt(startedAtMS, 10))
 }
 
