--- a/daemon/holds_test.go
+++ b/daemon/holds_test.go
@@ -76,7 +76,7 @@
 func newHoldsDuty(s store.Client, isolated func() bool) *holdsDuty {
 	d := &holdsDuty{
 		client: s, words: ring.New[quarantine.Report](holdsWaiting, ring.DropOldest), isolated: isolated,
-		memory: quarantine.DefaultLimits.Memory(), log: logr.Discard(), timeOfDay: time.Now,
+		memory: quarantine.DefaultLimits.Retention(), log: logr.Discard(), timeOfDay: time.Now,
 	}
 	d.keeper = quarantine.NewKeeper(quarantine.Config{
 		Limits: quarantine.DefaultLimits, Now: time.Now, Log: logr.Discard(), Persist: func(w quarantine.Report) { _ = d.words.Put(context.Background(), w) },
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -443,7 +443,7 @@
 	}
 	n.vars.Set("entries_refused", &entries.entriesRefused)
 	holds := &holdsDuty{
-		client: objects, keeper: n.quarantine, words: n.held, isolated: n.mesh.isolated, memory: n.cfg.Quarantine.limits().Memory(),
+		client: objects, keeper: n.quarantine, words: n.held, isolated: n.mesh.isolated, memory: n.cfg.Quarantine.limits().Retention(),
 		log: n.log, timeOfDay: time.Now,
 	}
 	renew := func(ctx context.Context) { n.renew(ctx, entries) }
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -105,7 +105,7 @@
 // memory is for how long an ending counts: as long as six of the longest holds, so that a
 // request that ends an endpoint each time that it is tried again is still held for about
 // the longest time.
-func (l *Ledger) memory() time.Duration { return l.limits.Memory() }
+func (l *Ledger) memory() time.Duration { return l.limits.Retention() }
 
 // Ended records that an endpoint has ended under a request, to be told so many times.
 // It tells how many have by now.
@@ -281,8 +281,8 @@
 	})
 }
 
-// Memory is for how long an ending counts.
-func (l Limits) Memory() time.Duration { return l.Hold << memoryDoublings }
+// Retention is for how long an ending counts.
+func (l Limits) Retention() time.Duration { return l.Hold << memoryDoublings }
 
 // Suspect tells how many endpoints have ended under a request.
 func (l *Ledger) Suspect(now time.Time, f Fingerprint) int {
