--- a/pipeline/errors.go
+++ b/pipeline/errors.go
@@ -221,7 +221,7 @@
 	var held *quarantine.HeldError
 	if errors.As(e.Err, &held) {
 		// Before that it is rejected again, wherever it comes.
-		a.RetryAfter = held.For
+		a.RetryAfter = held.Remaining
 	}
 	return a
 }
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -68,13 +68,13 @@
 type HeldError struct {
 	Fingerprint Fingerprint
 	// Endings is how many endpoints have ended under it, For how long it is held still.
-	Endings int
-	For     time.Duration
+	Endings   int
+	Remaining time.Duration
 }
 
 // Error gives all of it.
 func (e *HeldError) Error() string {
-	return fmt.Sprintf("the request is held back for %s, as %d endpoints have ended under it", e.For.Round(time.Millisecond), e.Endings)
+	return fmt.Sprintf("the request is held back for %s, as %d endpoints have ended under it", e.Remaining.Round(time.Millisecond), e.Endings)
 }
 
 // InFlight is a request in progress. Its zero value is none.
@@ -106,7 +106,7 @@
 	}
 	if left > 0 {
 		k.rejected++
-		return &HeldError{Fingerprint: f, Endings: k.ledger.Suspect(now, f), For: left}
+		return &HeldError{Fingerprint: f, Endings: k.ledger.Suspect(now, f), Remaining: left}
 	}
 	flight.keeper, flight.fingerprint, flight.cancel, flight.listed = k, f, cancel, true
 	flight.next = k.flights[f]
@@ -170,7 +170,7 @@
 	if left == 0 || before > 0 {
 		return false
 	}
-	held := &HeldError{Fingerprint: f, Endings: k.ledger.Suspect(now, f), For: left}
+	held := &HeldError{Fingerprint: f, Endings: k.ledger.Suspect(now, f), Remaining: left}
 	cancelled := 0
 	for flight := k.flights[f]; flight != nil; flight = k.flights[f] {
 		flight.unlist()
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -31,9 +31,9 @@
 	var held *HeldError
 	require.ErrorAs(t, k.Begin(&InFlight{}, f, nil), &held)
 	require.Equal(t, 3, held.Endings)
-	require.GreaterOrEqual(t, held.For, limits.Hold)
+	require.GreaterOrEqual(t, held.Remaining, limits.Hold)
 	require.NoError(t, k.Begin(&InFlight{}, request(2), nil))
-	now = held.For.Seconds() + 0.001
+	now = held.Remaining.Seconds() + 0.001
 	require.NoError(t, k.Begin(&InFlight{}, f, nil), "what it was told is true")
 	require.Equal(t, Stats{Known: 1, Held: 0, Rejected: 1}, k.Stats())
 }
@@ -76,7 +76,7 @@
 	k.RecordTermination(f, "account", "e", 2)
 	var held *HeldError
 	require.ErrorAs(t, k.Begin(&InFlight{}, f, nil), &held)
-	require.Equal(t, behindAnother, held.For)
+	require.Equal(t, behindAnother, held.Remaining)
 	require.Zero(t, n)
 }
 
