--- a/daemon/quarantineconfig.go
+++ b/daemon/quarantineconfig.go
@@ -24,11 +24,11 @@
 )
 
 func defaultQuarantine() QuarantineConfig {
-	return QuarantineConfig{Endings: quarantine.DefaultLimits.Endings, HoldS: quarantine.DefaultLimits.Hold.Seconds()}
+	return QuarantineConfig{Endings: quarantine.DefaultLimits.Terminations, HoldS: quarantine.DefaultLimits.Hold.Seconds()}
 }
 
 func (c QuarantineConfig) limits() quarantine.Limits {
-	return quarantine.Limits{Endings: c.Endings, Hold: time.Duration(c.HoldS * float64(time.Second))}
+	return quarantine.Limits{Terminations: c.Endings, Hold: time.Duration(c.HoldS * float64(time.Second))}
 }
 
 func (c *configChecker) quarantine(q QuarantineConfig) {
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -281,7 +281,7 @@
 		return
 	}
 	k.ledger.SetLimits(l)
-	k.log.Info("quarantine limits", "endings", l.Endings, "hold_ms", l.Hold.Milliseconds(), "known", k.ledger.Len())
+	k.log.Info("quarantine limits", "endings", l.Terminations, "hold_ms", l.Hold.Milliseconds(), "known", k.ledger.Len())
 }
 
 // Stats counts what a keeper knows and has done.
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -14,9 +14,9 @@
 
 // Limits say when a request is held back, and for how long.
 type Limits struct {
-	// Endings is how many endpoints must have ended under a request for it to be held;
+	// Terminations is how many endpoints must have ended under a request for it to be held;
 	// 0 holds none. With fewer, requests that merely ran beside another are held.
-	Endings int
+	Terminations int
 	// Hold is for how long it is held at first, at least; each further ending doubles
 	// it, maxDoublings times at most.
 	Hold time.Duration
@@ -26,7 +26,7 @@
 // beside the seconds in which an endpoint is back, so that a request that ends whatever
 // runs it costs one endpoint in that time and fewer later, and short for somebody whose
 // request was held wrongly.
-var DefaultLimits = Limits{Endings: 3, Hold: 2 * time.Minute}
+var DefaultLimits = Limits{Terminations: 3, Hold: 2 * time.Minute}
 
 const (
 	// maxDoublings bounds the growth of a hold, and maxEndings what is kept of a request.
@@ -96,7 +96,7 @@
 func (l *Ledger) SetLimits(limits Limits) {
 	l.limits = limits
 	l.forgetDigest()
-	if limits.Endings == 0 {
+	if limits.Terminations == 0 {
 		clear(l.records)
 		l.news, l.all = nil, nil
 	}
@@ -110,7 +110,7 @@
 // Ended records that an endpoint has ended under a request, to be told so many times.
 // It tells how many have by now.
 func (l *Ledger) Ended(now time.Time, f Fingerprint, endpoint uint64, tells int) int {
-	if l.limits.Endings == 0 {
+	if l.limits.Terminations == 0 {
 		return 0
 	}
 	r := l.record(now, f)
@@ -135,7 +135,7 @@
 // Hear takes the word of another instance, to be told so many times if it is news. It
 // reports false for a word that no instance says.
 func (l *Ledger) Hear(now time.Time, w Report, tells int) bool {
-	if l.limits.Endings == 0 {
+	if l.limits.Terminations == 0 {
 		return true
 	}
 	if !w.sound(l.memory()) {
@@ -263,7 +263,7 @@
 
 // heldRank is 1 for a request that enough endpoints have ended under, 0 for others.
 func (l *Ledger) heldRank(f Fingerprint) int {
-	if len(l.records[f].endings) >= l.limits.Endings {
+	if len(l.records[f].endings) >= l.limits.Terminations {
 		return 1
 	}
 	return 0
@@ -296,7 +296,7 @@
 // Held tells for how long a request is held back still; 0 if it is not.
 func (l *Ledger) Held(now time.Time, f Fingerprint) time.Duration {
 	r := l.records[f]
-	if r == nil || l.limits.Endings == 0 || len(r.endings) < l.limits.Endings {
+	if r == nil || l.limits.Terminations == 0 || len(r.endings) < l.limits.Terminations {
 		return 0
 	}
 	return max(r.last().Add(l.hold(f, len(r.endings))).Sub(now), 0)
@@ -306,7 +306,7 @@
 // fingerprint: one more ending would hold it, or hold it again. Copies that are sent at
 // once would end an endpoint each.
 func (l *Ledger) OneAtATime(now time.Time, f Fingerprint) bool {
-	return l.limits.Endings > 0 && l.Suspect(now, f) >= max(l.limits.Endings-1, 1)
+	return l.limits.Terminations > 0 && l.Suspect(now, f) >= max(l.limits.Terminations-1, 1)
 }
 
 // hold is for how long a request is held behind so many endings. It is up to half as long
@@ -315,7 +315,7 @@
 func (l *Ledger) hold(f Fingerprint, endings int) time.Duration {
 	part := float64(binary.BigEndian.Uint32(f[:4])) / math.MaxUint32
 	first := l.limits.Hold + time.Duration(float64(l.limits.Hold)/2*part)
-	return first << min(endings-l.limits.Endings, maxDoublings)
+	return first << min(endings-l.limits.Terminations, maxDoublings)
 }
 
 // HeldNow returns how many requests are held back.
@@ -380,7 +380,7 @@
 // HearDigest takes the digest of another instance. It tells whether that one knows other
 // endings.
 func (l *Ledger) HearDigest(now time.Time, digest uint64) bool {
-	if l.limits.Endings == 0 || digest == l.Digest(now) {
+	if l.limits.Terminations == 0 || digest == l.Digest(now) {
 		return false
 	}
 	l.differedAt = now
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var limits = Limits{Endings: 3, Hold: 2 * time.Minute}
+var limits = Limits{Terminations: 3, Hold: 2 * time.Minute}
 
 func request(i int) Fingerprint { return FingerprintOf("account", "POST", fmt.Sprintf("/%d", i), nil) }
 
@@ -226,7 +226,7 @@
 				l.Hear(now, Report{Fingerprint: f[:], Endpoints: []uint64{endpoint}, AgesMS: []int64{age}}, 1)
 			case 3:
 				hold := time.Duration(rapid.IntRange(1, 3).Draw(t, "hold")) * time.Minute
-				l.SetLimits(Limits{Endings: rapid.IntRange(0, 3).Draw(t, "endings"), Hold: hold})
+				l.SetLimits(Limits{Terminations: rapid.IntRange(0, 3).Draw(t, "endings"), Hold: hold})
 			}
 			walked, _ := l.walkDigest(now)
 			require.Equal(t, walked, l.Digest(now))
