--- a/daemon/evacuations.go
+++ b/daemon/evacuations.go
@@ -77,7 +77,7 @@
 		return
 	}
 	version := evacuation.Version{Era: p.EvacuatedEra, Revision: p.EvacuatedRevision}
-	s.step(evacuation.Told{Set: evacuation.Set{Version: version, Domains: p.Evacuated}}, p.From)
+	s.step(evacuation.Announced{Set: evacuation.Set{Version: version, Domains: p.Evacuated}}, p.From)
 }
 
 // evacuationsDuty follows the objects of evacuated failure domains in the store, unless the
--- a/evacuation/keeper.go
+++ b/evacuation/keeper.go
@@ -34,12 +34,12 @@
 	Domains map[string]bool
 }
 
-// Told is the word of another instance.
-type Told struct{ Set Set }
+// Announced is the word of another instance.
+type Announced struct{ Set Set }
 
-func (Listed) isEvent()  {}
-func (Changed) isEvent() {}
-func (Told) isEvent()    {}
+func (Listed) isEvent()    {}
+func (Changed) isEvent()   {}
+func (Announced) isEvent() {}
 
 // Keeper keeps the set that is in force. Its zero value knows of none.
 //
@@ -59,7 +59,7 @@
 	case Changed:
 		k.watched = k.watched.apply(e)
 		return k.adopt(k.watched)
-	case Told:
+	case Announced:
 		return k.adopt(e.Set)
 	default:
 		return false
--- a/evacuation/keeper_test.go
+++ b/evacuation/keeper_test.go
@@ -37,7 +37,7 @@
 	case "listed":
 		return Listed{Set{v, words}}
 	case "told":
-		return Told{Set{v, words}}
+		return Announced{Set{v, words}}
 	case "changed":
 		c := Changed{Version: v, Domains: map[string]bool{}}
 		for _, w := range words {
@@ -67,7 +67,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			at := rapid.IntRange(0, len(history)-1).Draw(t, "at")
 			if rapid.Bool().Draw(t, "told") {
-				k.Step(Told{history[at]})
+				k.Step(Announced{history[at]})
 				newest = max(newest, at)
 			} else if at = max(at, watched); watched < 0 {
 				k.Step(Listed{history[at]})
