--- a/daemon/evacuations.go
+++ b/daemon/evacuations.go
@@ -23,7 +23,7 @@
 	log     logr.Logger
 
 	mu     sync.Mutex
-	keeper evacuation.Keeper
+	keeper evacuation.Tracker
 }
 
 // step passes an event on.
--- a/evacuation/keeper.go
+++ b/evacuation/keeper.go
@@ -41,17 +41,17 @@
 func (Changed) isEvent()   {}
 func (Announced) isEvent() {}
 
-// Keeper keeps the set that is in force. Its zero value knows of none.
+// Tracker keeps the set that is in force. Its zero value knows of none.
 //
 // Invariants: the version in force never goes back; changes apply to what the own watch has
 // brought, never to the word of another.
-type Keeper struct {
+type Tracker struct {
 	watched Set
 	inForce Set
 }
 
 // Step applies an event and tells whether other domains are evacuated than before.
-func (k *Keeper) Step(e Event) (changed bool) {
+func (k *Tracker) Step(e Event) (changed bool) {
 	switch e := e.(type) {
 	case Listed:
 		k.watched = e.Set
@@ -67,10 +67,10 @@
 }
 
 // InForce is the set that is in force, which must not be changed.
-func (k *Keeper) InForce() Set { return k.inForce }
+func (k *Tracker) InForce() Set { return k.inForce }
 
 // adopt puts a set in force unless a newer one is.
-func (k *Keeper) adopt(s Set) (changed bool) {
+func (k *Tracker) adopt(s Set) (changed bool) {
 	if s.Version.Compare(k.inForce.Version) < 0 {
 		return false
 	}
--- a/evacuation/keeper_test.go
+++ b/evacuation/keeper_test.go
@@ -16,7 +16,7 @@
 // TestGolden runs the sessions in testdata: listed, changed and told with at=ERA/REVISION.
 func TestGolden(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var k Keeper
+		var k Tracker
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			var at string
 			d.ScanArgs(t, "at", &at)
@@ -62,7 +62,7 @@
 			next.Version = Version{Revision: int64(i + 2)}
 			history = append(history, next)
 		}
-		var k Keeper
+		var k Tracker
 		watched, newest := -1, -1
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			at := rapid.IntRange(0, len(history)-1).Draw(t, "at")
