--- a/quarantine/bytes_test.go
+++ b/quarantine/bytes_test.go
@@ -29,7 +29,7 @@
 
 func bytesOfAnEnding(instances int) (news, calm int) {
 	hub := instances > smallFleetMost
-	ledgers := make([]*Ledger, instances)
+	ledgers := make([]*Tracker, instances)
 	for i := range ledgers {
 		ledgers[i] = NewLedger(limits)
 	}
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -44,7 +44,7 @@
 type fleet struct {
 	fleetConfig
 	random   *rand.Rand
-	ledgers  []*Ledger
+	ledgers  []*Tracker
 	upAtMS   []int
 	starts   []int
 	running  [][]int
@@ -259,7 +259,7 @@
 func TestWhoComesLateLearnsAll(t *testing.T) {
 	for _, instances := range []int{6, 18, 63, 295} {
 		hub := instances > 16
-		ledgers := make([]*Ledger, instances)
+		ledgers := make([]*Tracker, instances)
 		for i := range ledgers {
 			ledgers[i] = NewLedger(limits)
 		}
--- a/quarantine/golden_test.go
+++ b/quarantine/golden_test.go
@@ -19,7 +19,7 @@
 //	show on=LEDGER at=S request=N
 func TestLedgerGolden(t *testing.T) {
 	datadriven.Walk(t, "testdata/ledger", func(t *testing.T, path string) {
-		ledgers := map[string]*Ledger{}
+		ledgers := map[string]*Tracker{}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			s := session{t: t, d: d, ledgers: ledgers}
 			return s.run()
@@ -31,7 +31,7 @@
 type session struct {
 	t       *testing.T
 	d       *datadriven.TestData
-	ledgers map[string]*Ledger
+	ledgers map[string]*Tracker
 }
 
 func (s session) text(key string) (value string) {
@@ -44,7 +44,7 @@
 	return value
 }
 
-func (s session) ledger(key string) *Ledger {
+func (s session) ledger(key string) *Tracker {
 	name := s.text(key)
 	if s.ledgers[name] == nil {
 		s.ledgers[name] = NewLedger(limits)
@@ -71,7 +71,7 @@
 }
 
 // tell brings what one ledger tells to another, late by so many seconds.
-func (s session) tell(l *Ledger, now time.Time) string {
+func (s session) tell(l *Tracker, now time.Time) string {
 	to := s.ledger("to")
 	l.HearDigest(now, to.Digest(now))
 	arrives := now
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -21,7 +21,7 @@
 	keep func(Report)
 
 	mu     sync.Mutex
-	ledger *Ledger
+	ledger *Tracker
 	// flights are the requests in progress that have had no answer.
 	flights map[Fingerprint]*InFlight
 	// rejected counts the requests that were not let in, cancelled those that waited or
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -62,11 +62,11 @@
 	toldAt time.Time
 }
 
-// Ledger knows which endpoints have ended under which requests.
+// Tracker knows which endpoints have ended under which requests.
 //
 // Invariants: an ending counts once, however often and in whichever order it is told;
 // what ended before the request was served does not count.
-type Ledger struct {
+type Tracker struct {
 	limits  Limits
 	records map[Fingerprint]*record
 	// news is what is to be told, oldest first.
@@ -84,7 +84,7 @@
 }
 
 // NewLedger returns a ledger that knows nothing.
-func NewLedger(l Limits) *Ledger { return &Ledger{limits: l, records: map[Fingerprint]*record{}} }
+func NewLedger(l Limits) *Tracker { return &Tracker{limits: l, records: map[Fingerprint]*record{}} }
 
 // IncarnationHash stands for one start of an endpoint.
 func IncarnationHash(name string, startedAtMS int64) uint64 {
@@ -93,7 +93,7 @@
 
 // SetLimits replaces the limits. With none held, what is known is forgotten, which
 // releases all requests.
-func (l *Ledger) SetLimits(limits Limits) {
+func (l *Tracker) SetLimits(limits Limits) {
 	l.limits = limits
 	l.forgetDigest()
 	if limits.Terminations == 0 {
@@ -105,11 +105,11 @@
 // memory is for how long an ending counts: as long as six of the longest holds, so that a
 // request that ends an endpoint each time that it is tried again is still held for about
 // the longest time.
-func (l *Ledger) memory() time.Duration { return l.limits.Retention() }
+func (l *Tracker) memory() time.Duration { return l.limits.Retention() }
 
 // Ended records that an endpoint has ended under a request, to be told so many times.
 // It tells how many have by now.
-func (l *Ledger) Ended(now time.Time, f Fingerprint, endpoint uint64, tells int) int {
+func (l *Tracker) Ended(now time.Time, f Fingerprint, endpoint uint64, tells int) int {
 	if l.limits.Terminations == 0 {
 		return 0
 	}
@@ -122,7 +122,7 @@
 
 // Served records that a request was answered well and whole, to be told so many times: it does
 // not end what runs it. It reports false for one of which nothing is known.
-func (l *Ledger) Served(now time.Time, f Fingerprint, tells int) bool {
+func (l *Tracker) Served(now time.Time, f Fingerprint, tells int) bool {
 	r := l.records[f]
 	if r == nil || len(r.endings) == 0 {
 		return false
@@ -134,7 +134,7 @@
 
 // Hear takes the word of another instance, to be told so many times if it is news. It
 // reports false for a word that no instance says.
-func (l *Ledger) Hear(now time.Time, w Report, tells int) bool {
+func (l *Tracker) Hear(now time.Time, w Report, tells int) bool {
 	if l.limits.Terminations == 0 {
 		return true
 	}
@@ -164,7 +164,7 @@
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 // changed notes that there is news of a request.
-func (l *Ledger) changed(f Fingerprint, r *record, tells int) {
+func (l *Tracker) changed(f Fingerprint, r *record, tells int) {
 	l.forgetDigest()
 	if r.tells == 0 && tells > 0 {
 		l.news = append(l.news, f)
@@ -226,7 +226,7 @@
 }
 
 // record returns the record of a request, a new one if there is none.
-func (l *Ledger) record(now time.Time, f Fingerprint) *record {
+func (l *Tracker) record(now time.Time, f Fingerprint) *record {
 	r := l.records[f]
 	if r == nil {
 		l.makeRoom(now)
@@ -243,7 +243,7 @@
 
 // makeRoom forgets what is too old and, if that is not enough, an eighth of the rest:
 // the oldest of those that are not held, or else of all.
-func (l *Ledger) makeRoom(now time.Time) {
+func (l *Tracker) makeRoom(now time.Time) {
 	if len(l.records) < maxRecords {
 		return
 	}
@@ -262,7 +262,7 @@
 }
 
 // heldRank is 1 for a request that enough endpoints have ended under, 0 for others.
-func (l *Ledger) heldRank(f Fingerprint) int {
+func (l *Tracker) heldRank(f Fingerprint) int {
 	if len(l.records[f].endings) >= l.limits.Terminations {
 		return 1
 	}
@@ -271,7 +271,7 @@
 
 // forget drops the requests that a function picks, and from the order those that are
 // known no more.
-func (l *Ledger) forget(picks func(Fingerprint) bool) {
+func (l *Tracker) forget(picks func(Fingerprint) bool) {
 	l.forgetDigest()
 	l.all = slices.DeleteFunc(l.all, func(f Fingerprint) bool {
 		if l.records[f] != nil && picks(f) {
@@ -285,7 +285,7 @@
 func (l Limits) Retention() time.Duration { return l.Hold << memoryDoublings }
 
 // Suspect tells how many endpoints have ended under a request.
-func (l *Ledger) Suspect(now time.Time, f Fingerprint) int {
+func (l *Tracker) Suspect(now time.Time, f Fingerprint) int {
 	r := l.records[f]
 	if r == nil || now.Sub(r.last()) >= l.memory() {
 		return 0
@@ -294,7 +294,7 @@
 }
 
 // Held tells for how long a request is held back still; 0 if it is not.
-func (l *Ledger) Held(now time.Time, f Fingerprint) time.Duration {
+func (l *Tracker) Held(now time.Time, f Fingerprint) time.Duration {
 	r := l.records[f]
 	if r == nil || l.limits.Terminations == 0 || len(r.endings) < l.limits.Terminations {
 		return 0
@@ -305,21 +305,21 @@
 // OneAtATime tells whether a request that is let in must be the only one of its
 // fingerprint: one more ending would hold it, or hold it again. Copies that are sent at
 // once would end an endpoint each.
-func (l *Ledger) OneAtATime(now time.Time, f Fingerprint) bool {
+func (l *Tracker) OneAtATime(now time.Time, f Fingerprint) bool {
 	return l.limits.Terminations > 0 && l.Suspect(now, f) >= max(l.limits.Terminations-1, 1)
 }
 
 // hold is for how long a request is held behind so many endings. It is up to half as long
 // again, by the request: those that ended endpoints together are tried again one by one,
 // so that what is innocent among them is served.
-func (l *Ledger) hold(f Fingerprint, endings int) time.Duration {
+func (l *Tracker) hold(f Fingerprint, endings int) time.Duration {
 	part := float64(binary.BigEndian.Uint32(f[:4])) / math.MaxUint32
 	first := l.limits.Hold + time.Duration(float64(l.limits.Hold)/2*part)
 	return first << min(endings-l.limits.Terminations, maxDoublings)
 }
 
 // HeldNow returns how many requests are held back.
-func (l *Ledger) HeldNow(now time.Time) int {
+func (l *Tracker) HeldNow(now time.Time) int {
 	n := 0
 	for _, f := range l.all {
 		if l.Held(now, f) > 0 {
@@ -330,7 +330,7 @@
 }
 
 // HeldWords returns what is known of the requests that are held back now.
-func (l *Ledger) HeldWords(now time.Time) []Report {
+func (l *Tracker) HeldWords(now time.Time) []Report {
 	var words []Report
 	for _, f := range l.all {
 		if l.Held(now, f) > 0 {
@@ -341,12 +341,12 @@
 }
 
 // Len returns how many requests are known.
-func (l *Ledger) Len() int { return len(l.records) }
+func (l *Tracker) Len() int { return len(l.records) }
 
 // Digest stands for all endings that count: whoever comes to the same number knows the
 // same. It is 0 for none. It is worked out anew only behind a change: each packet that is
 // heard or told asks for it, and a walk over 1,000 requests takes 48 us.
-func (l *Ledger) Digest(now time.Time) uint64 {
+func (l *Tracker) Digest(now time.Time) uint64 {
 	if !now.Before(l.digestUntil) {
 		l.digest, l.digestUntil = l.walkDigest(now)
 	}
@@ -354,10 +354,10 @@
 }
 
 // forgetDigest makes the next Digest be worked out anew.
-func (l *Ledger) forgetDigest() { l.digestUntil = time.Time{} }
+func (l *Tracker) forgetDigest() { l.digestUntil = time.Time{} }
 
 // walkDigest works the digest out, and until when it holds if nothing changes.
-func (l *Ledger) walkDigest(now time.Time) (sum uint64, until time.Time) {
+func (l *Tracker) walkDigest(now time.Time) (sum uint64, until time.Time) {
 	until = now.Add(l.memory())
 	for _, f := range l.all {
 		for _, e := range l.records[f].endings {
@@ -379,7 +379,7 @@
 
 // HearDigest takes the digest of another instance. It tells whether that one knows other
 // endings.
-func (l *Ledger) HearDigest(now time.Time, digest uint64) bool {
+func (l *Tracker) HearDigest(now time.Time, digest uint64) bool {
 	if l.limits.Terminations == 0 || digest == l.Digest(now) {
 		return false
 	}
@@ -388,16 +388,16 @@
 }
 
 // Tells tells whether Words may have anything to tell.
-func (l *Ledger) Tells(now time.Time) bool { return len(l.news) > 0 || l.differ(now) }
+func (l *Tracker) Tells(now time.Time) bool { return len(l.news) > 0 || l.differ(now) }
 
 // differ tells whether another instance lately knew other endings.
-func (l *Ledger) differ(now time.Time) bool {
+func (l *Tracker) differ(now time.Time) bool {
 	return len(l.all) > 0 && !l.differedAt.IsZero() && now.Sub(l.differedAt) < differs
 }
 
 // Words returns what is to be told now in so many bytes: news first, then, where another
 // instance knows other endings, what was not told lately.
-func (l *Ledger) Words(now time.Time, room int) []Report {
+func (l *Tracker) Words(now time.Time, room int) []Report {
 	b := batch{now: now, room: room}
 	l.tellNews(&b)
 	if l.differ(now) {
@@ -408,7 +408,7 @@
 
 // tellNews adds what is new. What finds no room comes first the next time, what is to be
 // told again behind it.
-func (l *Ledger) tellNews(b *batch) {
+func (l *Tracker) tellNews(b *batch) {
 	var again []Fingerprint
 	for len(l.news) > 0 {
 		f := l.news[0]
@@ -429,7 +429,7 @@
 
 // retell adds what was not told lately, beginning where it ended the last time; also what
 // was cleared, as the other may have missed that.
-func (l *Ledger) retell(b *batch) {
+func (l *Tracker) retell(b *batch) {
 	told := 0
 	for range l.all {
 		l.next = (l.next + 1) % len(l.all)
@@ -465,7 +465,7 @@
 }
 
 // Word is what is known of a request; the zero Word for nothing.
-func (l *Ledger) Word(now time.Time, f Fingerprint) Report {
+func (l *Tracker) Word(now time.Time, f Fingerprint) Report {
 	if r := l.records[f]; r != nil {
 		return r.word(now, f)
 	}
