--- a/quarantine/bytes_test.go
+++ b/quarantine/bytes_test.go
@@ -31,7 +31,7 @@
 	hub := instances > smallFleetMost
 	ledgers := make([]*Tracker, instances)
 	for i := range ledgers {
-		ledgers[i] = NewLedger(limits)
+		ledgers[i] = NewTracker(limits)
 	}
 	for r := range 20 {
 		ledgers[(1+r)%instances].Ended(at(0), request(r), 7, tellsOfOwn)
--- a/quarantine/digest_bench_test.go
+++ b/quarantine/digest_bench_test.go
@@ -12,7 +12,7 @@
 		known int
 	}{{"0", 0}, {"100", 100}, {"1000", 1000}, {"4000", 4000}} {
 		b.Run(bc.name, func(b *testing.B) {
-			l := NewLedger(limits)
+			l := NewTracker(limits)
 			for i := range bc.known {
 				l.Ended(at(0), request(i), uint64(i), 0)
 			}
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -71,7 +71,7 @@
 		endings: map[int][]int{}, arrivals: map[int][]int{}, served: map[int]int{}, rejected: map[int]int{},
 	}
 	for range c.instances {
-		f.ledgers = append(f.ledgers, NewLedger(limits))
+		f.ledgers = append(f.ledgers, NewTracker(limits))
 	}
 	return f
 }
@@ -261,7 +261,7 @@
 		hub := instances > 16
 		ledgers := make([]*Tracker, instances)
 		for i := range ledgers {
-			ledgers[i] = NewLedger(limits)
+			ledgers[i] = NewTracker(limits)
 		}
 		tick := func(now time.Time) {
 			for i, l := range ledgers {
@@ -286,7 +286,7 @@
 		for ms := 0; ms < 2000; ms += fleetTick {
 			tick(at(float64(ms) / 1000))
 		}
-		ledgers[instances-1] = NewLedger(limits)
+		ledgers[instances-1] = NewTracker(limits)
 		for ms := 2000; ms < 2000+inTouchMS; ms += fleetTick {
 			tick(at(float64(ms) / 1000))
 		}
--- a/quarantine/golden_test.go
+++ b/quarantine/golden_test.go
@@ -47,7 +47,7 @@
 func (s session) ledger(key string) *Tracker {
 	name := s.text(key)
 	if s.ledgers[name] == nil {
-		s.ledgers[name] = NewLedger(limits)
+		s.ledgers[name] = NewTracker(limits)
 	}
 	return s.ledgers[name]
 }
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -50,7 +50,7 @@
 	if c.Persist == nil {
 		c.Persist = func(Report) {}
 	}
-	return &Keeper{now: c.Now, log: c.Log, news: c.Wake, keep: c.Persist, ledger: NewLedger(c.Limits), flights: map[Fingerprint]*InFlight{}}
+	return &Keeper{now: c.Now, log: c.Log, news: c.Wake, keep: c.Persist, ledger: NewTracker(c.Limits), flights: map[Fingerprint]*InFlight{}}
 }
 
 // How often news is told. Datagrams are lost now and then: what was seen here is told
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -83,8 +83,8 @@
 	digestUntil time.Time
 }
 
-// NewLedger returns a ledger that knows nothing.
-func NewLedger(l Limits) *Tracker { return &Tracker{limits: l, records: map[Fingerprint]*record{}} }
+// NewTracker returns a ledger that knows nothing.
+func NewTracker(l Limits) *Tracker { return &Tracker{limits: l, records: map[Fingerprint]*record{}} }
 
 // IncarnationHash stands for one start of an endpoint.
 func IncarnationHash(name string, startedAtMS int64) uint64 {
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -34,7 +34,7 @@
 }
 
 func TestHeldBehindTheThirdDifferentEnding(t *testing.T) {
-	l := NewLedger(limits)
+	l := NewTracker(limits)
 	f := request(1)
 	require.Equal(t, 1, l.Ended(at(0), f, 7, 1))
 	require.Equal(t, 1, l.Ended(at(1), f, 7, 1), "the same endpoint ends once")
@@ -48,7 +48,7 @@
 }
 
 func TestEachFurtherEndingHoldsTwiceAsLong(t *testing.T) {
-	l := NewLedger(limits)
+	l := NewTracker(limits)
 	f := request(1)
 	now := 0.0
 	var before time.Duration
@@ -69,7 +69,7 @@
 }
 
 func TestWholeAnswerClears(t *testing.T) {
-	l := NewLedger(limits)
+	l := NewTracker(limits)
 	f := request(1)
 	for i := range 3 {
 		l.Ended(at(float64(i)), f, uint64(i), 1)
@@ -83,7 +83,7 @@
 
 // TestLateWordDoesNotUndoAClearing hears endings from before the request was served.
 func TestLateWordDoesNotUndoAClearing(t *testing.T) {
-	a, b := NewLedger(limits), NewLedger(limits)
+	a, b := NewTracker(limits), NewTracker(limits)
 	f := request(1)
 	for i := range 3 {
 		a.Ended(at(float64(i)), f, uint64(i), 1)
@@ -102,7 +102,7 @@
 }
 
 func TestOldEndingsDoNotCount(t *testing.T) {
-	l := NewLedger(limits)
+	l := NewTracker(limits)
 	f := request(1)
 	l.Ended(at(0), f, 1, 1)
 	l.Ended(at(1), f, 2, 1)
@@ -111,7 +111,7 @@
 }
 
 func TestNoneIsHeldWhereNoneIsToBe(t *testing.T) {
-	l := NewLedger(limits)
+	l := NewTracker(limits)
 	f := request(1)
 	for i := range 3 {
 		l.Ended(at(0), f, uint64(i), 1)
@@ -132,7 +132,7 @@
 		"too many":    {Fingerprint: f[:], Endpoints: make([]uint64, maxEndings+1), AgesMS: make([]int64, maxEndings+1)},
 		"served soon": {Fingerprint: f[:], ServedMS: -5},
 	} {
-		l := NewLedger(limits)
+		l := NewTracker(limits)
 		require.False(t, l.Hear(at(0), w, 1), name)
 		require.Zero(t, l.Len(), name)
 	}
@@ -140,7 +140,7 @@
 
 // TestFloodForgetsTheOldestThatAreNotHeld records more requests than are kept.
 func TestFloodForgetsTheOldestThatAreNotHeld(t *testing.T) {
-	l := NewLedger(limits)
+	l := NewTracker(limits)
 	for i := range 3 {
 		l.Ended(at(0), request(0), uint64(i), 1)
 	}
@@ -157,7 +157,7 @@
 // TestNewsThatWaitsGoesFirst has more news than fits a packet, each to be told five times:
 // what was told already, and is to be told again, does not keep the rest waiting.
 func TestNewsThatWaitsGoesFirst(t *testing.T) {
-	l := NewLedger(limits)
+	l := NewTracker(limits)
 	for i := range 20 {
 		l.Ended(at(0), request(i), 1, tellsOfOwn)
 	}
@@ -172,7 +172,7 @@
 
 // TestWordsFitTheirRoom tells many requests in packets of bounded size.
 func TestWordsFitTheirRoom(t *testing.T) {
-	l := NewLedger(limits)
+	l := NewTracker(limits)
 	for i := range 50 {
 		l.Ended(at(0), request(i), 1, 1)
 	}
@@ -196,7 +196,7 @@
 // 48 us with 1,000 requests known, and each instance of a large fleet hears packets all the
 // time.
 func TestDigestIsNotWorkedOutForEachPacket(t *testing.T) {
-	l := NewLedger(limits)
+	l := NewTracker(limits)
 	for i := range 100 {
 		l.Ended(at(0), request(i), uint64(i), 1)
 	}
@@ -210,7 +210,7 @@
 // what a walk comes to.
 func TestDigestIsThatOfAWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := NewLedger(limits)
+		l := NewTracker(limits)
 		now := at(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(l.memory())/4).Draw(t, "pass")))
