--- a/daemon/holds.go
+++ b/daemon/holds.go
@@ -30,7 +30,7 @@
 // others and not from the store.
 type holdsDuty struct {
 	client store.Client
-	keeper *quarantine.Keeper
+	keeper *quarantine.Manager
 	// words holds requests that have come to be held here.
 	words *ring.Ring[quarantine.Report]
 	// isolated tells whether this instance hears none of the others.
--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -66,7 +66,7 @@
 	claims  *claim.Owner
 	gates   *pipeline.Gates
 	// quarantine holds back requests that end endpoints.
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Manager
 	// allowances is this instance's even part of the callers' allowances.
 	allowances *allowance.Limiter
 	events     *ring.Ring[event]
--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -32,7 +32,7 @@
 	demand   *pipeline.Demand
 	refusals *pipeline.Refusals
 	// quarantine is told what the others say of requests that end endpoints.
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Manager
 	// rights is asked by others whether they may go by their settings' keys, and answered.
 	rights *keyRights
 	// eras follows the store's eras, of which others may hear first; nil where none tells.
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -86,7 +86,7 @@
 	engine    *engine.Client
 	// quarantine holds back requests that end endpoints; held are those that it is to
 	// keep in the store.
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Manager
 	// rights is the node's right to go by the keys of accounts, allowances what accounts may
 	// ask of all nodes.
 	rights     *keyRights
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -36,7 +36,7 @@
 	// repliedAt is when a hint that told of other endings was replied to last.
 	repliedAt time.Time
 	// quarantine is told, and tells, which requests end endpoints.
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Manager
 	// addresses holds where each instance is reached; the view duty writes it.
 	addresses atomic.Pointer[map[string]peerAddress]
 	sent      func(bytes int)
--- a/pipeline/breaks.go
+++ b/pipeline/breaks.go
@@ -17,7 +17,7 @@
 // breaks for many reasons; an endpoint whose port is closed has ended, and all that it
 // ran with it.
 type breaks struct {
-	keeper *quarantine.Keeper
+	keeper *quarantine.Manager
 	// listens tells whether a port is open; an error says that it is not known.
 	listens func(ctx context.Context, address string) (bool, error)
 	log     logr.Logger
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -58,7 +58,7 @@
 	// Retries bounds second attempts; nil means DefaultRetryLimits.
 	Retries *RetryBudgets
 	// Quarantine holds back requests that end endpoints; nil holds none.
-	Quarantine *quarantine.Keeper
+	Quarantine *quarantine.Manager
 	// Allowances bounds what accounts may ask; nil bounds nothing.
 	Allowances *allowance.Limiter
 	// Permits is told the limits that endpoints name; nil tells nobody.
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -10,9 +10,9 @@
 	"github.com/go-logr/logr"
 )
 
-// Keeper is the ledger of one instance, with its requests in progress. A nil Keeper
+// Manager is the ledger of one instance, with its requests in progress. A nil Manager
 // holds nothing. It is safe for concurrent use.
-type Keeper struct {
+type Manager struct {
 	now func() time.Time
 	log logr.Logger
 	// news is called when there is something to tell the others at once, keep with what
@@ -43,14 +43,14 @@
 }
 
 // NewKeeper returns a keeper that knows nothing.
-func NewKeeper(c Config) *Keeper {
+func NewKeeper(c Config) *Manager {
 	if c.Wake == nil {
 		c.Wake = func() {}
 	}
 	if c.Persist == nil {
 		c.Persist = func(Report) {}
 	}
-	return &Keeper{now: c.Now, log: c.Log, news: c.Wake, keep: c.Persist, ledger: NewTracker(c.Limits), flights: map[Fingerprint]*InFlight{}}
+	return &Manager{now: c.Now, log: c.Log, news: c.Wake, keep: c.Persist, ledger: NewTracker(c.Limits), flights: map[Fingerprint]*InFlight{}}
 }
 
 // How often news is told. Datagrams are lost now and then: what was seen here is told
@@ -79,7 +79,7 @@
 
 // InFlight is a request in progress. Its zero value is none.
 type InFlight struct {
-	keeper      *Keeper
+	keeper      *Manager
 	fingerprint Fingerprint
 	cancel      context.CancelFunc
 	held        atomic.Pointer[HeldError]
@@ -93,7 +93,7 @@
 
 // Begin lets a request in, unless it is held back: then it returns a *HeldError. If it
 // comes to be held before End, Held tells why and cancel is called.
-func (k *Keeper) Begin(flight *InFlight, f Fingerprint, cancel context.CancelFunc) error {
+func (k *Manager) Begin(flight *InFlight, f Fingerprint, cancel context.CancelFunc) error {
 	if k == nil {
 		return nil
 	}
@@ -147,7 +147,7 @@
 }
 
 // RecordTermination says that an endpoint has ended under a request.
-func (k *Keeper) RecordTermination(f Fingerprint, account, endpoint string, startedAtMS int64) {
+func (k *Manager) RecordTermination(f Fingerprint, account, endpoint string, startedAtMS int64) {
 	if k == nil {
 		return
 	}
@@ -164,7 +164,7 @@
 
 // holdFrom acts on a request that may have come to be held, where it was to be held for
 // so long before. It tells whether it has.
-func (k *Keeper) holdFrom(f Fingerprint, before time.Duration, by string) bool {
+func (k *Manager) holdFrom(f Fingerprint, before time.Duration, by string) bool {
 	now := k.now()
 	left := k.ledger.Held(now, f)
 	if left == 0 || before > 0 {
@@ -184,7 +184,7 @@
 }
 
 // RecordSuccess says that a request was answered well and whole.
-func (k *Keeper) RecordSuccess(f Fingerprint) {
+func (k *Manager) RecordSuccess(f Fingerprint) {
 	if k == nil {
 		return
 	}
@@ -196,7 +196,7 @@
 }
 
 // Digest stands for what is known here; 0 for nothing.
-func (k *Keeper) Digest() uint64 {
+func (k *Manager) Digest() uint64 {
 	if k == nil {
 		return 0
 	}
@@ -207,7 +207,7 @@
 
 // ReceiveDigest takes the digest of another instance: if it is not that of this one, all that
 // is known is told again. It tells whether it is another one.
-func (k *Keeper) ReceiveDigest(digest uint64) bool {
+func (k *Manager) ReceiveDigest(digest uint64) bool {
 	if k == nil {
 		return false
 	}
@@ -217,7 +217,7 @@
 }
 
 // ReceiveReports takes the words of another instance. Those that are news are told on if so asked.
-func (k *Keeper) ReceiveReports(words []Report, tellOn bool) {
+func (k *Manager) ReceiveReports(words []Report, tellOn bool) {
 	if k == nil || len(words) == 0 {
 		return
 	}
@@ -241,7 +241,7 @@
 }
 
 // HasPendingReports tells whether Words may have anything to tell.
-func (k *Keeper) HasPendingReports() bool {
+func (k *Manager) HasPendingReports() bool {
 	if k == nil {
 		return false
 	}
@@ -251,7 +251,7 @@
 }
 
 // PendingReports returns what is to be told the other instances now, in so many bytes.
-func (k *Keeper) PendingReports(room int) []Report {
+func (k *Manager) PendingReports(room int) []Report {
 	if k == nil {
 		return nil
 	}
@@ -261,7 +261,7 @@
 }
 
 // HeldReports returns what is known of the requests that are held back now.
-func (k *Keeper) HeldReports() []Report {
+func (k *Manager) HeldReports() []Report {
 	if k == nil {
 		return nil
 	}
@@ -271,7 +271,7 @@
 }
 
 // SetLimits replaces the limits. With none held, all requests are released.
-func (k *Keeper) SetLimits(l Limits) {
+func (k *Manager) SetLimits(l Limits) {
 	if k == nil {
 		return
 	}
@@ -296,7 +296,7 @@
 }
 
 // Stats returns the counts.
-func (k *Keeper) Stats() Stats {
+func (k *Manager) Stats() Stats {
 	if k == nil {
 		return Stats{}
 	}
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -9,12 +9,12 @@
 )
 
 // keeperAt returns a keeper whose time the test sets, in seconds.
-func keeperAt(seconds *float64) *Keeper {
+func keeperAt(seconds *float64) *Manager {
 	return NewKeeper(Config{Limits: limits, Now: func() time.Time { return at(*seconds) }, Log: logr.Discard()})
 }
 
 // begin lets a request in and counts how often it is cancelled.
-func begin(t *testing.T, k *Keeper, f Fingerprint, cancelled *int) *InFlight {
+func begin(t *testing.T, k *Manager, f Fingerprint, cancelled *int) *InFlight {
 	t.Helper()
 	flight := &InFlight{}
 	require.NoError(t, k.Begin(flight, f, func() { *cancelled++ }))
@@ -95,7 +95,7 @@
 }
 
 func TestNoKeeperHoldsNothing(t *testing.T) {
-	var k *Keeper
+	var k *Manager
 	require.NoError(t, k.Begin(&InFlight{}, request(1), nil))
 	(&InFlight{}).End()
 	k.RecordTermination(request(1), "", "e", 1)
