--- a/daemon/endings_test.go
+++ b/daemon/endings_test.go
@@ -36,7 +36,7 @@
 	f.seq++
 	d := &peersDuty{
 		gossip: peer.NewGossip(peer.GossipConfig{Name: name, Process: fmt.Sprint(f.seq)}), log: logr.Discard(),
-		now: func() time.Time { return f.now }, quarantine: quarantine.NewKeeper(quarantine.Config{
+		now: func() time.Time { return f.now }, quarantine: quarantine.NewManager(quarantine.Config{
 			Limits: quarantine.DefaultLimits, Now: func() time.Time { return f.now }, Log: logr.Discard(),
 		}),
 	}
@@ -104,7 +104,7 @@
 // tell of: none is too large, and each has news in it that was not told before.
 func TestEndingsFitThePacket(t *testing.T) {
 	now := time.Unix(1_000, 0)
-	keeper := quarantine.NewKeeper(quarantine.Config{Limits: quarantine.DefaultLimits, Now: func() time.Time { return now }, Log: logr.Discard()})
+	keeper := quarantine.NewManager(quarantine.Config{Limits: quarantine.DefaultLimits, Now: func() time.Time { return now }, Log: logr.Discard()})
 	for r := range 200 {
 		keeper.RecordTermination(quarantine.Fingerprint{byte(r)}, "account", "e", int64(r))
 	}
--- a/daemon/holds_test.go
+++ b/daemon/holds_test.go
@@ -78,7 +78,7 @@
 		client: s, words: ring.New[quarantine.Report](holdsWaiting, ring.DropOldest), isolated: isolated,
 		memory: quarantine.DefaultLimits.Retention(), log: logr.Discard(), timeOfDay: time.Now,
 	}
-	d.keeper = quarantine.NewKeeper(quarantine.Config{
+	d.keeper = quarantine.NewManager(quarantine.Config{
 		Limits: quarantine.DefaultLimits, Now: time.Now, Log: logr.Discard(), Persist: func(w quarantine.Report) { _ = d.words.Put(context.Background(), w) },
 	})
 	return d
--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -125,7 +125,7 @@
 		_ = i.peers.events.Put(i.work, peer.StoreHeard{})
 	})
 	i.work, i.stop = context.WithCancel(context.Background())
-	i.quarantine = quarantine.NewKeeper(quarantine.Config{
+	i.quarantine = quarantine.NewManager(quarantine.Config{
 		Limits: cfg.Quarantine.limits(), Now: deps.Now, Log: i.log,
 		Wake: func() { _ = i.peers.events.Put(i.work, peer.Hurry{}) },
 	})
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -159,7 +159,7 @@
 	n.gates = pipeline.NewGates(admission.Limits{MaxWaiters: cfg.Limits.QueueRequests, MaxBytes: cfg.Limits.QueueBytes}, n.now)
 	n.engine = engine.NewClient(engine.Config{Dial: watchfulDialer().DialContext, IdlePerEndpoint: idlePerEndpoint, Dialect: ports.Endpoints})
 	n.control = engine.NewClient(engine.Config{Dial: watchfulDialer().DialContext, Dialect: ports.Endpoints, IdlePerEndpoint: 1})
-	n.quarantine = quarantine.NewKeeper(quarantine.Config{
+	n.quarantine = quarantine.NewManager(quarantine.Config{
 		Limits: cfg.Quarantine.limits(), Now: n.now, Log: log, Wake: func() { n.mesh.hurry() },
 		Persist: func(w quarantine.Report) { _ = n.held.Put(n.work, w) },
 	})
--- a/pipeline/breaks_test.go
+++ b/pipeline/breaks_test.go
@@ -33,7 +33,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				keeper := quarantine.NewKeeper(quarantine.Config{Limits: quarantine.DefaultLimits, Now: time.Now, Log: logr.Discard()})
+				keeper := quarantine.NewManager(quarantine.Config{Limits: quarantine.DefaultLimits, Now: time.Now, Log: logr.Discard()})
 				asked := 0
 				b := &breaks{
 					keeper: keeper, log: logr.Discard(), waiting: map[*routing.Endpoint][]broken{},
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -9,7 +9,7 @@
 
 // BenchmarkLookup is what a request costs that nothing is known of, with a body of 4 KiB.
 func BenchmarkLookup(b *testing.B) {
-	k := NewKeeper(Config{Limits: limits, Now: time.Now, Log: logr.Discard()})
+	k := NewManager(Config{Limits: limits, Now: time.Now, Log: logr.Discard()})
 	for i := range 100 {
 		k.RecordTermination(request(i), "", "e", int64(i))
 	}
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -42,8 +42,8 @@
 	Persist func(Report)
 }
 
-// NewKeeper returns a keeper that knows nothing.
-func NewKeeper(c Config) *Manager {
+// NewManager returns a keeper that knows nothing.
+func NewManager(c Config) *Manager {
 	if c.Wake == nil {
 		c.Wake = func() {}
 	}
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -10,7 +10,7 @@
 
 // keeperAt returns a keeper whose time the test sets, in seconds.
 func keeperAt(seconds *float64) *Manager {
-	return NewKeeper(Config{Limits: limits, Now: func() time.Time { return at(*seconds) }, Log: logr.Discard()})
+	return NewManager(Config{Limits: limits, Now: func() time.Time { return at(*seconds) }, Log: logr.Discard()})
 }
 
 // begin lets a request in and counts how often it is cancelled.
