--- a/daemon/holds.go
+++ b/daemon/holds.go
@@ -143,7 +143,7 @@
 func (d *holdsDuty) encode(w quarantine.Report) heldRequest {
 	now := d.timeOfDay().UnixMilli()
 	var h heldRequest
-	for i, endpoint := range w.Endpoints {
+	for i, endpoint := range w.Incarnations {
 		h.Endpoints = append(h.Endpoints, strconv.FormatUint(endpoint, 16))
 		h.EndedMS = append(h.EndedMS, now-w.AgesMS[i])
 	}
@@ -181,10 +181,10 @@
 		if age >= d.memory.Milliseconds() {
 			continue
 		}
-		w.Endpoints = append(w.Endpoints, endpoint)
+		w.Incarnations = append(w.Incarnations, endpoint)
 		w.AgesMS = append(w.AgesMS, age)
 	}
-	if len(w.Endpoints) == 0 {
+	if len(w.Incarnations) == 0 {
 		return w, errHoldOver
 	}
 	return w, nil
--- a/daemon/holds_test.go
+++ b/daemon/holds_test.go
@@ -130,9 +130,9 @@
 		o.Metadata.Name = name
 		s.objects[name] = o
 	}
-	w := quarantine.Report{Fingerprint: make([]byte, quarantine.FingerprintBytes), Endpoints: []uint64{1 << 63}, AgesMS: []int64{5}}
+	w := quarantine.Report{Fingerprint: make([]byte, quarantine.FingerprintBytes), Incarnations: []uint64{1 << 63}, AgesMS: []int64{5}}
 	require.NoError(t, d.put(context.Background(), w))
-	w.Endpoints, w.AgesMS = append(w.Endpoints, 2), append(w.AgesMS, 1)
+	w.Incarnations, w.AgesMS = append(w.Incarnations, 2), append(w.AgesMS, 1)
 	require.NoError(t, d.put(context.Background(), w))
 	require.NotContains(t, s.objects, "00000000000000000000000000000001")
 	require.Len(t, s.objects, 4, "what cannot be read is left alone")
@@ -140,5 +140,5 @@
 	require.Equal(t, 1, d.keeper.Stats().Known)
 	got, err := d.decode(s.objects["00000000000000000000000000000000"])
 	require.NoError(t, err)
-	require.Equal(t, w.Endpoints, got.Endpoints)
+	require.Equal(t, w.Incarnations, got.Incarnations)
 }
--- a/quarantine/golden_test.go
+++ b/quarantine/golden_test.go
@@ -81,7 +81,7 @@
 	var b strings.Builder
 	for _, w := range l.Words(now, 10_000) {
 		require.True(s.t, to.Hear(arrives, w, 1))
-		fmt.Fprintf(&b, "endpoints=%v ages_ms=%v served_ms=%d\n", w.Endpoints, w.AgesMS, w.ServedMS)
+		fmt.Fprintf(&b, "endpoints=%v ages_ms=%v served_ms=%d\n", w.Incarnations, w.AgesMS, w.ServedMS)
 	}
 	fmt.Fprintf(&b, "same=%t\n", l.Digest(now) == to.Digest(now))
 	return b.String()
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -233,7 +233,7 @@
 			before = k.ledger.Held(k.now(), Fingerprint(w.Fingerprint))
 		}
 		if !k.ledger.Hear(k.now(), w, tells) {
-			k.log.Info("word of a suspected request refused", "bytes", len(w.Fingerprint), "endings", len(w.Endpoints))
+			k.log.Info("word of a suspected request refused", "bytes", len(w.Fingerprint), "endings", len(w.Incarnations))
 			continue
 		}
 		k.holdFrom(Fingerprint(w.Fingerprint), before, "told")
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -147,7 +147,7 @@
 	if w.ServedMS > 0 {
 		news = r.served(now.Add(-milliseconds(w.ServedMS - 1)))
 	}
-	for i, endpoint := range w.Endpoints {
+	for i, endpoint := range w.Incarnations {
 		switch r.add(ending{endpoint, now.Add(-milliseconds(w.AgesMS[i]))}) {
 		case endingAdded:
 			news = true
@@ -478,7 +478,7 @@
 		w.ServedMS = max(now.Sub(r.servedAt).Milliseconds(), 0) + 1
 	}
 	for _, e := range r.endings {
-		w.Endpoints = append(w.Endpoints, e.endpoint)
+		w.Incarnations = append(w.Incarnations, e.endpoint)
 		w.AgesMS = append(w.AgesMS, max(now.Sub(e.at).Milliseconds(), 0))
 	}
 	return w
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -126,10 +126,10 @@
 	f := request(1)
 	for name, w := range map[string]Report{
 		"short":       {Fingerprint: f[:3]},
-		"uneven":      {Fingerprint: f[:], Endpoints: []uint64{1, 2}, AgesMS: []int64{1}},
-		"of to-come":  {Fingerprint: f[:], Endpoints: []uint64{1}, AgesMS: []int64{-1}},
-		"too old":     {Fingerprint: f[:], Endpoints: []uint64{1}, AgesMS: []int64{1 << 60}},
-		"too many":    {Fingerprint: f[:], Endpoints: make([]uint64, maxEndings+1), AgesMS: make([]int64, maxEndings+1)},
+		"uneven":      {Fingerprint: f[:], Incarnations: []uint64{1, 2}, AgesMS: []int64{1}},
+		"of to-come":  {Fingerprint: f[:], Incarnations: []uint64{1}, AgesMS: []int64{-1}},
+		"too old":     {Fingerprint: f[:], Incarnations: []uint64{1}, AgesMS: []int64{1 << 60}},
+		"too many":    {Fingerprint: f[:], Incarnations: make([]uint64, maxEndings+1), AgesMS: make([]int64, maxEndings+1)},
 		"served soon": {Fingerprint: f[:], ServedMS: -5},
 	} {
 		l := NewTracker(limits)
@@ -223,7 +223,7 @@
 				l.Served(now, f, 1)
 			case 2:
 				age := rapid.Int64Range(0, l.memory().Milliseconds()).Draw(t, "age")
-				l.Hear(now, Report{Fingerprint: f[:], Endpoints: []uint64{endpoint}, AgesMS: []int64{age}}, 1)
+				l.Hear(now, Report{Fingerprint: f[:], Incarnations: []uint64{endpoint}, AgesMS: []int64{age}}, 1)
 			case 3:
 				hold := time.Duration(rapid.IntRange(1, 3).Draw(t, "hold")) * time.Minute
 				l.SetLimits(Limits{Terminations: rapid.IntRange(0, 3).Draw(t, "endings"), Hold: hold})
--- a/quarantine/word.go
+++ b/quarantine/word.go
@@ -6,10 +6,10 @@
 // under it, and when it was last answered well. Ages are in milliseconds, as clocks differ.
 type Report struct {
 	Fingerprint []byte `cbor:"1,keyasint"`
-	// Endpoints stand for starts of endpoints, by EndpointMark; AgesMS is how long ago
+	// Incarnations stand for starts of endpoints, by EndpointMark; AgesMS is how long ago
 	// each ended.
-	Endpoints []uint64 `cbor:"2,keyasint,omitempty"`
-	AgesMS    []int64  `cbor:"3,keyasint,omitempty"`
+	Incarnations []uint64 `cbor:"2,keyasint,omitempty"`
+	AgesMS       []int64  `cbor:"3,keyasint,omitempty"`
 	// ServedMS is how long ago the request was answered well and whole, plus 1; 0 for never.
 	ServedMS int64 `cbor:"4,keyasint,omitempty"`
 }
@@ -21,11 +21,11 @@
 )
 
 // size bounds the word's encoding, in bytes.
-func (w Report) size() int { return wordBytes + len(w.Endpoints)*endingBytes }
+func (w Report) size() int { return wordBytes + len(w.Incarnations)*endingBytes }
 
 // sound tells whether a word can be what an instance says.
 func (w Report) sound(memory time.Duration) bool {
-	if len(w.Fingerprint) != FingerprintBytes || len(w.Endpoints) != len(w.AgesMS) || len(w.Endpoints) > maxEndings {
+	if len(w.Fingerprint) != FingerprintBytes || len(w.Incarnations) != len(w.AgesMS) || len(w.Incarnations) > maxEndings {
 		return false
 	}
 	for _, age := range w.AgesMS {
