--- a/permit/golden_test.go
+++ b/permit/golden_test.go
@@ -76,7 +76,7 @@
 	asks, got := l.PendingRequests(s.now)
 	for _, a := range asks {
 		s.asks[name] = a.Ask
-		fmt.Fprintf(&b, "to=%s rank=%d n=%d per-second=%v age=%dms\n", a.To, a.Ask.Rank, a.Ask.N, a.Ask.Word.PerSecond, a.Ask.Word.AgeMS)
+		fmt.Fprintf(&b, "to=%s rank=%d n=%d per-second=%v age=%dms\n", a.To, a.Ask.Rank, a.Ask.N, a.Ask.Report.PerSecond, a.Ask.Report.AgeMS)
 	}
 	fmt.Fprintf(&b, "got=%v\n", got)
 	return b.String()
--- a/permit/issue.go
+++ b/permit/issue.go
@@ -77,8 +77,8 @@
 func (l *Limiter) HandleRequest(now time.Time, a Request) (g Grant, answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hear(now, a.Word)
-	e := a.Word.start()
+	l.hear(now, a.Report)
+	e := a.Report.start()
 	known := l.limits[e]
 	if known == nil || a.Rank < 0 || a.Rank >= mostIssuers {
 		return Grant{}, false
--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -92,7 +92,7 @@
 		require.Empty(t, l.ReceiveReports(start, []LimitReport{w}), name)
 	}
 	require.False(t, l.AnyLimit())
-	for _, a := range []Request{{Word: LimitReport{Endpoint: "e1", PerSecond: 1}, Rank: -1}, {Word: LimitReport{Endpoint: "e1", PerSecond: 1}, Rank: mostIssuers}} {
+	for _, a := range []Request{{Report: LimitReport{Endpoint: "e1", PerSecond: 1}, Rank: -1}, {Report: LimitReport{Endpoint: "e1", PerSecond: 1}, Rank: mostIssuers}} {
 		_, answered := l.HandleRequest(start, a)
 		require.False(t, answered)
 	}
@@ -145,7 +145,7 @@
 		require.Len(t, more, 1)
 		asks = append(asks, more...)
 	}
-	grant := func(a OutgoingRequest) Grant { return Grant{Word: a.Ask.Word, Seq: a.Ask.Seq, N: 1} }
+	grant := func(a OutgoingRequest) Grant { return Grant{Word: a.Ask.Report, Seq: a.Ask.Seq, N: 1} }
 	now := at(3 * answerTime)
 	require.False(t, l.ReceiveGrant(now, "third", grant(asks[1])), "nobody asked it")
 	require.True(t, l.ReceiveGrant(now, "other", grant(asks[1])))
@@ -162,10 +162,10 @@
 func TestNobodyIsAskedForLessThanNothing(t *testing.T) {
 	l := newLocal()
 	word := LimitReport{Endpoint: "e1", PerSecond: 1}
-	g, answered := l.HandleRequest(start, Request{Word: word, N: -1000})
+	g, answered := l.HandleRequest(start, Request{Report: word, N: -1000})
 	require.True(t, answered)
 	require.Zero(t, g.N)
-	g, _ = l.HandleRequest(start, Request{Word: word, N: 1000})
+	g, _ = l.HandleRequest(start, Request{Report: word, N: 1000})
 	require.Zero(t, g.N)
 }
 
--- a/permit/stock.go
+++ b/permit/stock.go
@@ -209,7 +209,7 @@
 		}
 		l.seq++
 		s.ask(now, l.seq, to)
-		asks = append(asks, OutgoingRequest{To: to, Ask: Request{Word: k.word(now, e), Seq: l.seq, Rank: rank, N: s.size(now)}})
+		asks = append(asks, OutgoingRequest{To: to, Ask: Request{Report: k.word(now, e), Seq: l.seq, Rank: rank, N: s.size(now)}})
 	}
 	return asks, got
 }
--- a/permit/words.go
+++ b/permit/words.go
@@ -20,8 +20,8 @@
 
 // Request asks the issuer of an endpoint for permits.
 type Request struct {
-	_    struct{} `cbor:",toarray"`
-	Word LimitReport
+	_      struct{} `cbor:",toarray"`
+	Report LimitReport
 	// Seq stands for the ask in the answer.
 	Seq uint64
 	// Rank is how many issuers go before this one.
