--- a/losses/cause.go
+++ b/losses/cause.go
@@ -28,8 +28,8 @@
 	CallerLeft Cause = "caller-left"
 	// TimedOut is a request whose time was over.
 	TimedOut Cause = "timed-out"
-	// EndpointBroke is an answer that an endpoint broke off or lost.
-	EndpointBroke Cause = "endpoint-broke"
+	// EndpointFailed is an answer that an endpoint broke off or lost.
+	EndpointFailed Cause = "endpoint-broke"
 	// Other is anything else.
 	Other Cause = "other"
 )
@@ -51,9 +51,9 @@
 	{"context canceled", CallerLeft},
 	{"broken pipe", CallerLeft},
 	{"deadline exceeded", TimedOut},
-	{"unexpected EOF", EndpointBroke},
-	{"connection reset", EndpointBroke},
-	{"EOF", EndpointBroke},
+	{"unexpected EOF", EndpointFailed},
+	{"connection reset", EndpointFailed},
+	{"EOF", EndpointFailed},
 }
 
 func causeOf(text string) Cause {
--- a/losses/table_test.go
+++ b/losses/table_test.go
@@ -49,7 +49,7 @@
 		"dispatch: endpoint e did not start the attempt: dial: connect: connection refused": Unreached,
 		"relay: context canceled":                                                           CallerLeft,
 		"relay: something":                                                                  Other,
-		"dispatch: read: connection reset by peer":                                          EndpointBroke,
+		"dispatch: read: connection reset by peer":                                          EndpointFailed,
 	} {
 		require.Equal(t, want, causeOf(text), text)
 	}
