--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -67,14 +67,14 @@
 // HeldError says that a request is held back.
 type HeldError struct {
 	Fingerprint Fingerprint
-	// Endings is how many endpoints have ended under it, For how long it is held still.
-	Endings   int
-	Remaining time.Duration
+	// Terminations is how many endpoints have ended under it, For how long it is held still.
+	Terminations int
+	Remaining    time.Duration
 }
 
 // Error gives all of it.
 func (e *HeldError) Error() string {
-	return fmt.Sprintf("the request is held back for %s, as %d endpoints have ended under it", e.Remaining.Round(time.Millisecond), e.Endings)
+	return fmt.Sprintf("the request is held back for %s, as %d endpoints have ended under it", e.Remaining.Round(time.Millisecond), e.Terminations)
 }
 
 // InFlight is a request in progress. Its zero value is none.
@@ -106,7 +106,7 @@
 	}
 	if left > 0 {
 		k.rejected++
-		return &HeldError{Fingerprint: f, Endings: k.ledger.Suspect(now, f), Remaining: left}
+		return &HeldError{Fingerprint: f, Terminations: k.ledger.Suspect(now, f), Remaining: left}
 	}
 	flight.keeper, flight.fingerprint, flight.cancel, flight.listed = k, f, cancel, true
 	flight.next = k.flights[f]
@@ -170,7 +170,7 @@
 	if left == 0 || before > 0 {
 		return false
 	}
-	held := &HeldError{Fingerprint: f, Endings: k.ledger.Suspect(now, f), Remaining: left}
+	held := &HeldError{Fingerprint: f, Terminations: k.ledger.Suspect(now, f), Remaining: left}
 	cancelled := 0
 	for flight := k.flights[f]; flight != nil; flight = k.flights[f] {
 		flight.unlist()
@@ -179,7 +179,7 @@
 		cancelled++
 	}
 	k.cancelled += int64(cancelled)
-	k.log.Info("request held back", "fingerprint", f.String(), "endings", held.Endings, "hold_ms", left.Milliseconds(), "by", by, "cancelled", cancelled)
+	k.log.Info("request held back", "fingerprint", f.String(), "endings", held.Terminations, "hold_ms", left.Milliseconds(), "by", by, "cancelled", cancelled)
 	return true
 }
 
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -30,7 +30,7 @@
 	}
 	var held *HeldError
 	require.ErrorAs(t, k.Begin(&InFlight{}, f, nil), &held)
-	require.Equal(t, 3, held.Endings)
+	require.Equal(t, 3, held.Terminations)
 	require.GreaterOrEqual(t, held.Remaining, limits.Hold)
 	require.NoError(t, k.Begin(&InFlight{}, request(2), nil))
 	now = held.Remaining.Seconds() + 0.001
