--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -104,7 +104,7 @@
 }
 
 // listed tells whether an endpoint is listed as it was started.
-func (p *permits) listed(e permit.Endpoint) bool {
+func (p *permits) listed(e permit.LimitKey) bool {
 	known := p.router.View().ByName[e.Name]
 	return known != nil && known.StartedAtMS == e.StartedAtMS
 }
--- a/permit/cold.go
+++ b/permit/cold.go
@@ -21,7 +21,7 @@
 
 // RecordCold records that an endpoint stays cold for so long, in which it takes so many requests a
 // second from all instances together, and reports whether it was not cold before.
-func (l *Limiter) RecordCold(now time.Time, e Endpoint, perSecond float64, remaining time.Duration) (news bool) {
+func (l *Limiter) RecordCold(now time.Time, e LimitKey, perSecond float64, remaining time.Duration) (news bool) {
 	if l == nil || perSecond <= 0 || remaining <= 0 {
 		return false
 	}
@@ -31,7 +31,7 @@
 }
 
 // coldUntil records that an endpoint is cold until a moment at least.
-func (l *Limiter) coldUntil(now time.Time, e Endpoint, perSecond float64, until time.Time) (news bool) {
+func (l *Limiter) coldUntil(now time.Time, e LimitKey, perSecond float64, until time.Time) (news bool) {
 	e.Cold = true
 	news = l.said(now, now, e, perSecond, false)
 	known := l.limits[e]
@@ -49,7 +49,7 @@
 }
 
 // hearCold takes the word of another instance on a cold endpoint. It never ends anything.
-func (l *Limiter) hearCold(now time.Time, e Endpoint, w LimitReport) (news bool) {
+func (l *Limiter) hearCold(now time.Time, e LimitKey, w LimitReport) (news bool) {
 	if w.Ended || w.PerSecond <= 0 {
 		return false
 	}
@@ -63,7 +63,7 @@
 
 // AdvanceWarmUp lets endpoints that are no longer cold get more, and returns those that have become
 // warm.
-func (l *Limiter) AdvanceWarmUp(now time.Time) (warm []Endpoint) {
+func (l *Limiter) AdvanceWarmUp(now time.Time) (warm []LimitKey) {
 	if !l.AnyLimit() {
 		return nil
 	}
--- a/permit/golden_test.go
+++ b/permit/golden_test.go
@@ -18,7 +18,7 @@
 	grants map[string]Grant
 }
 
-var sessionEndpoint = Endpoint{Name: "e1"}
+var sessionEndpoint = LimitKey{Name: "e1"}
 
 // TestGolden runs the sessions in testdata. Instance a issues and b asks; at is in
 // milliseconds since the start.
--- a/permit/issue.go
+++ b/permit/issue.go
@@ -122,7 +122,7 @@
 }
 
 // issuerOf returns who issues permits for the endpoint, and its rank; empty for nobody.
-func (l *Limiter) issuerOf(now time.Time, e Endpoint) (name string, rank int) {
+func (l *Limiter) issuerOf(now time.Time, e LimitKey) (name string, rank int) {
 	for rank, name := range l.ranked(e) {
 		i := l.issuers[name]
 		if i == nil || !now.Before(i.passedUntil) {
@@ -133,7 +133,7 @@
 }
 
 // ranked returns the issuers of the endpoint, the first one first.
-func (l *Limiter) ranked(e Endpoint) []string {
+func (l *Limiter) ranked(e LimitKey) []string {
 	type candidate struct {
 		name   string
 		weight uint64
--- a/permit/local.go
+++ b/permit/local.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Endpoint is one start of an endpoint: what an earlier one has named says nothing of it.
-type Endpoint struct {
+// LimitKey is one start of an endpoint: what an earlier one has named says nothing of it.
+type LimitKey struct {
 	Name string
 	// StartedAtMS is when it was started, in Unix milliseconds of its own clock; 0 where
 	// it does not tell.
@@ -22,7 +22,7 @@
 const coldSuffix = " cold"
 
 // text is the endpoint's name in words.
-func (e Endpoint) text() string {
+func (e LimitKey) text() string {
 	if e.Cold {
 		return e.Name + coldSuffix
 	}
@@ -40,7 +40,7 @@
 	limited atomic.Int64
 
 	mu     sync.Mutex
-	limits map[Endpoint]*limit
+	limits map[LimitKey]*limit
 	fleet  Fleet
 	// issuers holds those that have left asks unanswered, met the process of each instance
 	// that was heard.
@@ -105,7 +105,7 @@
 // seq, which differs between the processes of an instance.
 func NewLimiter(self string, seq uint64, wanted func()) *Limiter {
 	return &Limiter{
-		self: self, seq: seq, wanted: wanted, limits: map[Endpoint]*limit{}, issuers: map[string]*issuer{}, met: map[string]string{},
+		self: self, seq: seq, wanted: wanted, limits: map[LimitKey]*limit{}, issuers: map[string]*issuer{}, met: map[string]string{},
 		fleet: Fleet{Members: []string{self}, KnownCount: 1},
 	}
 }
@@ -139,7 +139,7 @@
 
 // RecordLimit records that an answer of the endpoint has named a limit, in requests a second, and
 // reports whether that is news.
-func (l *Limiter) RecordLimit(now time.Time, e Endpoint, perSecond float64) bool {
+func (l *Limiter) RecordLimit(now time.Time, e LimitKey, perSecond float64) bool {
 	if l == nil {
 		return false
 	}
@@ -151,7 +151,7 @@
 // RecordNoLimit records that an answer of the endpoint has named none, to a request that was
 // sent at sentAt, and reports whether that ends a limit. An answer to a request that was
 // sent before the limit was known may be from before it.
-func (l *Limiter) RecordNoLimit(now time.Time, e Endpoint, sentAt time.Time) bool {
+func (l *Limiter) RecordNoLimit(now time.Time, e LimitKey, sentAt time.Time) bool {
 	if !l.AnyLimit() {
 		return false
 	}
@@ -166,7 +166,7 @@
 
 // said records what the endpoint said at a moment, as of now, and reports whether it is
 // another word than the one before.
-func (l *Limiter) said(at, now time.Time, e Endpoint, perSecond float64, ended bool) bool {
+func (l *Limiter) said(at, now time.Time, e LimitKey, perSecond float64, ended bool) bool {
 	known := l.limits[e]
 	if known == nil {
 		if ended || len(l.limits) >= maxLimits {
@@ -195,7 +195,7 @@
 
 // Rate is how many permits a second are issued for an endpoint; false for one that needs
 // none.
-func (l *Limiter) Rate(e Endpoint) (perSecond float64, limited bool) {
+func (l *Limiter) Rate(e LimitKey) (perSecond float64, limited bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.limits[e]
@@ -206,14 +206,14 @@
 }
 
 // ForgetUnlisted drops what endpoints have said that are not listed any more.
-func (l *Limiter) ForgetUnlisted(now time.Time, listed func(Endpoint) bool) {
+func (l *Limiter) ForgetUnlisted(now time.Time, listed func(LimitKey) bool) {
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	maps.DeleteFunc(l.issuers, func(_ string, i *issuer) bool { return i.missed == 0 && !now.Before(i.passedUntil) })
-	maps.DeleteFunc(l.limits, func(e Endpoint, k *limit) bool {
+	maps.DeleteFunc(l.limits, func(e LimitKey, k *limit) bool {
 		if now.Sub(k.touchedAt) < forgetAfter || listed(e) {
 			return false
 		}
--- a/permit/local_test.go
+++ b/permit/local_test.go
@@ -17,14 +17,14 @@
 func newLocal() *Limiter { return NewLimiter("i1", 0, func() {}) }
 
 func TestWhatAnEndpointSays(t *testing.T) {
-	l, e := newLocal(), Endpoint{Name: "e1"}
+	l, e := newLocal(), LimitKey{Name: "e1"}
 	require.True(t, l.Ready(at(0), e))
 	require.True(t, l.RecordLimit(at(0), e, 1.1))
 	require.False(t, l.Ready(at(0), e), "a permit is needed")
 	require.False(t, l.RecordLimit(at(time.Second), e, 1.1), "the same again")
 	require.True(t, l.RecordLimit(at(2*time.Second), e, 2))
 	require.Equal(t, 2.0, l.Stats(start, 10).Limits["e1"].PerSecond)
-	require.True(t, l.Ready(at(0), Endpoint{Name: "e1", StartedAtMS: 7}), "another start of it")
+	require.True(t, l.Ready(at(0), LimitKey{Name: "e1", StartedAtMS: 7}), "another start of it")
 
 	require.False(t, l.RecordNoLimit(at(3*time.Second), e, start), "an answer to a request from before the limit")
 	require.True(t, l.RecordNoLimit(at(3*time.Second), e, at(time.Second)))
@@ -36,7 +36,7 @@
 
 func TestLocalThatKnowsNothing(t *testing.T) {
 	var l *Limiter
-	e := Endpoint{Name: "e1"}
+	e := LimitKey{Name: "e1"}
 	require.False(t, l.RecordLimit(start, e, 1))
 	require.False(t, l.RecordNoLimit(start, e, start))
 	require.True(t, l.Ready(start, e))
@@ -48,7 +48,7 @@
 // TestOnlyNewerWordsCount hears words that were lost on their way for a while, doubled, or
 // in another order.
 func TestOnlyNewerWordsCount(t *testing.T) {
-	l, e := newLocal(), Endpoint{Name: "e1", StartedAtMS: 5}
+	l, e := newLocal(), LimitKey{Name: "e1", StartedAtMS: 5}
 	word := func(perSecond float64, ended bool, age time.Duration) []LimitReport {
 		return []LimitReport{{Endpoint: e.Name, StartedAtMS: e.StartedAtMS, PerSecond: perSecond, Ended: ended, AgeMS: age.Milliseconds()}}
 	}
@@ -64,7 +64,7 @@
 // TestWordSeemsNoNewerOnItsWay has two instances tell each other the same word again and
 // again: it stays as old as it is, so that a newer one is believed.
 func TestWordSeemsNoNewerOnItsWay(t *testing.T) {
-	a, b, e := newLocal(), newLocal(), Endpoint{Name: "e1"}
+	a, b, e := newLocal(), newLocal(), LimitKey{Name: "e1"}
 	a.RecordLimit(start, e, 3)
 	now := start
 	for range 500 {
@@ -102,19 +102,19 @@
 func TestLimitsAreBounded(t *testing.T) {
 	l := newLocal()
 	for i := range 2 * maxLimits {
-		l.RecordLimit(start, Endpoint{Name: "e", StartedAtMS: int64(i)}, 1)
+		l.RecordLimit(start, LimitKey{Name: "e", StartedAtMS: int64(i)}, 1)
 	}
 	require.Len(t, l.limits, maxLimits)
-	l.ForgetUnlisted(at(time.Second), func(Endpoint) bool { return false })
+	l.ForgetUnlisted(at(time.Second), func(LimitKey) bool { return false })
 	require.Len(t, l.limits, maxLimits, "they may be listed yet")
-	l.ForgetUnlisted(at(forgetAfter), func(e Endpoint) bool { return e.StartedAtMS == 3 })
+	l.ForgetUnlisted(at(forgetAfter), func(e LimitKey) bool { return e.StartedAtMS == 3 })
 	require.Len(t, l.limits, 1)
 	require.Equal(t, int64(1), l.limited.Load())
 }
 
 // TestPermitsAreVoidAfterAWhile gets a permit and uses it too late.
 func TestPermitsAreVoidAfterAWhile(t *testing.T) {
-	l, e := newLocal(), Endpoint{Name: "e1"}
+	l, e := newLocal(), LimitKey{Name: "e1"}
 	l.RecordLimit(start, e, 10)
 	l.RecordDemand(start, e)
 	_, got := l.PendingRequests(start)
@@ -134,7 +134,7 @@
 // TestLateAnswers has an issuer that answers late, as one does that is slow: what it issued
 // counts, once, until it is void.
 func TestLateAnswers(t *testing.T) {
-	l, e := newLocal(), Endpoint{Name: "e1"}
+	l, e := newLocal(), LimitKey{Name: "e1"}
 	l.RecordLimit(start, e, 10)
 	l.SetFleet(Fleet{Members: []string{"other"}, KnownCount: 1})
 	var asks []OutgoingRequest
@@ -171,7 +171,7 @@
 
 // TestAnswerTellsThatALimitHasEnded asks an issuer that knows more.
 func TestAnswerTellsThatALimitHasEnded(t *testing.T) {
-	asking, issuing, e := newLocal(), newLocal(), Endpoint{Name: "e1"}
+	asking, issuing, e := newLocal(), newLocal(), LimitKey{Name: "e1"}
 	for _, l := range []*Limiter{asking, issuing} {
 		l.RecordLimit(start, e, 10)
 	}
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -17,7 +17,7 @@
 type simulation struct {
 	random  *rand.Rand
 	now     time.Time
-	e       Endpoint
+	e       LimitKey
 	limit   float64
 	limited bool
 	nodes   []*simNode
@@ -74,7 +74,7 @@
 
 func newSimulation(seed uint64, instances int, perSecond float64) *simulation {
 	s := &simulation{
-		random: rand.New(rand.NewPCG(seed, 7)), now: start, e: Endpoint{Name: "e1"}, limit: perSecond, limited: true,
+		random: rand.New(rand.NewPCG(seed, 7)), now: start, e: LimitKey{Name: "e1"}, limit: perSecond, limited: true,
 		lossRate: 0.02, patience: 2 * time.Second,
 	}
 	s.demand = 4*perSecond + 20
--- a/permit/stock.go
+++ b/permit/stock.go
@@ -65,7 +65,7 @@
 }
 
 // Ready tells whether a request may go to the endpoint now.
-func (l *Limiter) Ready(now time.Time, e Endpoint) bool {
+func (l *Limiter) Ready(now time.Time, e LimitKey) bool {
 	if !l.AnyLimit() {
 		return true
 	}
@@ -77,7 +77,7 @@
 
 // Take uses a permit for a request that goes to the endpoint; false if there is none. An
 // endpoint without a limit needs none.
-func (l *Limiter) Take(now time.Time, e Endpoint) bool {
+func (l *Limiter) Take(now time.Time, e LimitKey) bool {
 	if !l.AnyLimit() {
 		return true
 	}
@@ -104,7 +104,7 @@
 }
 
 // RecordDemand records that a request would go to the endpoint if there were a permit.
-func (l *Limiter) RecordDemand(now time.Time, e Endpoint) {
+func (l *Limiter) RecordDemand(now time.Time, e LimitKey) {
 	l.mu.Lock()
 	known := l.limits[e]
 	if known != nil {
--- a/permit/words.go
+++ b/permit/words.go
@@ -53,9 +53,9 @@
 func (w LimitReport) Bytes() int { return wordHead + len(w.Endpoint) }
 
 // start is the endpoint that the word is about.
-func (w LimitReport) start() Endpoint {
+func (w LimitReport) start() LimitKey {
 	name, cold := strings.CutSuffix(w.Endpoint, coldSuffix)
-	return Endpoint{Name: name, StartedAtMS: w.StartedAtMS, Cold: cold}
+	return LimitKey{Name: name, StartedAtMS: w.StartedAtMS, Cold: cold}
 }
 
 // sound tells whether the word can be believed.
@@ -64,7 +64,7 @@
 }
 
 // word is what is told of an endpoint.
-func (k *limit) word(now time.Time, e Endpoint) LimitReport {
+func (k *limit) word(now time.Time, e LimitKey) LimitReport {
 	return LimitReport{
 		Endpoint: e.text(), StartedAtMS: e.StartedAtMS, PerSecond: k.perSecond, Ended: k.ended,
 		AgeMS: max(now.Sub(k.saidAt), 0).Milliseconds(),
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -63,13 +63,13 @@
 }
 
 // PermitKey identifies this start of the endpoint in what it says of itself.
-func (e *Endpoint) PermitKey() permit.Endpoint {
-	return permit.Endpoint{Name: e.Name, StartedAtMS: e.StartedAtMS}
+func (e *Endpoint) PermitKey() permit.LimitKey {
+	return permit.LimitKey{Name: e.Name, StartedAtMS: e.StartedAtMS}
 }
 
 // ColdPermitKey identifies this start of the endpoint in what it takes while it is cold.
-func (e *Endpoint) ColdPermitKey() permit.Endpoint {
-	return permit.Endpoint{Name: e.Name, StartedAtMS: e.StartedAtMS, Cold: true}
+func (e *Endpoint) ColdPermitKey() permit.LimitKey {
+	return permit.LimitKey{Name: e.Name, StartedAtMS: e.StartedAtMS, Cold: true}
 }
 
 // MarkLimitInvalid records that the endpoint has named a limit that cannot be read, and
--- a/routing/router.go
+++ b/routing/router.go
@@ -236,7 +236,7 @@
 }
 
 // permitOf tells whether there is a permit, and wants one if there is none.
-func (r *Router) permitOf(req *Request, e permit.Endpoint) bool {
+func (r *Router) permitOf(req *Request, e permit.LimitKey) bool {
 	if r.permits.Ready(req.Now, e) {
 		return true
 	}
