--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -86,7 +86,7 @@
 	urgent chan struct{}
 	totals totals
 	// board, othersAt, demandedAt and sharedAt belong to the goroutine of run.
-	board *peer.Board
+	board *peer.FleetView
 	// hubSums and hubAt belong to the goroutine of tick.
 	hubSums broadcast.Totals
 	// toldLast is the summary that was sent last, at toldLastAt to toldLastTo; they belong to
--- a/peer/board.go
+++ b/peer/board.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Board is what all instances have told: a state machine without clock or I/O.
+// FleetView is what all instances have told: a state machine without clock or I/O.
 //
 // Invariant: of each instance only the newest packet of its newest process
 // counts, and nothing of an instance that was not heard for Expiry.
-type Board struct {
+type FleetView struct {
 	peers map[string]*boardEntry
 }
 
@@ -54,11 +54,11 @@
 }
 
 // NewBoard returns an empty board.
-func NewBoard() *Board { return &Board{peers: map[string]*boardEntry{}} }
+func NewBoard() *FleetView { return &FleetView{peers: map[string]*boardEntry{}} }
 
 // Receive takes a packet. It reports false for one that is older than another
 // of the same process.
-func (b *Board) Receive(now time.Time, p Packet) bool {
+func (b *FleetView) Receive(now time.Time, p Packet) bool {
 	e := b.peers[p.From]
 	if e == nil || e.process != p.Process {
 		e = &boardEntry{process: p.Process, since: now, demands: map[string]*demandRate{}}
@@ -120,7 +120,7 @@
 }
 
 // HeardOthers is when any instance but one was last heard; zero for never.
-func (b *Board) HeardOthers(but string) time.Time {
+func (b *FleetView) HeardOthers(but string) time.Time {
 	var last time.Time
 	for name, e := range b.peers {
 		if name != but && e.heardAt.After(last) {
@@ -131,7 +131,7 @@
 }
 
 // Forget drops what is too old to count.
-func (b *Board) Forget(now time.Time) {
+func (b *FleetView) Forget(now time.Time) {
 	for name, e := range b.peers {
 		if now.Sub(e.heardAt) >= Expiry {
 			delete(b.peers, name)
@@ -140,7 +140,7 @@
 }
 
 // Live returns the instances that were heard lately and are not leaving.
-func (b *Board) Live() []string {
+func (b *FleetView) Live() []string {
 	var names []string
 	for name, e := range b.peers {
 		if !e.leaving {
@@ -152,7 +152,7 @@
 }
 
 // Addresses returns where each instance that was heard lately receives packets.
-func (b *Board) Addresses() map[string]string {
+func (b *FleetView) Addresses() map[string]string {
 	addresses := make(map[string]string, len(b.peers))
 	for name, e := range b.peers {
 		addresses[name] = e.address
@@ -161,7 +161,7 @@
 }
 
 // Loads returns what all instances but one have under way, by endpoint.
-func (b *Board) Loads(but string) map[string]EndpointLoad {
+func (b *FleetView) Loads(but string) map[string]EndpointLoad {
 	sum := map[string]EndpointLoad{}
 	for name, e := range b.peers {
 		if name == but {
@@ -179,7 +179,7 @@
 }
 
 // Demand returns what is asked of each unit.
-func (b *Board) Demand() map[string]Demand {
+func (b *FleetView) Demand() map[string]Demand {
 	demands := map[string]Demand{}
 	for _, e := range b.peers {
 		for unit, r := range e.demands {
