--- a/daemon/mesh_bench_test.go
+++ b/daemon/mesh_bench_test.go
@@ -32,7 +32,7 @@
 		instance: "hub", process: "hub", now: time.Now, listed: map[string]presence{}, counted: func(int) {}, router: router,
 		holds: holder, allowances: a, rights: &keyRights{answers: holder, keeper: authority.NewTracker(time.Second), now: time.Now, exact: time.Now, log: logr.Discard(), revision: func() int64 { return 1 }}, eras: &store.Eras{}, refusals: &pipeline.Refusals{}, log: logr.Discard(),
 		quarantine: quarantine.NewManager(quarantine.Config{Now: time.Now, Log: logr.Discard(), Wake: func() {}, Persist: func(quarantine.Report) {}}),
-		revision:   func() int64 { return 1 }, board: peer.NewBoard(), inputs: ring.New[peer.Packet](meshInputs, ring.DropOldest),
+		revision:   func() int64 { return 1 }, board: peer.NewFleetView(), inputs: ring.New[peer.Packet](meshInputs, ring.DropOldest),
 		demanded: func(map[string]peer.Demand) {}, alone: func(bool) {}, suspected: func([]string) {},
 	}
 	m.permits = newPermits("hub", router, logr.Discard(), time.Now)
--- a/daemon/mesh_test.go
+++ b/daemon/mesh_test.go
@@ -78,7 +78,7 @@
 // one that never had any.
 func TestHearsNobody(t *testing.T) {
 	now := time.Unix(1000, 0)
-	m := &mesh{instance: "a", board: peer.NewBoard(), now: func() time.Time { return now }}
+	m := &mesh{instance: "a", board: peer.NewFleetView(), now: func() time.Time { return now }}
 	require.False(t, m.hearsNobody(), "there may be no others")
 	m.board.Receive(now, peer.Packet{From: "b", Process: "p", Seq: 1})
 	require.False(t, m.hearsNobody())
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -240,7 +240,7 @@
 		leaving:   func() bool { return n.stopping.Load() != nil },
 		current:   n.current,
 		inputs:    ring.New[peer.Packet](meshInputs, ring.DropOldest), urgent: make(chan struct{}, 1),
-		listed: map[string]presence{}, board: peer.NewBoard(),
+		listed: map[string]presence{}, board: peer.NewFleetView(),
 		self: presence{
 			Datagrams: address, Streams: n.streamsAddress(host), FailureDomain: n.cfg.FailureDomain, Cores: n.cfg.Limits.CPUShare * n.cfg.Limits.CoreSpeed,
 		},
--- a/daemon/node_test.go
+++ b/daemon/node_test.go
@@ -19,7 +19,7 @@
 	n.cfg.Instance = "weak"
 	n.mesh = &mesh{
 		instance: "weak", now: time.Now, self: presence{Cores: 0.2}, listed: map[string]presence{},
-		counted: func(int) {}, board: peer.NewBoard(),
+		counted: func(int) {}, board: peer.NewFleetView(),
 	}
 	n.mesh.totals.take(time.Now(), peer.Packet{Address: "hub", Instances: 1})
 	require.True(t, n.campaigns("pool", false), "it knows nobody else")
--- a/peer/board.go
+++ b/peer/board.go
@@ -53,8 +53,8 @@
 	AskedAt time.Time
 }
 
-// NewBoard returns an empty board.
-func NewBoard() *FleetView { return &FleetView{peers: map[string]*boardEntry{}} }
+// NewFleetView returns an empty board.
+func NewFleetView() *FleetView { return &FleetView{peers: map[string]*boardEntry{}} }
 
 // Receive takes a packet. It reports false for one that is older than another
 // of the same process.
--- a/peer/board_test.go
+++ b/peer/board_test.go
@@ -12,7 +12,7 @@
 func boardAt(ms int) time.Time { return boardStart.Add(time.Duration(ms) * time.Millisecond) }
 
 func TestBoardSumsOthersLoads(t *testing.T) {
-	b := NewBoard()
+	b := NewFleetView()
 	for i, from := range []string{"a", "b", "c"} {
 		require.True(t, b.Receive(boardAt(0), Packet{
 			From: from, Process: "p", Seq: 1, Address: from + ":1",
@@ -29,7 +29,7 @@
 
 // TestPlacementsLeaveTheRest takes a packet that tells placements only.
 func TestPlacementsLeaveTheRest(t *testing.T) {
-	b := NewBoard()
+	b := NewFleetView()
 	b.Receive(boardAt(0), Packet{From: "a", Process: "p", Seq: 1, Loads: []EndpointLoad{{Endpoint: "e", Running: 4}}})
 	b.Receive(boardAt(1), Packet{From: "a", Process: "p", Seq: 2, Placements: []Placement{{Endpoint: "e"}}})
 	require.EqualValues(t, 4, b.Loads("")["e"].Running)
@@ -38,7 +38,7 @@
 // TestDemandIsARate tells work that grows by 1000 a second, with packets lost and
 // the unit left out for a while.
 func TestDemandIsARate(t *testing.T) {
-	b := NewBoard()
+	b := NewFleetView()
 	seq, work := uint64(0), 5000.0
 	for ms := 0; ms < 8000; ms += 100 {
 		work += 100
@@ -65,7 +65,7 @@
 // TestFirstDemandCounts asks for a unit for the first time at a process that is
 // known: the work is not lost.
 func TestFirstDemandCounts(t *testing.T) {
-	b := NewBoard()
+	b := NewFleetView()
 	b.Receive(boardAt(0), Packet{From: "a", Process: "p", Seq: 1})
 	b.Receive(boardAt(100), Packet{From: "a", Process: "p", Seq: 2, Demands: []UnitDemand{{Unit: "m", Work: 3000}}})
 	require.Greater(t, b.Demand()["m"].Rate, 1000.0)
