--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -171,7 +171,7 @@
 	hubSlow = 400 * time.Millisecond
 	// summaryKept is when an instance of a large fleet tells again what has not changed: three
 	// such words fit into the time after which it counts as gone.
-	summaryKept = peer.Expiry / 4
+	summaryKept = peer.PeerTimeout / 4
 	// hubLinkShare is the share of what it can send that the hub may fill with sums, and the
 	// same for placements that it repeats. changesLinkShare is that for placements that have
 	// changed.
--- a/daemon/mesh_test.go
+++ b/daemon/mesh_test.go
@@ -85,7 +85,7 @@
 	now = now.Add(aloneAfter)
 	m.board.Receive(now, peer.Packet{From: "a", Process: "own", Seq: 1})
 	require.True(t, m.hearsNobody(), "its own packets say nothing")
-	now = now.Add(peer.Expiry)
+	now = now.Add(peer.PeerTimeout)
 	m.board.Forget(now)
 	require.True(t, m.hearsNobody())
 	m.board.Receive(now, peer.Packet{From: "b", Process: "p", Seq: 2})
--- a/daemon/summary_test.go
+++ b/daemon/summary_test.go
@@ -43,5 +43,5 @@
 		}
 	}
 	require.Equal(t, 10, told, "four words a second, of ten")
-	require.Less(t, 3*summaryKept, peer.Expiry)
+	require.Less(t, 3*summaryKept, peer.PeerTimeout)
 }
--- a/peer/board.go
+++ b/peer/board.go
@@ -14,8 +14,8 @@
 	peers map[string]*boardEntry
 }
 
-// Expiry is how long an instance counts without a packet.
-const Expiry = 1500 * time.Millisecond
+// PeerTimeout is how long an instance counts without a packet.
+const PeerTimeout = 1500 * time.Millisecond
 
 // rateTime is the time over which demand is averaged.
 const rateTime = time.Second
@@ -133,7 +133,7 @@
 // Forget drops what is too old to count.
 func (b *FleetView) Forget(now time.Time) {
 	for name, e := range b.peers {
-		if now.Sub(e.heardAt) >= Expiry {
+		if now.Sub(e.heardAt) >= PeerTimeout {
 			delete(b.peers, name)
 		}
 	}
