--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -382,7 +382,7 @@
 
 // hearsNobody tells whether this instance may be cut off from the others.
 func (m *mesh) hearsNobody() bool {
-	if at := m.board.HeardOthers(m.instance); at.After(m.othersAt) {
+	if at := m.board.LastContactExcept(m.instance); at.After(m.othersAt) {
 		m.othersAt = at
 		m.heardOthers.Store(&at)
 	}
--- a/peer/board.go
+++ b/peer/board.go
@@ -119,8 +119,8 @@
 	r.work, r.at = d.Work, now
 }
 
-// HeardOthers is when any instance but one was last heard; zero for never.
-func (b *FleetView) HeardOthers(but string) time.Time {
+// LastContactExcept is when any instance but one was last heard; zero for never.
+func (b *FleetView) LastContactExcept(but string) time.Time {
 	var last time.Time
 	for name, e := range b.peers {
 		if name != but && e.heardAt.After(last) {
