--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -319,7 +319,7 @@
 	if p.From == m.instance {
 		m.noteVouch()
 		m.alone(m.hearsNobody())
-		m.board.Forget(m.now())
+		m.board.Expire(m.now())
 		m.publish()
 	}
 	if p.From == m.instance || waits && m.demandDue() {
--- a/daemon/mesh_test.go
+++ b/daemon/mesh_test.go
@@ -86,7 +86,7 @@
 	m.board.Receive(now, peer.Packet{From: "a", Process: "own", Seq: 1})
 	require.True(t, m.hearsNobody(), "its own packets say nothing")
 	now = now.Add(peer.PeerTimeout)
-	m.board.Forget(now)
+	m.board.Expire(now)
 	require.True(t, m.hearsNobody())
 	m.board.Receive(now, peer.Packet{From: "b", Process: "p", Seq: 2})
 	require.False(t, m.hearsNobody())
--- a/peer/board.go
+++ b/peer/board.go
@@ -130,8 +130,8 @@
 	return last
 }
 
-// Forget drops what is too old to count.
-func (b *FleetView) Forget(now time.Time) {
+// Expire drops what is too old to count.
+func (b *FleetView) Expire(now time.Time) {
 	for name, e := range b.peers {
 		if now.Sub(e.heardAt) >= PeerTimeout {
 			delete(b.peers, name)
--- a/peer/board_test.go
+++ b/peer/board_test.go
@@ -23,7 +23,7 @@
 	require.False(t, b.Receive(boardAt(1), Packet{From: "b", Process: "p", Seq: 1}), "the same packet twice")
 	require.True(t, b.Receive(boardAt(2), Packet{From: "b", Process: "later", Seq: 1}), "a new process counts anew")
 	require.Equal(t, EndpointLoad{Endpoint: "e", Running: 3, Prompt: 10}, b.Loads("a")["e"])
-	b.Forget(boardAt(0).Add(PeerTimeout))
+	b.Expire(boardAt(0).Add(PeerTimeout))
 	require.Equal(t, []string{"b"}, b.Live(), "the others were not heard since")
 }
 
