--- a/daemon/endings_test.go
+++ b/daemon/endings_test.go
@@ -40,7 +40,7 @@
 			Limits: quarantine.DefaultLimits, Now: func() time.Time { return f.now }, Log: logr.Discard(),
 		}),
 	}
-	d.gossip.Step(f.now, peer.Live{Names: f.names})
+	d.gossip.Step(f.now, peer.LiveInstances{Names: f.names})
 	f.peers[name] = d
 }
 
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -186,5 +186,5 @@
 	if d.counted != nil {
 		d.counted(len(live))
 	}
-	_ = d.events.Put(context.Background(), peer.Live{Names: live})
+	_ = d.events.Put(context.Background(), peer.LiveInstances{Names: live})
 }
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -10,8 +10,8 @@
 // Event is an input of Gossip.
 type Event interface{ isEvent() }
 
-// Live is the instances on the platform's list, this one included.
-type Live struct{ Names []string }
+// LiveInstances is the instances on the platform's list, this one included.
+type LiveInstances struct{ Names []string }
 
 // InForce is the revision in force here.
 type InForce struct{ Revision int64 }
@@ -41,7 +41,7 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Live) isEvent()       {}
+func (LiveInstances) isEvent()       {}
 func (InForce) isEvent()    {}
 func (ListHeld) isEvent()   {}
 func (StoreHeard) isEvent() {}
@@ -150,7 +150,7 @@
 // Step applies an event and returns what to do.
 func (g *Gossip) Step(now time.Time, e Event) []Action {
 	switch e := e.(type) {
-	case Live:
+	case LiveInstances:
 		g.live(e.Names)
 	case InForce:
 		if e.Revision > g.revision {
--- a/peer/listword_test.go
+++ b/peer/listword_test.go
@@ -44,7 +44,7 @@
 func TestWordOfANewerListIsActedOn(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGossip(GossipConfig{Name: "a", Process: "p"})
-	g.Step(now, Live{Names: []string{"a", "b"}})
+	g.Step(now, LiveInstances{Names: []string{"a", "b"}})
 	acted := besidesSending(g.Step(now, Received{Hint: wordOfList(t, now, 1, 7)}))
 	for range 4 {
 		now = now.Add(250 * time.Millisecond)
@@ -120,7 +120,7 @@
 func TestNewerListIsToldOnceALook(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := NewGossip(GossipConfig{Name: "a", Process: "p"})
-	g.Step(now, Live{Names: []string{"a", "b"}})
+	g.Step(now, LiveInstances{Names: []string{"a", "b"}})
 	g.Step(now, Tick{})
 	for version := int64(1); version <= 20; version++ {
 		require.Empty(t, g.Step(now, ListHeld{Version: version}))
@@ -168,7 +168,7 @@
 			}
 			start := time.Unix(1000, 0)
 			for _, name := range names {
-				nodes[name].Step(start, Live{Names: names})
+				nodes[name].Step(start, LiveInstances{Names: names})
 				nodes[name].Step(start, ListHeld{Version: 1})
 			}
 			nodes["i0"].Step(start, ListHeld{Version: 2})
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -118,7 +118,7 @@
 		}
 	}
 	for _, n := range names {
-		carry(n, nodes[n].Step(now, Live{Names: names}))
+		carry(n, nodes[n].Step(now, LiveInstances{Names: names}))
 	}
 	carry("i0", nodes["i0"].Step(now, InForce{Revision: 7}))
 	rounds := 0
@@ -149,7 +149,7 @@
 	now := time.Unix(1000, 0)
 	a, b := NewGossip(GossipConfig{Name: "a", Process: "p"}), NewGossip(GossipConfig{Name: "b", Process: "p"})
 	for _, g := range []*Gossip{a, b} {
-		g.Step(now, Live{Names: []string{"a", "b"}})
+		g.Step(now, LiveInstances{Names: []string{"a", "b"}})
 	}
 	a.Step(now, StoreHeard{})
 	later := now.Add(2 * time.Second)
