--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -196,7 +196,7 @@
 	if previous == nil || !slices.Equal(previous.Tree.PeerKeys, a.Tree.PeerKeys) {
 		i.rotate(i.peerKeys(a.Tree))
 	}
-	_ = i.peers.events.Put(i.work, peer.InForce{Revision: a.Entry.Revision})
+	_ = i.peers.events.Put(i.work, peer.RevisionInForce{Revision: a.Entry.Revision})
 	return c
 }
 
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -13,8 +13,8 @@
 // LiveInstances is the instances on the platform's list, this one included.
 type LiveInstances struct{ Names []string }
 
-// InForce is the revision in force here.
-type InForce struct{ Revision int64 }
+// RevisionInForce is the revision in force here.
+type RevisionInForce struct{ Revision int64 }
 
 // ListHeld is the version of an answer of the platform's list, and the version on
 // whose word it was asked for, 0 if on none.
@@ -42,7 +42,7 @@
 type Tick struct{}
 
 func (LiveInstances) isEvent()       {}
-func (InForce) isEvent()    {}
+func (RevisionInForce) isEvent()    {}
 func (ListHeld) isEvent()   {}
 func (StoreHeard) isEvent() {}
 func (Received) isEvent()   {}
@@ -152,7 +152,7 @@
 	switch e := e.(type) {
 	case LiveInstances:
 		g.live(e.Names)
-	case InForce:
+	case RevisionInForce:
 		if e.Revision > g.revision {
 			g.revision = e.Revision
 			return g.tell(now)
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -111,7 +111,7 @@
 				}
 			case Fetch:
 				// The fetch succeeds at once.
-				for _, next := range nodes[name].Step(now, InForce{Revision: a.Revision}) {
+				for _, next := range nodes[name].Step(now, RevisionInForce{Revision: a.Revision}) {
 					link = append(link, next.(Send))
 				}
 			}
@@ -120,7 +120,7 @@
 	for _, n := range names {
 		carry(n, nodes[n].Step(now, LiveInstances{Names: names}))
 	}
-	carry("i0", nodes["i0"].Step(now, InForce{Revision: 7}))
+	carry("i0", nodes["i0"].Step(now, RevisionInForce{Revision: 7}))
 	rounds := 0
 	for ; rounds < 20; rounds++ {
 		behind := 0
