--- a/daemon/hungpoll_test.go
+++ b/daemon/hungpoll_test.go
@@ -230,18 +230,18 @@
 	members *standin.Members
 	list    *silences
 	carrier *inMemory
-	answers chan peer.ListHeld
+	answers chan peer.ListReceived
 }
 
 // follow runs the duty until the returned function is called.
 func follow(t *testing.T) (*following, func()) {
 	t.Helper()
-	f := &following{members: listOf(deskMember), answers: make(chan peer.ListHeld, eventsCapacity)}
+	f := &following{members: listOf(deskMember), answers: make(chan peer.ListReceived, eventsCapacity)}
 	f.list = &silences{next: f.members}
 	f.carrier = &inMemory{handler: f.list}
 	f.membersDuty = &membersDuty{
 		source: membership.NewSource("http://platform", f.carrier), events: ring.New[event](eventsCapacity, ring.Block), log: logr.Discard(),
-		held: func(version, asked int64) { f.answers <- peer.ListHeld{Version: version, Asked: asked} },
+		held: func(version, asked int64) { f.answers <- peer.ListReceived{Version: version, Asked: asked} },
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -288,7 +288,7 @@
 		for len(f.answers) > 1 {
 			<-f.answers
 		}
-		require.Equal(t, peer.ListHeld{Version: f.version(), Asked: f.version()}, <-f.answers)
+		require.Equal(t, peer.ListReceived{Version: f.version(), Asked: f.version()}, <-f.answers)
 	})
 }
 
@@ -302,7 +302,7 @@
 		f.ask(100)
 		synctest.Wait()
 		require.Len(t, f.answers, 1, "answered at once")
-		require.Equal(t, peer.ListHeld{Version: f.version(), Asked: 100}, <-f.answers)
+		require.Equal(t, peer.ListReceived{Version: f.version(), Asked: 100}, <-f.answers)
 	})
 }
 
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -162,7 +162,7 @@
 // listHeld takes the version of an answer of the platform's list, and the version on
 // whose word it was asked for.
 func (d *peersDuty) listHeld(version, asked int64) {
-	_ = d.events.Put(context.Background(), peer.ListHeld{Version: version, Asked: asked})
+	_ = d.events.Put(context.Background(), peer.ListReceived{Version: version, Asked: asked})
 }
 
 // members takes the instances of a new list.
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -16,9 +16,9 @@
 // RevisionInForce is the revision in force here.
 type RevisionInForce struct{ Revision int64 }
 
-// ListHeld is the version of an answer of the platform's list, and the version on
+// ListReceived is the version of an answer of the platform's list, and the version on
 // whose word it was asked for, 0 if on none.
-type ListHeld struct{ Version, Asked int64 }
+type ListReceived struct{ Version, Asked int64 }
 
 // StoreHeard says that the object API has answered this instance.
 type StoreHeard struct{}
@@ -43,7 +43,7 @@
 
 func (LiveInstances) isEvent()       {}
 func (RevisionInForce) isEvent()    {}
-func (ListHeld) isEvent()   {}
+func (ListReceived) isEvent()   {}
 func (StoreHeard) isEvent() {}
 func (Received) isEvent()   {}
 func (Leave) isEvent()      {}
@@ -159,7 +159,7 @@
 		}
 	case StoreHeard:
 		g.storeAt = now
-	case ListHeld:
+	case ListReceived:
 		g.listNews = g.list.held(now, e.Version, e.Asked) || g.listNews
 	case Leave:
 		g.leaving = true
--- a/peer/listword_test.go
+++ b/peer/listword_test.go
@@ -82,15 +82,15 @@
 		events []Event
 		want   []time.Duration
 	}{
-		{"an older release tells no version", []Event{ListHeld{Version: 5}, word(0)}, nil},
-		{"the same list", []Event{ListHeld{Version: 5}, word(5)}, nil},
-		{"an older list", []Event{ListHeld{Version: 5}, word(4)}, nil},
-		{"the own call brings it", []Event{ListHeld{Version: 5}, word(6), ListHeld{Version: 6}}, nil},
-		{"the own call brings a newer one", []Event{ListHeld{Version: 5}, word(6), ListHeld{Version: 7}}, nil},
-		{"no answer at all: asks come further apart", []Event{ListHeld{Version: 5}, word(6)}, []time.Duration{
+		{"an older release tells no version", []Event{ListReceived{Version: 5}, word(0)}, nil},
+		{"the same list", []Event{ListReceived{Version: 5}, word(5)}, nil},
+		{"an older list", []Event{ListReceived{Version: 5}, word(4)}, nil},
+		{"the own call brings it", []Event{ListReceived{Version: 5}, word(6), ListReceived{Version: 6}}, nil},
+		{"the own call brings a newer one", []Event{ListReceived{Version: 5}, word(6), ListReceived{Version: 7}}, nil},
+		{"no answer at all: asks come further apart", []Event{ListReceived{Version: 5}, word(6)}, []time.Duration{
 			250 * time.Millisecond, 1250 * time.Millisecond, 3250 * time.Millisecond, 7250 * time.Millisecond, 11250 * time.Millisecond,
 		}},
-		{"the list does not have it", []Event{ListHeld{Version: 5}, word(100), ListHeld{Version: 5, Asked: 100}, word(99)}, nil},
+		{"the list does not have it", []Event{ListReceived{Version: 5}, word(100), ListReceived{Version: 5, Asked: 100}, word(99)}, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -110,7 +110,7 @@
 	g := NewGossip(GossipConfig{Name: "a", Process: "p"})
 	for version := int64(2); version < 40; version++ {
 		g.Step(now, Received{Hint: Hint{From: "b", Process: "p", Seq: uint64(version), SentMS: now.UnixMilli(), List: version}})
-		g.Step(now, ListHeld{Version: version - 1})
+		g.Step(now, ListReceived{Version: version - 1})
 		now = now.Add(100 * time.Millisecond)
 		require.Empty(t, besidesSending(g.Step(now, Tick{})))
 	}
@@ -123,7 +123,7 @@
 	g.Step(now, LiveInstances{Names: []string{"a", "b"}})
 	g.Step(now, Tick{})
 	for version := int64(1); version <= 20; version++ {
-		require.Empty(t, g.Step(now, ListHeld{Version: version}))
+		require.Empty(t, g.Step(now, ListReceived{Version: version}))
 	}
 	told := g.Step(now.Add(listTick), Tick{})
 	require.Len(t, told, 1)
@@ -169,9 +169,9 @@
 			start := time.Unix(1000, 0)
 			for _, name := range names {
 				nodes[name].Step(start, LiveInstances{Names: names})
-				nodes[name].Step(start, ListHeld{Version: 1})
+				nodes[name].Step(start, ListReceived{Version: 1})
 			}
-			nodes["i0"].Step(start, ListHeld{Version: 2})
+			nodes["i0"].Step(start, ListReceived{Version: 2})
 			for at := time.Duration(0); at < inTime; at += step {
 				now := start.Add(at)
 				for _, name := range names {
@@ -184,7 +184,7 @@
 							nodes[a.To].Step(now, Received{Hint: a.Hint})
 						case AskList:
 							asks[name]++
-							nodes[name].Step(now, ListHeld{Version: 2, Asked: a.Version})
+							nodes[name].Step(now, ListReceived{Version: 2, Asked: a.Version})
 						}
 					}
 				}
