--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -122,7 +122,7 @@
 	i.gates = pipeline.NewGates(admission.Limits{MaxWaiters: cfg.Limits.QueueRequests, MaxBytes: cfg.Limits.QueueBytes}, deps.Now)
 	i.control = engine.NewClient(engine.Config{Dial: i.counted("engine_control")})
 	i.heard = newFreshness(deps.Now, milliseconds(cfg.Limits.FreshnessMS), func() {
-		_ = i.peers.events.Put(i.work, peer.StoreHeard{})
+		_ = i.peers.events.Put(i.work, peer.StoreAnswered{})
 	})
 	i.work, i.stop = context.WithCancel(context.Background())
 	i.quarantine = quarantine.NewManager(quarantine.Config{
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -20,8 +20,8 @@
 // whose word it was asked for, 0 if on none.
 type ListReceived struct{ Version, Asked int64 }
 
-// StoreHeard says that the object API has answered this instance.
-type StoreHeard struct{}
+// StoreAnswered says that the object API has answered this instance.
+type StoreAnswered struct{}
 
 // Received is a hint that was opened, and when by the time of day; zero stands for the
 // time of the step.
@@ -44,7 +44,7 @@
 func (LiveInstances) isEvent()       {}
 func (RevisionInForce) isEvent()    {}
 func (ListReceived) isEvent()   {}
-func (StoreHeard) isEvent() {}
+func (StoreAnswered) isEvent() {}
 func (Received) isEvent()   {}
 func (Leave) isEvent()      {}
 func (Hurry) isEvent()      {}
@@ -157,7 +157,7 @@
 			g.revision = e.Revision
 			return g.tell(now)
 		}
-	case StoreHeard:
+	case StoreAnswered:
 		g.storeAt = now
 	case ListReceived:
 		g.listNews = g.list.held(now, e.Version, e.Asked) || g.listNews
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -151,7 +151,7 @@
 	for _, g := range []*Gossip{a, b} {
 		g.Step(now, LiveInstances{Names: []string{"a", "b"}})
 	}
-	a.Step(now, StoreHeard{})
+	a.Step(now, StoreAnswered{})
 	later := now.Add(2 * time.Second)
 	for _, s := range a.Step(later, Tick{}) {
 		b.Step(later, Received{Hint: s.(Send).Hint})
