--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -127,7 +127,7 @@
 	i.work, i.stop = context.WithCancel(context.Background())
 	i.quarantine = quarantine.NewManager(quarantine.Config{
 		Limits: cfg.Quarantine.limits(), Now: deps.Now, Log: i.log,
-		Wake: func() { _ = i.peers.events.Put(i.work, peer.Hurry{}) },
+		Wake: func() { _ = i.peers.events.Put(i.work, peer.SendNow{}) },
 	})
 	i.vars.Set("quarantine", expvar.Func(func() any { return i.quarantine.Stats() }))
 	if err := i.openPeers(); err != nil {
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -35,8 +35,8 @@
 // Leave says that this instance makes a planned stop.
 type Leave struct{}
 
-// Hurry asks to tell the neighbours at once, as there is news besides the revision.
-type Hurry struct{}
+// SendNow asks to tell the neighbours at once, as there is news besides the revision.
+type SendNow struct{}
 
 // Tick lets time pass.
 type Tick struct{}
@@ -47,7 +47,7 @@
 func (StoreAnswered) isEvent() {}
 func (Received) isEvent()   {}
 func (Leave) isEvent()      {}
-func (Hurry) isEvent()      {}
+func (SendNow) isEvent()      {}
 func (Tick) isEvent()       {}
 
 // Action is an output of Gossip.
@@ -164,7 +164,7 @@
 	case Leave:
 		g.leaving = true
 		return g.tell(now)
-	case Hurry:
+	case SendNow:
 		return g.tell(now)
 	case Received:
 		return g.received(now, e)
