--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -142,7 +142,7 @@
 		d.datagrams.Send(address, sealed)
 	case peer.Fetch:
 		_ = d.wanted.Put(ctx, wanted{stream: d.address(a.From).streams, revision: a.Revision})
-	case peer.AskList:
+	case peer.RefreshList:
 		d.askList(a.Version)
 	case peer.EndingsHeard:
 		// Each instance tells a few others, so news goes from one to the next.
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -65,9 +65,9 @@
 	Revision int64
 }
 
-// AskList asks to give up a call to the platform's list that waits, and to ask at once:
+// RefreshList asks to give up a call to the platform's list that waits, and to ask at once:
 // an instance has that version, and this one has not.
-type AskList struct{ Version int64 }
+type RefreshList struct{ Version int64 }
 
 // PeerLeaving says that an instance makes a planned stop.
 type PeerLeaving struct{ Name string }
@@ -78,7 +78,7 @@
 func (EndingsHeard) isAction() {}
 func (Send) isAction()         {}
 func (Fetch) isAction()        {}
-func (AskList) isAction()      {}
+func (RefreshList) isAction()      {}
 func (PeerLeaving) isAction()  {}
 
 // GossipConfig sets up a Gossip.
@@ -179,7 +179,7 @@
 func (g *Gossip) tick(now time.Time) []Action {
 	var actions []Action
 	if g.list.due(now) {
-		actions = append(actions, AskList{Version: g.list.told})
+		actions = append(actions, RefreshList{Version: g.list.told})
 	}
 	if g.listNews || now.Sub(g.sentAt) >= g.cfg.Every {
 		actions = append(actions, g.tell(now)...)
--- a/peer/listword_test.go
+++ b/peer/listword_test.go
@@ -62,7 +62,7 @@
 	for i := 1; i <= looks; i++ {
 		now := from.Add(time.Duration(i) * listTick)
 		for _, a := range besidesSending(g.Step(now, Tick{})) {
-			if _, asks := a.(AskList); asks {
+			if _, asks := a.(RefreshList); asks {
 				at = append(at, now.Sub(from))
 			}
 		}
@@ -182,7 +182,7 @@
 						switch a := a.(type) {
 						case Send:
 							nodes[a.To].Step(now, Received{Hint: a.Hint})
-						case AskList:
+						case RefreshList:
 							asks[name]++
 							nodes[name].Step(now, ListReceived{Version: 2, Asked: a.Version})
 						}
