--- a/daemon/endings_test.go
+++ b/daemon/endings_test.go
@@ -68,7 +68,7 @@
 			hint, err := peer.DecodeHint(data)
 			require.NoError(t, err)
 			f.step(t, a.To, peer.Received{Hint: hint})
-		case peer.EndingsHeard:
+		case peer.EndingsReceived:
 			d.quarantine.ReceiveReports(a.Words, true)
 		}
 	}
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -144,7 +144,7 @@
 		_ = d.wanted.Put(ctx, wanted{stream: d.address(a.From).streams, revision: a.Revision})
 	case peer.RefreshList:
 		d.askList(a.Version)
-	case peer.EndingsHeard:
+	case peer.EndingsReceived:
 		// Each instance tells a few others, so news goes from one to the next.
 		d.quarantine.ReceiveReports(a.Words, true)
 	case peer.PeerLeaving:
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -41,14 +41,14 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (LiveInstances) isEvent()       {}
-func (RevisionInForce) isEvent()    {}
-func (ListReceived) isEvent()   {}
-func (StoreAnswered) isEvent() {}
-func (Received) isEvent()   {}
-func (Leave) isEvent()      {}
-func (SendNow) isEvent()      {}
-func (Tick) isEvent()       {}
+func (LiveInstances) isEvent()   {}
+func (RevisionInForce) isEvent() {}
+func (ListReceived) isEvent()    {}
+func (StoreAnswered) isEvent()   {}
+func (Received) isEvent()        {}
+func (Leave) isEvent()           {}
+func (SendNow) isEvent()         {}
+func (Tick) isEvent()            {}
 
 // Action is an output of Gossip.
 type Action interface{ isAction() }
@@ -72,14 +72,14 @@
 // PeerLeaving says that an instance makes a planned stop.
 type PeerLeaving struct{ Name string }
 
-// EndingsHeard are the words of a neighbour on requests under which endpoints ended.
-type EndingsHeard struct{ Words []quarantine.Report }
+// EndingsReceived are the words of a neighbour on requests under which endpoints ended.
+type EndingsReceived struct{ Words []quarantine.Report }
 
-func (EndingsHeard) isAction() {}
-func (Send) isAction()         {}
-func (Fetch) isAction()        {}
-func (RefreshList) isAction()      {}
-func (PeerLeaving) isAction()  {}
+func (EndingsReceived) isAction() {}
+func (Send) isAction()            {}
+func (Fetch) isAction()           {}
+func (RefreshList) isAction()     {}
+func (PeerLeaving) isAction()     {}
 
 // GossipConfig sets up a Gossip.
 type GossipConfig struct {
@@ -214,7 +214,7 @@
 	g.list.hear(now, h.List)
 	var actions []Action
 	if len(h.Endings) > 0 {
-		actions = append(actions, EndingsHeard{Words: h.Endings})
+		actions = append(actions, EndingsReceived{Words: h.Endings})
 	}
 	if h.Leaving {
 		actions = append(actions, PeerLeaving{Name: h.From})
