--- a/daemon/endings_test.go
+++ b/daemon/endings_test.go
@@ -69,7 +69,7 @@
 			require.NoError(t, err)
 			f.step(t, a.To, peer.Received{Hint: hint})
 		case peer.EndingsReceived:
-			d.quarantine.ReceiveReports(a.Words, true)
+			d.quarantine.ReceiveReports(a.Reports, true)
 		}
 	}
 }
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -146,7 +146,7 @@
 		d.askList(a.Version)
 	case peer.EndingsReceived:
 		// Each instance tells a few others, so news goes from one to the next.
-		d.quarantine.ReceiveReports(a.Words, true)
+		d.quarantine.ReceiveReports(a.Reports, true)
 	case peer.PeerLeaving:
 		d.leaving(a.Name)
 	}
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -73,7 +73,7 @@
 type PeerLeaving struct{ Name string }
 
 // EndingsReceived are the words of a neighbour on requests under which endpoints ended.
-type EndingsReceived struct{ Words []quarantine.Report }
+type EndingsReceived struct{ Reports []quarantine.Report }
 
 func (EndingsReceived) isAction() {}
 func (Send) isAction()            {}
@@ -214,7 +214,7 @@
 	g.list.hear(now, h.List)
 	var actions []Action
 	if len(h.Endings) > 0 {
-		actions = append(actions, EndingsReceived{Words: h.Endings})
+		actions = append(actions, EndingsReceived{Reports: h.Endings})
 	}
 	if h.Leaving {
 		actions = append(actions, PeerLeaving{Name: h.From})
