--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -85,8 +85,8 @@
 type GossipConfig struct {
 	// Name and Process name this instance and its process.
 	Name, Process string
-	// Every is the time between hints to each neighbour.
-	Every time.Duration
+	// Interval is the time between hints to each neighbour.
+	Interval time.Duration
 	// FetchEvery is the least time between two fetches of the same revision.
 	FetchEvery time.Duration
 	// ListGrace is how long the own call to the platform's list has to bring what
@@ -132,8 +132,8 @@
 
 // NewGossip returns a gossip that knows of nobody.
 func NewGossip(cfg GossipConfig) *Gossip {
-	if cfg.Every == 0 {
-		cfg.Every = DefaultGossipEvery
+	if cfg.Interval == 0 {
+		cfg.Interval = DefaultGossipEvery
 	}
 	if cfg.FetchEvery == 0 {
 		cfg.FetchEvery = DefaultFetchEvery
@@ -181,7 +181,7 @@
 	if g.list.due(now) {
 		actions = append(actions, RefreshList{Version: g.list.told})
 	}
-	if g.listNews || now.Sub(g.sentAt) >= g.cfg.Every {
+	if g.listNews || now.Sub(g.sentAt) >= g.cfg.Interval {
 		actions = append(actions, g.tell(now)...)
 	}
 	return actions
