--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -87,8 +87,8 @@
 	Name, Process string
 	// Interval is the time between hints to each neighbour.
 	Interval time.Duration
-	// FetchEvery is the least time between two fetches of the same revision.
-	FetchEvery time.Duration
+	// MinFetchInterval is the least time between two fetches of the same revision.
+	MinFetchInterval time.Duration
 	// ListGrace is how long the own call to the platform's list has to bring what
 	// another instance has; ListEvery is the least time between two asks for it.
 	ListGrace, ListEvery time.Duration
@@ -135,8 +135,8 @@
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultGossipEvery
 	}
-	if cfg.FetchEvery == 0 {
-		cfg.FetchEvery = DefaultFetchEvery
+	if cfg.MinFetchInterval == 0 {
+		cfg.MinFetchInterval = DefaultFetchEvery
 	}
 	if cfg.ListGrace == 0 {
 		cfg.ListGrace = DefaultListGrace
@@ -220,7 +220,7 @@
 		actions = append(actions, PeerLeaving{Name: h.From})
 	}
 	switch {
-	case h.Revision > g.revision && (h.Revision > g.fetching || now.Sub(g.fetchedAt) >= g.cfg.FetchEvery):
+	case h.Revision > g.revision && (h.Revision > g.fetching || now.Sub(g.fetchedAt) >= g.cfg.MinFetchInterval):
 		g.fetching, g.fetchedAt = h.Revision, now
 		actions = append(actions, Fetch{From: h.From, Revision: h.Revision})
 	case h.Revision < g.revision || r.Reply:
