--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -90,8 +90,8 @@
 	// MinFetchInterval is the least time between two fetches of the same revision.
 	MinFetchInterval time.Duration
 	// ListGrace is how long the own call to the platform's list has to bring what
-	// another instance has; ListEvery is the least time between two asks for it.
-	ListGrace, ListEvery time.Duration
+	// another instance has; MinListInterval is the least time between two asks for it.
+	ListGrace, MinListInterval time.Duration
 }
 
 // Defaults of GossipConfig.
@@ -141,10 +141,10 @@
 	if cfg.ListGrace == 0 {
 		cfg.ListGrace = DefaultListGrace
 	}
-	if cfg.ListEvery == 0 {
-		cfg.ListEvery = DefaultListEvery
+	if cfg.MinListInterval == 0 {
+		cfg.MinListInterval = DefaultListEvery
 	}
-	return &Gossip{cfg: cfg, guard: newReplayGuard(), list: listWord{grace: cfg.ListGrace, every: cfg.ListEvery}}
+	return &Gossip{cfg: cfg, guard: newReplayGuard(), list: listWord{grace: cfg.ListGrace, every: cfg.MinListInterval}}
 }
 
 // Step applies an event and returns what to do.
