--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -96,7 +96,7 @@
 
 // Defaults of GossipConfig.
 const (
-	DefaultGossipEvery = 500 * time.Millisecond
+	DefaultGossipInterval = 500 * time.Millisecond
 	DefaultFetchEvery  = 300 * time.Millisecond
 	// DefaultListGrace is many times what lies between the list's answers to two
 	// calls that wait, so that an ask means that the own call hangs.
@@ -133,7 +133,7 @@
 // NewGossip returns a gossip that knows of nobody.
 func NewGossip(cfg GossipConfig) *Gossip {
 	if cfg.Interval == 0 {
-		cfg.Interval = DefaultGossipEvery
+		cfg.Interval = DefaultGossipInterval
 	}
 	if cfg.MinFetchInterval == 0 {
 		cfg.MinFetchInterval = DefaultFetchEvery
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -132,7 +132,7 @@
 		if behind == 0 {
 			break
 		}
-		now = now.Add(DefaultGossipEvery)
+		now = now.Add(DefaultGossipInterval)
 		for _, n := range names {
 			carry(n, nodes[n].Step(now, Tick{}))
 		}
