--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -97,7 +97,7 @@
 // Defaults of GossipConfig.
 const (
 	DefaultGossipInterval = 500 * time.Millisecond
-	DefaultFetchEvery  = 300 * time.Millisecond
+	DefaultMinFetchInterval  = 300 * time.Millisecond
 	// DefaultListGrace is many times what lies between the list's answers to two
 	// calls that wait, so that an ask means that the own call hangs.
 	DefaultListGrace = 250 * time.Millisecond
@@ -136,7 +136,7 @@
 		cfg.Interval = DefaultGossipInterval
 	}
 	if cfg.MinFetchInterval == 0 {
-		cfg.MinFetchInterval = DefaultFetchEvery
+		cfg.MinFetchInterval = DefaultMinFetchInterval
 	}
 	if cfg.ListGrace == 0 {
 		cfg.ListGrace = DefaultListGrace
