--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -101,8 +101,8 @@
 	// DefaultListGrace is many times what lies between the list's answers to two
 	// calls that wait, so that an ask means that the own call hangs.
 	DefaultListGrace = 250 * time.Millisecond
-	// DefaultListEvery is half of the time that there is for a leaving endpoint.
-	DefaultListEvery = time.Second
+	// DefaultMinListInterval is half of the time that there is for a leaving endpoint.
+	DefaultMinListInterval = time.Second
 )
 
 // mostListPause bounds the pause between asks that are not answered, in ListEvery.
@@ -142,7 +142,7 @@
 		cfg.ListGrace = DefaultListGrace
 	}
 	if cfg.MinListInterval == 0 {
-		cfg.MinListInterval = DefaultListEvery
+		cfg.MinListInterval = DefaultMinListInterval
 	}
 	return &Gossip{cfg: cfg, guard: newReplayGuard(), list: listWord{grace: cfg.ListGrace, every: cfg.MinListInterval}}
 }
