--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -83,7 +83,7 @@
 		for _, a := range actions {
 			d.carryOut(ctx, a, words)
 		}
-		if at := d.gossip.PeerHeard(); at.After(heardAt) {
+		if at := d.gossip.LastPeerContact(); at.After(heardAt) {
 			heardAt = at
 			d.heard.peer()
 		}
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -187,8 +187,8 @@
 	return actions
 }
 
-// PeerHeard returns when a peer was last heard.
-func (g *Gossip) PeerHeard() time.Time { return g.peerAt }
+// LastPeerContact returns when a peer was last heard.
+func (g *Gossip) LastPeerContact() time.Time { return g.peerAt }
 
 // StoreHeardAt returns when the object API last answered any instance known of.
 func (g *Gossip) StoreHeardAt() time.Time { return g.storeAt }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -157,7 +157,7 @@
 		b.Step(later, Received{Hint: s.(Send).Hint})
 	}
 	require.Equal(t, now, b.StoreHeardAt())
-	require.Equal(t, later, b.PeerHeard())
+	require.Equal(t, later, b.LastPeerContact())
 }
 
 func freeUDP(t *testing.T) string {
