--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -190,8 +190,8 @@
 // LastPeerContact returns when a peer was last heard.
 func (g *Gossip) LastPeerContact() time.Time { return g.peerAt }
 
-// StoreHeardAt returns when the object API last answered any instance known of.
-func (g *Gossip) StoreHeardAt() time.Time { return g.storeAt }
+// LastStoreAnswer returns when the object API last answered any instance known of.
+func (g *Gossip) LastStoreAnswer() time.Time { return g.storeAt }
 
 func (g *Gossip) live(names []string) {
 	g.neighbours = Neighbours(g.cfg.Name, names)
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -156,7 +156,7 @@
 	for _, s := range a.Step(later, Tick{}) {
 		b.Step(later, Received{Hint: s.(Send).Hint})
 	}
-	require.Equal(t, now, b.StoreHeardAt())
+	require.Equal(t, now, b.LastStoreAnswer())
 	require.Equal(t, later, b.LastPeerContact())
 }
 
