--- a/daemon/allowances_test.go
+++ b/daemon/allowances_test.go
@@ -103,8 +103,8 @@
 	var sent []peer.Packet
 	holder, other := rights(true, &sent), rights(false, &sent)
 	require.False(t, other.current(7))
-	ask := peer.Packet{From: "b", Process: "pb", Address: "addr", Ask: other.ask(), Revision: 7}
-	require.NotZero(t, ask.Ask)
+	ask := peer.Packet{From: "b", Process: "pb", Address: "addr", ConfirmRequest: other.ask(), Revision: 7}
+	require.NotZero(t, ask.ConfirmRequest)
 	now = now.Add(time.Second)
 	require.False(t, holder.heard(ask, "pa"))
 	holder.confirmed(now.Add(-time.Millisecond), 7)
--- a/daemon/keyrights.go
+++ b/daemon/keyrights.go
@@ -58,10 +58,10 @@
 		return true
 	}
 	r.keeper.ObserveRevision(r.now(), p.Revision)
-	if p.Ask != 0 && r.answers() {
+	if p.ConfirmRequest != 0 && r.answers() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.echoes.Requested(r.now(), p.From, p.Process, p.Address, p.Ask)
+		r.echoes.Requested(r.now(), p.From, p.Process, p.Address, p.ConfirmRequest)
 	}
 	return false
 }
--- a/daemon/meshtell.go
+++ b/daemon/meshtell.go
@@ -71,7 +71,7 @@
 	}
 	p.EndingsDigest = m.quarantine.Digest()
 	if len(to) > 0 || m.allowances.address() == m.address {
-		p.Ask = m.rights.ask()
+		p.ConfirmRequest = m.rights.ask()
 		m.allowances.tell(&p, roomIn(p))
 		p.Endings = m.quarantine.PendingReports(m.room(p))
 	}
@@ -88,7 +88,7 @@
 // saysNothingNew tells whether a summary need not be sent: in a large fleet those that it is for
 // have what the last one said. It notes a summary that is sent.
 func (m *mesh) saysNothingNew(p peer.Packet, to []string) bool {
-	passing := len(p.Refused)+len(p.Endings)+len(p.Limits) > 0 || p.Ask != 0
+	passing := len(p.Refused)+len(p.Endings)+len(p.Limits) > 0 || p.ConfirmRequest != 0
 	last := m.toldLast
 	last.Seq, last.EndingsDigest = p.Seq, p.EndingsDigest
 	kept := m.now().Sub(m.toldLastAt) < summaryKept && slices.Equal(to, m.toldLastTo)
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -71,10 +71,10 @@
 	Endings []quarantine.Report `cbor:"22,keyasint,omitempty"`
 	// EndingsDigest stands for all that the sender knows of them.
 	EndingsDigest uint64 `cbor:"23,keyasint,omitempty"`
-	// Ask is a token that the instance which places units answers with Echo, to the process
+	// ConfirmRequest is a token that the instance which places units answers with Echo, to the process
 	// EchoTo, once it knows that revision Confirmed of the settings was the newest after it
-	// had heard the Ask. Such an answer tells nothing else.
-	Ask       uint64 `cbor:"24,keyasint,omitempty"`
+	// had heard the ConfirmRequest. Such an answer tells nothing else.
+	ConfirmRequest       uint64 `cbor:"24,keyasint,omitempty"`
 	Echo      uint64 `cbor:"25,keyasint,omitempty"`
 	EchoTo    string `cbor:"26,keyasint,omitempty"`
 	Confirmed int64  `cbor:"27,keyasint,omitempty"`
