--- a/daemon/keyrights.go
+++ b/daemon/keyrights.go
@@ -51,9 +51,9 @@
 	if r == nil {
 		return false
 	}
-	if p.Echo != 0 {
+	if p.ConfirmReply != 0 {
 		if p.EchoTo == process {
-			r.keeper.Replied(p.Echo, p.Confirmed)
+			r.keeper.Replied(p.ConfirmReply, p.Confirmed)
 		}
 		return true
 	}
@@ -99,7 +99,7 @@
 	echoes := r.echoes.Confirmed(begun)
 	r.mu.Unlock()
 	for _, e := range echoes {
-		r.send(peer.Packet{Echo: e.Token, EchoTo: e.Process, Confirmed: revision}, []string{e.Address})
+		r.send(peer.Packet{ConfirmReply: e.Token, EchoTo: e.Process, Confirmed: revision}, []string{e.Address})
 	}
 }
 
--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -73,7 +73,7 @@
 		}
 		asks, got := p.local.PendingRequests(p.now())
 		for _, a := range asks {
-			p.tell(peer.Packet{PermitAsks: []permit.Request{a.Ask}, Echo: a.Ask.Seq | 1}, a.To)
+			p.tell(peer.Packet{PermitAsks: []permit.Request{a.Ask}, ConfirmReply: a.Ask.Seq | 1}, a.To)
 		}
 		if got || len(warm) > 0 {
 			p.kick()
@@ -149,7 +149,7 @@
 		}
 	}
 	if len(grants) > 0 {
-		p.answer(peer.Packet{Grants: grants, Echo: grants[0].Seq | 1}, packet.Address)
+		p.answer(peer.Packet{Grants: grants, ConfirmReply: grants[0].Seq | 1}, packet.Address)
 	}
 }
 
