--- a/daemon/keyrights.go
+++ b/daemon/keyrights.go
@@ -53,7 +53,7 @@
 	}
 	if p.ConfirmReply != 0 {
 		if p.ConfirmReplyTo == process {
-			r.keeper.Replied(p.ConfirmReply, p.Confirmed)
+			r.keeper.Replied(p.ConfirmReply, p.ConfirmedRevision)
 		}
 		return true
 	}
@@ -99,7 +99,7 @@
 	echoes := r.echoes.Confirmed(begun)
 	r.mu.Unlock()
 	for _, e := range echoes {
-		r.send(peer.Packet{ConfirmReply: e.Token, ConfirmReplyTo: e.Process, Confirmed: revision}, []string{e.Address})
+		r.send(peer.Packet{ConfirmReply: e.Token, ConfirmReplyTo: e.Process, ConfirmedRevision: revision}, []string{e.Address})
 	}
 }
 
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -77,7 +77,7 @@
 	ConfirmRequest       uint64 `cbor:"24,keyasint,omitempty"`
 	ConfirmReply      uint64 `cbor:"25,keyasint,omitempty"`
 	ConfirmReplyTo    string `cbor:"26,keyasint,omitempty"`
-	Confirmed int64  `cbor:"27,keyasint,omitempty"`
+	ConfirmedRevision int64  `cbor:"27,keyasint,omitempty"`
 	// Usage is what accounts have asked of the sender, for the process UsageFor.
 	Usage    []allowance.Usage      `cbor:"28,keyasint,omitempty"`
 	UsageFor allowance.AggregatorID `cbor:"29,keyasint,omitempty"`
