--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -95,7 +95,7 @@
 	if a == nil {
 		return
 	}
-	if p.Adder != 0 {
+	if p.Aggregator != 0 {
 		a.heardAdder(p)
 		return
 	}
@@ -119,11 +119,11 @@
 
 // heardAdder takes the words of a process that adds up. One that stands in gives way.
 func (a *allowances) heardAdder(p peer.Packet) {
-	a.local.ReceiveShares(a.now(), p.Adder, p.Allowances)
+	a.local.ReceiveShares(a.now(), p.Aggregator, p.Allowances)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.adderAddress, a.adderAt = p.Address, a.now()
-	if p.Adder < a.adder {
+	if p.Aggregator < a.adder {
 		a.standsIn = false
 	}
 }
@@ -210,11 +210,11 @@
 	}
 	var packets []peer.Packet
 	for part := range slices.Chunk(words, maxWords) {
-		packets = append(packets, peer.Packet{Allowances: part, Adder: a.adder})
+		packets = append(packets, peer.Packet{Allowances: part, Aggregator: a.adder})
 	}
 	if len(packets) == 0 {
 		// Who adds up is told also while there is nothing to tell.
-		packets = append(packets, peer.Packet{Adder: a.adder})
+		packets = append(packets, peer.Packet{Aggregator: a.adder})
 	}
 	return packets
 }
--- a/daemon/allowances_test.go
+++ b/daemon/allowances_test.go
@@ -80,7 +80,7 @@
 	}
 	p := peer.Packet{
 		Version: peer.PacketVersion, From: "edge-hall-outremeuse-12", Process: "ABCDEFGHIJKLMNOPQRSTUVWXYZ", Address: "10.200.100.100:17380",
-		Seq: 1 << 40, Revision: 1 << 30, Instances: 390, EndingsDigest: 1 << 63, Adder: 1 << 63, Era: 1 << 20, Allowances: words,
+		Seq: 1 << 40, Revision: 1 << 30, Instances: 390, EndingsDigest: 1 << 63, Aggregator: 1 << 63, Era: 1 << 20, Allowances: words,
 	}
 	data, err := peer.EncodePacket(p)
 	require.NoError(t, err)
@@ -246,7 +246,7 @@
 	for _, sum := range p.Totals {
 		l.sums[sum.Endpoint] = true
 	}
-	if err == nil && p.Adder != 0 {
+	if err == nil && p.Aggregator != 0 {
 		l.behind = max(l.behind, l.waiting)
 	}
 }
--- a/daemon/fleetwords_test.go
+++ b/daemon/fleetwords_test.go
@@ -51,7 +51,7 @@
 
 // begin notes a packet that goes to its first instance.
 func (l *fleetLink) begin() {
-	if l.packet.Adder != 0 {
+	if l.packet.Aggregator != 0 {
 		l.words = append(l.words, l.free)
 	}
 	_, known := l.revisionAt[l.packet.Revision]
@@ -60,7 +60,7 @@
 
 // reached notes that the packet has reached one instance more.
 func (l *fleetLink) reached() {
-	if l.packet.Adder != 0 {
+	if l.packet.Aggregator != 0 {
 		l.words[len(l.words)-1] = l.free
 	}
 	if l.first {
--- a/peer/board.go
+++ b/peer/board.go
@@ -68,7 +68,7 @@
 		return false
 	}
 	e.seq, e.heardAt, e.address, e.leaving = p.Seq, now, p.Address, p.Leaving
-	if len(p.Placements) > 0 || p.Instances > 0 || p.Adder != 0 {
+	if len(p.Placements) > 0 || p.Instances > 0 || p.Aggregator != 0 {
 		// Such a packet tells nothing of the sender's own.
 		return true
 	}
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -74,7 +74,7 @@
 	// ConfirmRequest is a token that the instance which places units answers with Echo, to the process
 	// EchoTo, once it knows that revision Confirmed of the settings was the newest after it
 	// had heard the ConfirmRequest. Such an answer tells nothing else.
-	ConfirmRequest       uint64 `cbor:"24,keyasint,omitempty"`
+	ConfirmRequest    uint64 `cbor:"24,keyasint,omitempty"`
 	ConfirmReply      uint64 `cbor:"25,keyasint,omitempty"`
 	ConfirmReplyTo    string `cbor:"26,keyasint,omitempty"`
 	ConfirmedRevision int64  `cbor:"27,keyasint,omitempty"`
@@ -83,7 +83,7 @@
 	UsageFor allowance.AggregatorID `cbor:"29,keyasint,omitempty"`
 	// Allowances tells, with Instances, what accounts may have, by the process Adder.
 	Allowances []allowance.Share      `cbor:"30,keyasint,omitempty"`
-	Adder      allowance.AggregatorID `cbor:"31,keyasint,omitempty"`
+	Aggregator allowance.AggregatorID `cbor:"31,keyasint,omitempty"`
 	// Orphan tells that the sender has never heard a process that adds up.
 	Orphan bool `cbor:"33,keyasint,omitempty"`
 	// Limits is what endpoints have said lately of the requests that they take.
