--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -86,7 +86,7 @@
 	if a == nil {
 		return
 	}
-	p.Orphan = a.orphan()
+	p.NoAggregator = a.orphan()
 	p.Usage, p.UsageFor = a.local.PendingUsage(min(maxUsages, room/allowance.UsageBytes))
 }
 
@@ -104,7 +104,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if p.Orphan {
+	if p.NoAggregator {
 		a.orphans[p.From] = a.now()
 	}
 	if a.ledger == nil {
--- a/daemon/allowances_test.go
+++ b/daemon/allowances_test.go
@@ -184,7 +184,7 @@
 	a := newAllowances(AllowanceConfig{WindowS: 8, Over: 0.1}, "p1", func() bool { return false }, func() int { return 10 }, func() time.Time { return now })
 	a.adopt(limitedTree())
 	for _, from := range []string{"a", "b", "c", "d", "e"} {
-		a.heard(peer.Packet{From: from, Process: from, Orphan: true})
+		a.heard(peer.Packet{From: from, Process: from, NoAggregator: true})
 	}
 	require.Empty(t, a.packets())
 }
@@ -196,11 +196,11 @@
 		a := newAllowances(AllowanceConfig{WindowS: 8, Over: 0.1}, process, func() bool { return false }, func() int { return 2 }, func() time.Time { return now })
 		a.adopt(limitedTree())
 		for _, from := range []string{"a", "b"} {
-			a.heard(peer.Packet{From: from, Process: from, Orphan: true})
+			a.heard(peer.Packet{From: from, Process: from, NoAggregator: true})
 		}
 		a.packets()
 		for _, from := range []string{"a", "b"} {
-			a.heard(peer.Packet{From: from, Process: from, Orphan: true})
+			a.heard(peer.Packet{From: from, Process: from, NoAggregator: true})
 		}
 		return a
 	}
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -84,8 +84,8 @@
 	// Allowances tells, with Instances, what accounts may have, by the process Adder.
 	Allowances []allowance.Share      `cbor:"30,keyasint,omitempty"`
 	Aggregator allowance.AggregatorID `cbor:"31,keyasint,omitempty"`
-	// Orphan tells that the sender has never heard a process that adds up.
-	Orphan bool `cbor:"33,keyasint,omitempty"`
+	// NoAggregator tells that the sender has never heard a process that adds up.
+	NoAggregator bool `cbor:"33,keyasint,omitempty"`
 	// Limits is what endpoints have said lately of the requests that they take.
 	Limits []permit.LimitReport `cbor:"34,keyasint,omitempty"`
 	// PermitAsks asks for permits, Grants answers. Such a packet tells nothing else, and
