--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -73,7 +73,7 @@
 		}
 		asks, got := p.local.PendingRequests(p.now())
 		for _, a := range asks {
-			p.tell(peer.Packet{PermitAsks: []permit.Request{a.Ask}, ConfirmReply: a.Ask.Seq | 1}, a.To)
+			p.tell(peer.Packet{PermitRequests: []permit.Request{a.Ask}, ConfirmReply: a.Ask.Seq | 1}, a.To)
 		}
 		if got || len(warm) > 0 {
 			p.kick()
@@ -116,7 +116,7 @@
 		return false
 	}
 	p.local.RecordContact(packet.From, packet.Process)
-	if len(packet.PermitAsks) == 0 && len(packet.Grants) == 0 {
+	if len(packet.PermitRequests) == 0 && len(packet.Grants) == 0 {
 		p.told(packet)
 		return false
 	}
@@ -143,7 +143,7 @@
 // grant answers what another instance asks.
 func (p *permits) grant(packet peer.Packet) {
 	var grants []permit.Grant
-	for _, a := range packet.PermitAsks {
+	for _, a := range packet.PermitRequests {
 		if g, answered := p.local.HandleRequest(p.now(), a); answered {
 			grants = append(grants, g)
 		}
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -88,10 +88,10 @@
 	NoAggregator bool `cbor:"33,keyasint,omitempty"`
 	// Limits is what endpoints have said lately of the requests that they take.
 	Limits []permit.LimitReport `cbor:"34,keyasint,omitempty"`
-	// PermitAsks asks for permits, Grants answers. Such a packet tells nothing else, and
+	// PermitRequests asks for permits, Grants answers. Such a packet tells nothing else, and
 	// has an Echo, by which releases without permits leave it alone.
-	PermitAsks []permit.Request `cbor:"35,keyasint,omitempty"`
-	Grants     []permit.Grant   `cbor:"36,keyasint,omitempty"`
+	PermitRequests []permit.Request `cbor:"35,keyasint,omitempty"`
+	Grants         []permit.Grant   `cbor:"36,keyasint,omitempty"`
 	// Evacuated are the failure domains that are evacuated, as of a revision of the store
 	// in one of its eras; a packet without the revision says nothing of them.
 	Evacuated         []string `cbor:"37,keyasint,omitempty"`
