--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -309,8 +309,8 @@
 	if len(p.Suspects) > 0 {
 		m.suspected(p.Suspects)
 	}
-	if len(p.Gone) > 0 {
-		m.gone(startsOf(p.Gone, p.GoneStarts))
+	if len(p.Replaced) > 0 {
+		m.gone(startsOf(p.Replaced, p.GoneStarts))
 	}
 	waits := false
 	for _, d := range p.Demands {
--- a/daemon/mesh_test.go
+++ b/daemon/mesh_test.go
@@ -33,8 +33,8 @@
 		summary.Suspects = append(summary.Suspects, endpoint(i))
 	}
 	for i := range maxGone {
-		summary.Gone = append(summary.Gone, endpoint(i))
-		word.Gone = append(word.Gone, endpoint(i))
+		summary.Replaced = append(summary.Replaced, endpoint(i))
+		word.Replaced = append(word.Replaced, endpoint(i))
 	}
 	for i := range maxFreshRefusals {
 		summary.Refused = append(summary.Refused, 1<<31+uint32(i))
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -54,8 +54,8 @@
 	// Current tells, with Instances, that the store has answered the sender
 	// lately, so that it knows of newer settings and leaving endpoints.
 	Current bool `cbor:"16,keyasint,omitempty"`
-	// Gone are endpoints at whose addresses other incarnations have answered.
-	Gone []string `cbor:"17,keyasint,omitempty"`
+	// Replaced are endpoints at whose addresses other incarnations have answered.
+	Replaced []string `cbor:"17,keyasint,omitempty"`
 	// PlacedStarts, WithdrawnStarts and GoneStarts are when the endpoints of
 	// Placements, Withdrawn and Gone were started, in the same order; absent where
 	// none of them tells.
