--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -310,7 +310,7 @@
 		m.suspected(p.Suspects)
 	}
 	if len(p.Replaced) > 0 {
-		m.gone(startsOf(p.Replaced, p.GoneStarts))
+		m.gone(startsOf(p.Replaced, p.ReplacedStarts))
 	}
 	waits := false
 	for _, d := range p.Demands {
--- a/daemon/mesh_test.go
+++ b/daemon/mesh_test.go
@@ -42,8 +42,8 @@
 	// Starts are Unix times in milliseconds.
 	const start = int64(1_782_399_000_000)
 	for range maxGone {
-		summary.GoneStarts = append(summary.GoneStarts, start)
-		word.GoneStarts = append(word.GoneStarts, start)
+		summary.ReplacedStarts = append(summary.ReplacedStarts, start)
+		word.ReplacedStarts = append(word.ReplacedStarts, start)
 	}
 	for range maxWithdrawn {
 		word.WithdrawnStarts = append(word.WithdrawnStarts, start)
--- a/daemon/meshhub.go
+++ b/daemon/meshhub.go
@@ -97,7 +97,7 @@
 		leaving, withdrawn = cut(withdrawn, maxWithdrawn)
 		replaced, gone = cut(gone, maxGone)
 		p.Withdrawn, p.WithdrawnStarts = namesOf(leaving)
-		p.Replaced, p.GoneStarts = namesOf(replaced)
+		p.Replaced, p.ReplacedStarts = namesOf(replaced)
 		if first {
 			p.Totals, sum = cut(sum, maxTotals)
 		} else {
--- a/daemon/meshtell.go
+++ b/daemon/meshtell.go
@@ -210,7 +210,7 @@
 func (m *mesh) summary() peer.Packet {
 	p := peer.Packet{Leaving: m.leaving(), Revision: m.revision(), Refused: m.refusals.TakeLocal()}
 	replaced := m.replaced()
-	p.Replaced, p.GoneStarts = namesOf(replaced[:min(len(replaced), maxGone)])
+	p.Replaced, p.ReplacedStarts = namesOf(replaced[:min(len(replaced), maxGone)])
 	for _, pool := range m.router.View().Pools {
 		for _, e := range pool {
 			if e.FailedSince(m.now().Add(-suspectTime)) && len(p.Suspects) < maxSuspects {
--- a/daemon/restart_test.go
+++ b/daemon/restart_test.go
@@ -101,7 +101,7 @@
 	plain, err := peer.EncodePacket(peer.Packet{Version: peer.PacketVersion, Placements: []peer.Placement{{Endpoint: "e1"}}, Replaced: []string{"e1"}})
 	require.NoError(t, err)
 	p := peer.Packet{Version: peer.PacketVersion, Placements: []peer.Placement{{Endpoint: "e1", StartedAtMS: 7}, {Endpoint: "e2"}}}
-	p.Replaced, p.GoneStarts = namesOf([]endpointStart{{"e1", 7}, {"e3", 0}})
+	p.Replaced, p.ReplacedStarts = namesOf([]endpointStart{{"e1", 7}, {"e3", 0}})
 	data, err := peer.EncodePacket(p)
 	require.NoError(t, err)
 	require.Greater(t, len(data), len(plain))
@@ -109,7 +109,7 @@
 	require.NoError(t, err)
 	require.EqualValues(t, 7, got.Placements[0].StartedAtMS)
 	require.Zero(t, got.Placements[1].StartedAtMS)
-	require.Equal(t, []endpointStart{{"e1", 7}, {"e3", 0}}, startsOf(got.Replaced, got.GoneStarts))
+	require.Equal(t, []endpointStart{{"e1", 7}, {"e3", 0}}, startsOf(got.Replaced, got.ReplacedStarts))
 	names, starts := namesOf([]endpointStart{{"e1", 0}})
 	require.Equal(t, []string{"e1"}, names)
 	require.Nil(t, starts)
