--- a/daemon/meshhub.go
+++ b/daemon/meshhub.go
@@ -91,7 +91,7 @@
 		p := m.stamp(peer.Packet{Instances: max(n, 1), Revision: m.revision(), Refused: passed, EndingsDigest: m.quarantine.Digest()})
 		p.Current = m.current() && m.evacuations.tell(&p)
 		if p.Current {
-			p.Endpoints = m.endpoints.Load()
+			p.EndpointsDigest = m.endpoints.Load()
 		}
 		var leaving, replaced []endpointStart
 		leaving, withdrawn = cut(withdrawn, maxWithdrawn)
--- a/daemon/totals.go
+++ b/daemon/totals.go
@@ -48,7 +48,7 @@
 		if now.Sub(t.currentAt) >= t.lost() {
 			t.vouchedSince = now
 		}
-		t.currentAt, t.endpoints = now, p.Endpoints
+		t.currentAt, t.endpoints = now, p.EndpointsDigest
 	}
 	if t.loads == nil {
 		t.loads = map[string]totalLoad{}
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -62,9 +62,9 @@
 	PlacedStarts    []int64 `cbor:"18,keyasint,omitempty"`
 	WithdrawnStarts []int64 `cbor:"19,keyasint,omitempty"`
 	ReplacedStarts      []int64 `cbor:"20,keyasint,omitempty"`
-	// Endpoints stands, with Current, for who the endpoints are that the sender lists,
+	// EndpointsDigest stands, with Current, for who the endpoints are that the sender lists,
 	// and in what state: whoever comes to the same number lists the same.
-	Endpoints uint64 `cbor:"21,keyasint,omitempty"`
+	EndpointsDigest uint64 `cbor:"21,keyasint,omitempty"`
 	// Leaving tells that the sender makes a planned stop.
 	Leaving bool `cbor:"9,keyasint,omitempty"`
 	// Endings are requests under which endpoints have ended.
