--- a/daemon/mesh_bench_test.go
+++ b/daemon/mesh_bench_test.go
@@ -101,7 +101,7 @@
 				}
 				for b.Loop() {
 					if !holds {
-						m.totals.take(m.now(), peer.Packet{Address: "hub", Instances: size.instances, Current: true, Totals: told})
+						m.totals.take(m.now(), peer.Packet{Address: "hub", Instances: size.instances, StoreCurrent: true, Totals: told})
 					}
 					m.publish()
 				}
--- a/daemon/mesh_test.go
+++ b/daemon/mesh_test.go
@@ -48,7 +48,7 @@
 	for range maxWithdrawn {
 		word.WithdrawnStarts = append(word.WithdrawnStarts, start)
 	}
-	word.Instances, word.Current = 390, true
+	word.Instances, word.StoreCurrent = 390, true
 	for i := range maxTotals {
 		word.Totals = append(word.Totals, peer.EndpointLoad{Endpoint: endpoint(i), Running: 600, Prompt: 90_000_000})
 	}
--- a/daemon/meshhub.go
+++ b/daemon/meshhub.go
@@ -89,8 +89,8 @@
 	withdrawn, passed, gone := m.withdrawnLately(), m.takePassed(), m.replaced()
 	for first := true; first || len(sum)+len(withdrawn)+len(gone) > 0; first = false {
 		p := m.stamp(peer.Packet{Instances: max(n, 1), Revision: m.revision(), Refused: passed, EndingsDigest: m.quarantine.Digest()})
-		p.Current = m.current() && m.evacuations.tell(&p)
-		if p.Current {
+		p.StoreCurrent = m.current() && m.evacuations.tell(&p)
+		if p.StoreCurrent {
 			p.EndpointsDigest = m.endpoints.Load()
 		}
 		var leaving, replaced []endpointStart
--- a/daemon/totals.go
+++ b/daemon/totals.go
@@ -44,7 +44,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.hub, t.heardAt = p.Address, now
-	if p.Current {
+	if p.StoreCurrent {
 		if now.Sub(t.currentAt) >= t.lost() {
 			t.vouchedSince = now
 		}
--- a/daemon/vouch_test.go
+++ b/daemon/vouch_test.go
@@ -16,7 +16,7 @@
 
 // wordOfHolder is what the holder of the lease tells.
 func wordOfHolder(current bool) peer.Packet {
-	return peer.Packet{From: "holder", Address: "10.0.0.1:1", Instances: 6, Current: current}
+	return peer.Packet{From: "holder", Address: "10.0.0.1:1", Instances: 6, StoreCurrent: current}
 }
 
 // TestInstancesLookThemselvesUnlessTheHolderVouches goes through the ways in
@@ -154,7 +154,7 @@
 		require.NoError(t, err)
 		p, err := peer.DecodePacket(plain)
 		require.NoError(t, err)
-		require.True(t, p.Current)
+		require.True(t, p.StoreCurrent)
 		for _, name := range p.Withdrawn {
 			told[name] = true
 		}
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -51,9 +51,9 @@
 	// Refused are marks of requests that the sender, or in a large fleet anybody,
 	// has refused since its last packet.
 	Refused []uint32 `cbor:"15,keyasint,omitempty"`
-	// Current tells, with Instances, that the store has answered the sender
+	// StoreCurrent tells, with Instances, that the store has answered the sender
 	// lately, so that it knows of newer settings and leaving endpoints.
-	Current bool `cbor:"16,keyasint,omitempty"`
+	StoreCurrent bool `cbor:"16,keyasint,omitempty"`
 	// Replaced are endpoints at whose addresses other incarnations have answered.
 	Replaced []string `cbor:"17,keyasint,omitempty"`
 	// PlacedStarts, WithdrawnStarts and GoneStarts are when the endpoints of
