--- a/daemon/fleetwords_test.go
+++ b/daemon/fleetwords_test.go
@@ -109,7 +109,7 @@
 		urgency := broadcast.Refresh
 		switch {
 		case i == 0:
-			p.Going, urgency = f.units[:1], broadcast.Withdrawn
+			p.Draining, urgency = f.units[:1], broadcast.Withdrawn
 		case i%4 == 1:
 			urgency = broadcast.Changed
 		}
--- a/daemon/mesh_test.go
+++ b/daemon/mesh_test.go
@@ -61,7 +61,7 @@
 	// Packets are filled; so many placements fit with the longest names.
 	const maxPlacements = 4
 	for i := range maxPlacements {
-		p := peer.Placement{Epoch: 1 << 20, Endpoint: endpoint(i), StartedAtMS: start, Going: []string{unit(1)}}
+		p := peer.Placement{Epoch: 1 << 20, Endpoint: endpoint(i), StartedAtMS: start, Draining: []string{unit(1)}}
 		for k := range 3 + 8 {
 			p.Units = append(p.Units, unit(k))
 		}
@@ -118,7 +118,7 @@
 		var queue broadcast.Residency
 		most := 0
 		for i := range 300 {
-			p := peer.Placement{Epoch: 1 << 20, Endpoint: fmt.Sprintf("i-%010x", i), StartedAtMS: 1_782_399_000_000, Going: []string{"abcd123456/a01"}}
+			p := peer.Placement{Epoch: 1 << 20, Endpoint: fmt.Sprintf("i-%010x", i), StartedAtMS: 1_782_399_000_000, Draining: []string{"abcd123456/a01"}}
 			for k := range units {
 				p.Units = append(p.Units, fmt.Sprintf("abcd%06x/a%02d", k, k))
 			}
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -144,7 +144,7 @@
 			go p.send(ctx, a)
 		case counted.AnnounceUnits:
 			told = append(told, placedNews{
-				Placement: peer.Placement{Epoch: p.heldEpoch(), Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, Units: a.Units, Going: a.Draining},
+				Placement: peer.Placement{Epoch: p.heldEpoch(), Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, Units: a.Units, Draining: a.Draining},
 				urgency:   urgencyOf(a.Change),
 			})
 		case counted.LogMove:
--- a/daemon/residency.go
+++ b/daemon/residency.go
@@ -71,8 +71,8 @@
 	if p.StartedAtMS > h.startedAtMS {
 		h = heldUnits{startedAtMS: p.StartedAtMS}
 	}
-	changed := !sameSet(h.ready, p.Units) || !sameSet(h.going, p.Going)
-	h.epoch, h.ready, h.going = p.Epoch, p.Units, p.Going
+	changed := !sameSet(h.ready, p.Units) || !sameSet(h.going, p.Draining)
+	h.epoch, h.ready, h.going = p.Epoch, p.Units, p.Draining
 	r.units[p.Endpoint] = h
 	return changed
 }
--- a/daemon/residency_test.go
+++ b/daemon/residency_test.go
@@ -15,7 +15,7 @@
 	entry("m0")
 	require.Equal(t, []string{"m0"}, r.serving("e"))
 
-	require.True(t, r.placed(peer.Placement{Epoch: 2, Endpoint: "e", Units: []string{"m0", "m1"}, Going: []string{"m0"}}))
+	require.True(t, r.placed(peer.Placement{Epoch: 2, Endpoint: "e", Units: []string{"m0", "m1"}, Draining: []string{"m0"}}))
 	require.Equal(t, []string{"m1"}, r.serving("e"))
 	entry("m0")
 	require.Equal(t, []string{"m1"}, r.serving("e"), "an entry that has not changed is behind")
--- a/daemon/view_test.go
+++ b/daemon/view_test.go
@@ -137,7 +137,7 @@
 		default:
 			p := peer.Placement{Epoch: 1, Endpoint: fmt.Sprintf("e%d", random.IntN(endpoints)), Units: drawUnits(random, units)}
 			if len(p.Units) > 0 && random.IntN(2) == 0 {
-				p.Going = p.Units[:1]
+				p.Draining = p.Units[:1]
 			}
 			h.step(placementsTold{[]peer.Placement{p}})
 		}
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -149,8 +149,8 @@
 	// Epoch is that of the instance's lease.
 	Epoch    int64
 	Endpoint string
-	// Units are what it holds, Going those of them that get no new requests.
-	Units, Going []string
+	// Units are what it holds, Draining those of them that get no new requests.
+	Units, Draining []string
 	// StartedAtMS is when the endpoint was started, 0 where it does not tell. On the
 	// wire it stands in PlacedStarts, as neighbouring releases refuse an array that is
 	// longer than theirs.
@@ -162,7 +162,7 @@
 	// Its start is an integer of up to nine bytes in a list of its own.
 	const start = 9
 	n := 1 + cborHead(p.Epoch) + textBytes(p.Endpoint) + start
-	for _, units := range [][]string{p.Units, p.Going} {
+	for _, units := range [][]string{p.Units, p.Draining} {
 		n += cborHead(int64(len(units)))
 		for _, unit := range units {
 			n += textBytes(unit)
