--- a/broadcast/broadcast_test.go
+++ b/broadcast/broadcast_test.go
@@ -209,7 +209,7 @@
 	require.Equal(t, []string{"small"}, next(load("large", 3), load("small", 1)), "3 of 64 places change nothing")
 	require.Equal(t, []string{"large"}, next(load("large", 4), load("small", 1)))
 	require.Empty(t, next(load("large", 7), load("small", 1)))
-	require.Equal(t, []string{"large"}, next(peer.EndpointLoad{Endpoint: "large", Running: 7, Prompt: (pause + time.Millisecond).Microseconds()}, load("small", 1)))
+	require.Equal(t, []string{"large"}, next(peer.EndpointLoad{Endpoint: "large", Running: 7, PrefillMicros: (pause + time.Millisecond).Microseconds()}, load("small", 1)))
 	require.Equal(t, []string{"large", "small"}, next(), "both are idle again")
 	now = now.Add(retell)
 	require.Equal(t, []string{"large", "small"}, next(), "once more, as the word may be lost")
--- a/broadcast/sums.go
+++ b/broadcast/sums.go
@@ -101,7 +101,7 @@
 	const part = 16
 	return func(now, told peer.EndpointLoad) bool {
 		running := distance(now.Running, told.Running)
-		prompt := time.Duration(distance(now.Prompt, told.Prompt)) * time.Microsecond
+		prompt := time.Duration(distance(now.PrefillMicros, told.PrefillMicros)) * time.Microsecond
 		return running > 0 && part*running >= float64(places(now.Endpoint)) || prompt > pause()
 	}
 }
@@ -114,7 +114,7 @@
 	if !t.at.IsZero() {
 		age = now.Sub(t.at)
 	}
-	off := distance(l.Running, t.Running) + distance(l.Prompt, t.Prompt)/promptRequest
+	off := distance(l.Running, t.Running) + distance(l.PrefillMicros, t.PrefillMicros)/promptRequest
 	return (1 + off) * age.Seconds()
 }
 
@@ -123,7 +123,7 @@
 // tell records what is told.
 func (s *Totals) tell(now time.Time, l peer.EndpointLoad) {
 	t := toldSum{EndpointLoad: l, at: now}
-	if l.Running == 0 && l.Prompt == 0 {
+	if l.Running == 0 && l.PrefillMicros == 0 {
 		t.idle = s.told[l.Endpoint].idle + 1
 	}
 	if s.told == nil {
--- a/daemon/allowances_test.go
+++ b/daemon/allowances_test.go
@@ -282,7 +282,7 @@
 		m.find(name, &presence{Datagrams: name})
 	}
 	for i := range endpoints {
-		m.sum = append(m.sum, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010x", i), Running: 40, Prompt: 90_000})
+		m.sum = append(m.sum, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010x", i), Running: 40, PrefillMicros: 90_000})
 	}
 	for range goes {
 		m.tellAll()
--- a/daemon/endings_test.go
+++ b/daemon/endings_test.go
@@ -113,7 +113,7 @@
 	for load := 0; load < maxLoads; load++ {
 		p := peer.Packet{Version: peer.PacketVersion, From: "instance-with-a-long-name-1", Address: "10.0.0.1:12345", Seq: 1 << 40}
 		for i := range load {
-			p.Loads = append(p.Loads, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010d", i), Running: 60, Prompt: 1 << 30})
+			p.Loads = append(p.Loads, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010d", i), Running: 60, PrefillMicros: 1 << 30})
 		}
 		for i := range maxDemands {
 			p.Demands = append(p.Demands, peer.UnitDemand{Unit: fmt.Sprintf("model-%d/adapter", i), Work: 1e9, Waiting: 100})
--- a/daemon/fleetwords_test.go
+++ b/daemon/fleetwords_test.go
@@ -96,7 +96,7 @@
 	f.current, f.revision = func() bool { return true }, func() int64 { return f.inForce }
 	f.sealer, f.datagrams, f.linkBytes, f.self.Cores = sealer, f.link, mbits*bytesPerMbit, cores
 	for i := range endpoints {
-		f.sum = append(f.sum, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010x", i), Running: 40, Prompt: 90_000})
+		f.sum = append(f.sum, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010x", i), Running: 40, PrefillMicros: 90_000})
 	}
 	return f
 }
--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -459,7 +459,7 @@
 }
 
 func othersLoad(l peer.EndpointLoad, now time.Time) routing.PeerLoad {
-	return routing.PeerLoad{Running: l.Running, PromptWork: time.Duration(l.Prompt) * time.Microsecond, At: now}
+	return routing.PeerLoad{Running: l.Running, PromptWork: time.Duration(l.PrefillMicros) * time.Microsecond, At: now}
 }
 
 // sums returns what all instances have under way, in a large fleet, and how many
--- a/daemon/mesh_bench_test.go
+++ b/daemon/mesh_bench_test.go
@@ -47,7 +47,7 @@
 	name := fmt.Sprintf("edge-%03d", i)
 	p := peer.Packet{Version: peer.PacketVersion, From: name, Process: "4KXDQ7A2Z3LRWV6YBTGM5NPHCE", Address: "10.0.0.1:7380", Seq: seq, Revision: 1}
 	for k := range maxLoads {
-		p.Loads = append(p.Loads, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010x", (i*7+k)%endpoints), Running: 3, Prompt: 90_000})
+		p.Loads = append(p.Loads, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010x", (i*7+k)%endpoints), Running: 3, PrefillMicros: 90_000})
 	}
 	for k := range maxDemands {
 		p.Demands = append(p.Demands, peer.UnitDemand{Unit: fmt.Sprintf("unit%02d", (i+k)%99), Work: float64(seq) * 1000, Waiting: 1})
@@ -97,7 +97,7 @@
 				}
 				var told []peer.EndpointLoad
 				for i := range size.endpoints {
-					told = append(told, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010x", i), Running: 3, Prompt: 90_000})
+					told = append(told, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010x", i), Running: 3, PrefillMicros: 90_000})
 				}
 				for b.Loop() {
 					if !holds {
--- a/daemon/mesh_test.go
+++ b/daemon/mesh_test.go
@@ -24,7 +24,7 @@
 	}
 	summary, word, placed := head, head, head
 	for i := range maxLoads {
-		summary.Loads = append(summary.Loads, peer.EndpointLoad{Endpoint: endpoint(i), Running: 60, Prompt: 900_000})
+		summary.Loads = append(summary.Loads, peer.EndpointLoad{Endpoint: endpoint(i), Running: 60, PrefillMicros: 900_000})
 	}
 	for i := range maxDemands {
 		summary.Demands = append(summary.Demands, peer.UnitDemand{Unit: unit(i), Work: 1234567.25, Waiting: 30})
@@ -50,7 +50,7 @@
 	}
 	word.Instances, word.StoreCurrent = 390, true
 	for i := range maxTotals {
-		word.Totals = append(word.Totals, peer.EndpointLoad{Endpoint: endpoint(i), Running: 600, Prompt: 90_000_000})
+		word.Totals = append(word.Totals, peer.EndpointLoad{Endpoint: endpoint(i), Running: 600, PrefillMicros: 90_000_000})
 	}
 	for i := range maxWithdrawn {
 		word.Withdrawn = append(word.Withdrawn, endpoint(i))
@@ -99,7 +99,7 @@
 	for _, length := range []int{3, 12, 120, 600} {
 		var list []peer.EndpointLoad
 		for i := range 300 {
-			list = append(list, peer.EndpointLoad{Endpoint: fmt.Sprintf("%0*d", length, i), Running: int64(i * i), Prompt: int64(i) << 20})
+			list = append(list, peer.EndpointLoad{Endpoint: fmt.Sprintf("%0*d", length, i), Running: int64(i * i), PrefillMicros: int64(i) << 20})
 		}
 		told := 0
 		for len(list) > 0 {
--- a/daemon/meshtell.go
+++ b/daemon/meshtell.go
@@ -217,12 +217,12 @@
 				p.Suspects = append(p.Suspects, e.Name)
 			}
 			if n := e.OwnInFlight(); n > 0 {
-				p.Loads = append(p.Loads, peer.EndpointLoad{Endpoint: e.Name, Running: n, Prompt: e.OwnPromptWork().Microseconds()})
+				p.Loads = append(p.Loads, peer.EndpointLoad{Endpoint: e.Name, Running: n, PrefillMicros: e.OwnPromptWork().Microseconds()})
 			}
 		}
 	}
 	slices.SortFunc(p.Loads, func(a, b peer.EndpointLoad) int {
-		return cmp.Or(cmp.Compare(b.Running, a.Running), cmp.Compare(b.Prompt, a.Prompt), cmp.Compare(a.Endpoint, b.Endpoint))
+		return cmp.Or(cmp.Compare(b.Running, a.Running), cmp.Compare(b.PrefillMicros, a.PrefillMicros), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
 	p.Loads = p.Loads[:min(len(p.Loads), maxLoads)]
 	waiting := map[string]int{}
--- a/daemon/totals.go
+++ b/daemon/totals.go
@@ -90,7 +90,7 @@
 func (t *totals) withoutOwn(l peer.EndpointLoad) peer.EndpointLoad {
 	own := t.own[l.Endpoint]
 	return peer.EndpointLoad{
-		Endpoint: l.Endpoint, Running: max(l.Running-own.Running, 0), Prompt: max(l.Prompt-own.Prompt, 0),
+		Endpoint: l.Endpoint, Running: max(l.Running-own.Running, 0), PrefillMicros: max(l.PrefillMicros-own.PrefillMicros, 0),
 	}
 }
 
--- a/peer/board.go
+++ b/peer/board.go
@@ -171,7 +171,7 @@
 			s := sum[endpoint]
 			s.Endpoint = endpoint
 			s.Running += l.Running
-			s.Prompt += l.Prompt
+			s.PrefillMicros += l.PrefillMicros
 			sum[endpoint] = s
 		}
 	}
--- a/peer/board_test.go
+++ b/peer/board_test.go
@@ -16,13 +16,13 @@
 	for i, from := range []string{"a", "b", "c"} {
 		require.True(t, b.Receive(boardAt(0), Packet{
 			From: from, Process: "p", Seq: 1, Address: from + ":1",
-			Loads: []EndpointLoad{{Endpoint: "e", Running: int64(i + 1), Prompt: 10}},
+			Loads: []EndpointLoad{{Endpoint: "e", Running: int64(i + 1), PrefillMicros: 10}},
 		}))
 	}
-	require.Equal(t, EndpointLoad{Endpoint: "e", Running: 5, Prompt: 20}, b.Loads("a")["e"])
+	require.Equal(t, EndpointLoad{Endpoint: "e", Running: 5, PrefillMicros: 20}, b.Loads("a")["e"])
 	require.False(t, b.Receive(boardAt(1), Packet{From: "b", Process: "p", Seq: 1}), "the same packet twice")
 	require.True(t, b.Receive(boardAt(2), Packet{From: "b", Process: "later", Seq: 1}), "a new process counts anew")
-	require.Equal(t, EndpointLoad{Endpoint: "e", Running: 3, Prompt: 10}, b.Loads("a")["e"])
+	require.Equal(t, EndpointLoad{Endpoint: "e", Running: 3, PrefillMicros: 10}, b.Loads("a")["e"])
 	b.Expire(boardAt(0).Add(PeerTimeout))
 	require.Equal(t, []string{"b"}, b.Live(), "the others were not heard since")
 }
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -105,14 +105,14 @@
 type EndpointLoad struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint string
-	// Running is requests, Prompt the work of reading the prompts of those that
+	// Running is requests, PrefillMicros the work of reading the prompts of those that
 	// have had no answer, in microseconds.
-	Running, Prompt int64
+	Running, PrefillMicros int64
 }
 
 // Bytes is what the entry takes in a packet.
 func (l EndpointLoad) Bytes() int {
-	return 1 + textBytes(l.Endpoint) + cborHead(l.Running) + cborHead(l.Prompt)
+	return 1 + textBytes(l.Endpoint) + cborHead(l.Running) + cborHead(l.PrefillMicros)
 }
 
 // cborHead is the length of the head of a CBOR item with an argument of 0 or more: the
