--- a/broadcast/broadcast_test.go
+++ b/broadcast/broadcast_test.go
@@ -64,8 +64,8 @@
 		r.left = slices.Clone(all)
 	}
 	n := 0
-	for n < len(r.left) && (n == 0 || bytes >= r.left[n].Bytes()) {
-		bytes -= r.left[n].Bytes()
+	for n < len(r.left) && (n == 0 || bytes >= r.left[n].EncodedSize()) {
+		bytes -= r.left[n].EncodedSize()
 		n++
 	}
 	next := r.left[:n]
@@ -236,12 +236,12 @@
 			}
 			if running[i] > 0 {
 				all = append(all, load(fmt.Sprintf("i-%010x", i), running[i]))
-				whole += all[len(all)-1].Bytes()
+				whole += all[len(all)-1].EncodedSize()
 			}
 		}
 		for _, l := range s.Next(now, all, everything) {
 			known[l.Endpoint] = l.Running
-			told += l.Bytes()
+			told += l.EncodedSize()
 		}
 		for i, n := range running {
 			require.LessOrEqual(t, distance(n, known[fmt.Sprintf("i-%010x", i)]), float64(places/16))
--- a/broadcast/sums.go
+++ b/broadcast/sums.go
@@ -53,7 +53,7 @@
 	needs := s.needs(now, all)
 	var next []peer.EndpointLoad
 	for _, n := range needs {
-		bytes -= n.Bytes()
+		bytes -= n.EncodedSize()
 		if bytes < 0 && len(next) > 0 {
 			break
 		}
--- a/daemon/meshhub.go
+++ b/daemon/meshhub.go
@@ -111,8 +111,8 @@
 // cutSums takes as many sums off the front of a list as so many bytes hold, at least one.
 func cutSums(list []peer.EndpointLoad, room int) (front, rest []peer.EndpointLoad) {
 	n := 0
-	for n < len(list) && (n == 0 || room >= list[n].Bytes()) {
-		room -= list[n].Bytes()
+	for n < len(list) && (n == 0 || room >= list[n].EncodedSize()) {
+		room -= list[n].EncodedSize()
 		n++
 	}
 	return cut(list, n)
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -110,8 +110,8 @@
 	Running, PrefillMicros int64
 }
 
-// Bytes is what the entry takes in a packet.
-func (l EndpointLoad) Bytes() int {
+// EncodedSize is what the entry takes in a packet.
+func (l EndpointLoad) EncodedSize() int {
 	return 1 + textBytes(l.Endpoint) + cborHead(l.Running) + cborHead(l.PrefillMicros)
 }
 
