--- a/broadcast/residency.go
+++ b/broadcast/residency.go
@@ -77,7 +77,7 @@
 				r.queues[u] = r.queues[u][1:]
 				continue
 			}
-			bytes -= w.Bytes()
+			bytes -= w.EncodedSize()
 			if bytes < 0 && len(next) > 0 {
 				return next
 			}
--- a/daemon/mesh_test.go
+++ b/daemon/mesh_test.go
@@ -122,7 +122,7 @@
 			for k := range units {
 				p.Units = append(p.Units, fmt.Sprintf("abcd%06x/a%02d", k, k))
 			}
-			most = max(most, p.Bytes())
+			most = max(most, p.EncodedSize())
 			queue.Put(p, broadcast.Changed)
 		}
 		for queue.Len() > 0 {
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -157,8 +157,8 @@
 	StartedAtMS int64 `cbor:"-"`
 }
 
-// Bytes is what the entry takes in a packet, at most.
-func (p Placement) Bytes() int {
+// EncodedSize is what the entry takes in a packet, at most.
+func (p Placement) EncodedSize() int {
 	// Its start is an integer of up to nine bytes in a list of its own.
 	const start = 9
 	n := 1 + cborHead(p.Epoch) + textBytes(p.Endpoint) + start
