--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return a, err
 	}
-	data, err := i.asking.Call(ctx, address, peer.Question{Claim: &peer.ClaimQuestion{Shard: shard, Op: encoded}})
+	data, err := i.asking.Call(ctx, address, peer.Request{Claim: &peer.ClaimQuestion{Shard: shard, Op: encoded}})
 	if err != nil {
 		return a, err
 	}
@@ -44,7 +44,7 @@
 
 // answerPeer answers a peer's question: about the revision in force, or about
 // an entry of a shard that the peer takes this instance to run.
-func (i *Instance) answerPeer(ctx context.Context, q peer.Question) peer.Reply {
+func (i *Instance) answerPeer(ctx context.Context, q peer.Request) peer.Reply {
 	if q.Claim != nil {
 		return i.answerClaim(ctx, q.Claim)
 	}
--- a/daemon/relaystell.go
+++ b/daemon/relaystell.go
@@ -12,7 +12,7 @@
 // answer answers another instance: at once where there is news, or when it has waited for as
 // long as it lets. One that follows another itself does not answer, so that none goes in
 // circles.
-func (r *relays) answer(ctx context.Context, q peer.Question) peer.Reply {
+func (r *relays) answer(ctx context.Context, q peer.Request) peer.Reply {
 	if q.Members == nil {
 		return peer.Reply{}
 	}
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -186,7 +186,7 @@
 		return id
 	}
 	address := freeUDP(t)
-	server, err := ListenStreams(address, identity(key(1)), func(_ context.Context, q Question) Reply {
+	server, err := ListenStreams(address, identity(key(1)), func(_ context.Context, q Request) Reply {
 		return Reply{Found: q.Chunk == "h", Data: bytes.Repeat([]byte("x"), 1<<20)}
 	})
 	require.NoError(t, err)
@@ -196,7 +196,7 @@
 	if err == nil {
 		// The client's certificate is of the newer key, which the server does
 		// not know: mutual TLS ends the session at the first question.
-		_, err = session.Ask(ctx, Question{Chunk: "h"})
+		_, err = session.Ask(ctx, Request{Chunk: "h"})
 		session.Close()
 	}
 	require.Error(t, err)
@@ -204,17 +204,17 @@
 	session, err = NewStreamClient(identity(key(2), key(1))).Dial(ctx, address)
 	require.NoError(t, err)
 	defer session.Close()
-	data, err := session.Ask(ctx, Question{Chunk: "h"})
+	data, err := session.Ask(ctx, Request{Chunk: "h"})
 	require.NoError(t, err)
 	require.Len(t, data, 1<<20)
-	_, err = session.Ask(ctx, Question{Chunk: "other"})
+	_, err = session.Ask(ctx, Request{Chunk: "other"})
 	require.ErrorIs(t, err, ErrNotFound)
 	_, err = NewStreamClient(identity(key(3))).Dial(ctx, address)
 	require.Error(t, err)
 	kept := NewStreamClient(identity(key(1)))
 	defer kept.Close()
 	for range 3 {
-		_, err = kept.Call(ctx, address, Question{Chunk: "h"})
+		_, err = kept.Call(ctx, address, Request{Chunk: "h"})
 		require.NoError(t, err)
 	}
 	require.Len(t, kept.sessions, 1)
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -16,8 +16,8 @@
 	"github.com/quic-go/quic-go"
 )
 
-// Question is what a stream asks for; one of the fields is set.
-type Question struct {
+// Request is what a stream asks for; one of the fields is set.
+type Request struct {
 	// Root asks for the entry of the revision in force.
 	Root bool `cbor:"1,keyasint,omitempty"`
 	// Chunk asks for a chunk by its hash.
@@ -54,7 +54,7 @@
 }
 
 // Answerer answers questions.
-type Answerer func(context.Context, Question) Reply
+type Answerer func(context.Context, Request) Reply
 
 // Bounds of streams.
 const (
@@ -140,7 +140,7 @@
 func (s *StreamServer) reply(stream *quic.Stream) {
 	defer stream.Close()
 	_ = stream.SetDeadline(time.Now().Add(streamTimeout))
-	var q Question
+	var q Request
 	if err := readMessage(stream, maxQuestionBytes, &q); err != nil {
 		stream.CancelRead(0)
 		return
@@ -177,7 +177,7 @@
 func (c *StreamClient) SetIdentity(id *Identity) { c.identity.Store(id) }
 
 // Call asks one question over a kept connection.
-func (c *StreamClient) Call(ctx context.Context, address string, q Question) ([]byte, error) {
+func (c *StreamClient) Call(ctx context.Context, address string, q Request) ([]byte, error) {
 	s, err := c.session(ctx, address)
 	if err != nil {
 		return nil, err
@@ -243,7 +243,7 @@
 func (s *Session) Close() { _ = s.conn.CloseWithError(0, "") }
 
 // Ask asks one question. ErrNotFound means that the peer does not have it.
-func (s *Session) Ask(ctx context.Context, q Question) ([]byte, error) {
+func (s *Session) Ask(ctx context.Context, q Request) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, streamTimeout)
 	defer cancel()
 	stream, err := s.conn.OpenStreamSync(ctx)
