--- a/daemon/relays_test.go
+++ b/daemon/relays_test.go
@@ -179,13 +179,13 @@
 	now := time.Unix(1000, 0)
 	r.now = func() time.Time { return now }
 	s.list("a")
-	whole, told := r.news(peer.MembersQuestion{}, false)
+	whole, told := r.news(peer.MembersRequest{}, false)
 	require.True(t, told)
-	again, _ := r.news(peer.MembersQuestion{}, false)
+	again, _ := r.news(peer.MembersRequest{}, false)
 	require.Same(t, &whole[0], &again[0])
 	n, err := relay.Decode(whole)
 	require.NoError(t, err)
-	known := peer.MembersQuestion{Process: n.Process, Seq: n.Seq}
+	known := peer.MembersRequest{Process: n.Process, Seq: n.Seq}
 	s.list("a", "b")
 	_, told = r.news(known, false)
 	require.False(t, told, "changes gather")
@@ -234,7 +234,7 @@
 	now := time.Unix(1000, 0)
 	r.now = func() time.Time { return now }
 	told := func() relay.Delta {
-		packed, _ := r.news(peer.MembersQuestion{}, true)
+		packed, _ := r.news(peer.MembersRequest{}, true)
 		n, err := relay.Decode(packed)
 		require.NoError(t, err)
 		return n
--- a/daemon/relaysfollow.go
+++ b/daemon/relaysfollow.go
@@ -82,19 +82,19 @@
 			now := r.now()
 			r.vouchedAt.Store(&now)
 		}
-		asked = peer.MembersQuestion{Process: news.Process, Seq: news.Seq, Hold: r.hold()}
+		asked = peer.MembersRequest{Process: news.Process, Seq: news.Seq, Hold: r.hold()}
 	}
 	return answered
 }
 
 // firstQuestion asks for the whole, as of what is known here or later. One who knows members
 // already does not wait for long, as nobody tells it meanwhile who leaves.
-func (r *relays) firstQuestion() peer.MembersQuestion {
+func (r *relays) firstQuestion() peer.MembersRequest {
 	heard := r.heardAt()
 	if heard == (evacuation.Version{}) {
-		return peer.MembersQuestion{Hold: relayFirst}
+		return peer.MembersRequest{Hold: relayFirst}
 	}
-	return peer.MembersQuestion{Hold: relayAgain, StoreEra: heard.Era, StoreRevision: heard.Revision}
+	return peer.MembersRequest{Hold: relayAgain, StoreEra: heard.Era, StoreRevision: heard.Revision}
 }
 
 func (r *relays) failed(name string, err error) {
@@ -138,7 +138,7 @@
 	return client.Dial(ctx, address)
 }
 
-func (r *relays) askOne(ctx context.Context, s *peer.Session, q peer.MembersQuestion) (relay.Delta, error) {
+func (r *relays) askOne(ctx context.Context, s *peer.Session, q peer.MembersRequest) (relay.Delta, error) {
 	ctx, cancel := context.WithTimeout(ctx, q.Hold+relayTime)
 	defer cancel()
 	packed, err := s.Ask(ctx, peer.Request{Members: &q})
--- a/daemon/relaystell.go
+++ b/daemon/relaystell.go
@@ -31,7 +31,7 @@
 }
 
 // news is what is new for one who asks, packed; false if there is nothing, and it is not over.
-func (r *relays) news(q peer.MembersQuestion, over bool) (packed []byte, told bool) {
+func (r *relays) news(q peer.MembersRequest, over bool) (packed []byte, told bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.take()
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -25,12 +25,12 @@
 	// Claim asks a shard of idempotency keys about an entry.
 	Claim *ClaimQuestion `cbor:"3,keyasint,omitempty"`
 	// Members asks for the members that a peer knows.
-	Members *MembersQuestion `cbor:"4,keyasint,omitempty"`
+	Members *MembersRequest `cbor:"4,keyasint,omitempty"`
 }
 
-// MembersQuestion asks for the news of members of who was told up to a change of a process;
+// MembersRequest asks for the news of members of who was told up to a change of a process;
 // the zero values ask for all. Hold is for how long the answer may wait for news.
-type MembersQuestion struct {
+type MembersRequest struct {
 	Process string        `cbor:"1,keyasint,omitempty"`
 	Seq     int64         `cbor:"2,keyasint,omitempty"`
 	Hold    time.Duration `cbor:"3,keyasint,omitempty"`
