--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return a, err
 	}
-	data, err := i.asking.Call(ctx, address, peer.Request{Claim: &peer.ClaimQuestion{Shard: shard, Op: encoded}})
+	data, err := i.asking.Call(ctx, address, peer.Request{Claim: &peer.ClaimRequest{Shard: shard, Op: encoded}})
 	if err != nil {
 		return a, err
 	}
@@ -59,7 +59,7 @@
 	return peer.Reply{Found: found, Data: text}
 }
 
-func (i *Instance) answerClaim(ctx context.Context, q *peer.ClaimQuestion) peer.Reply {
+func (i *Instance) answerClaim(ctx context.Context, q *peer.ClaimRequest) peer.Reply {
 	var op claim.Op
 	if err := cbor.Unmarshal(q.Op, &op); err != nil || q.Shard < 0 || q.Shard >= claim.Shards || i.current.Load() == nil {
 		return peer.Reply{}
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -23,7 +23,7 @@
 	// Chunk asks for a chunk by its hash.
 	Chunk string `cbor:"2,keyasint,omitempty"`
 	// Claim asks a shard of idempotency keys about an entry.
-	Claim *ClaimQuestion `cbor:"3,keyasint,omitempty"`
+	Claim *ClaimRequest `cbor:"3,keyasint,omitempty"`
 	// Members asks for the members that a peer knows.
 	Members *MembersRequest `cbor:"4,keyasint,omitempty"`
 }
@@ -40,8 +40,8 @@
 	StoreRevision int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// ClaimQuestion is an encoded entry for a shard.
-type ClaimQuestion struct {
+// ClaimRequest is an encoded entry for a shard.
+type ClaimRequest struct {
 	Shard int    `cbor:"1,keyasint"`
 	Op    []byte `cbor:"2,keyasint"`
 }
