--- a/peer/stream.go
+++ b/peer/stream.go
@@ -53,8 +53,8 @@
 	Data  []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// Answerer answers questions.
-type Answerer func(context.Context, Request) Reply
+// Handler answers questions.
+type Handler func(context.Context, Request) Reply
 
 // Bounds of streams.
 const (
@@ -72,7 +72,7 @@
 	transport *quic.Transport
 	listener  *quic.Listener
 	identity  atomic.Pointer[Identity]
-	answer    Answerer
+	answer    Handler
 }
 
 // The size that quic-go wants of the system's buffers is far beyond what peers need, and it
@@ -80,7 +80,7 @@
 const quietBuffers = "QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING"
 
 // ListenStreams serves on an address of the form IP:PORT until Close.
-func ListenStreams(address string, id *Identity, answer Answerer) (*StreamServer, error) {
+func ListenStreams(address string, id *Identity, answer Handler) (*StreamServer, error) {
 	if err := os.Setenv(quietBuffers, "true"); err != nil {
 		return nil, err
 	}
