--- a/daemon/relaysfollow.go
+++ b/daemon/relaysfollow.go
@@ -141,7 +141,7 @@
 func (r *relays) askOne(ctx context.Context, s *peer.Session, q peer.MembersRequest) (relay.Delta, error) {
 	ctx, cancel := context.WithTimeout(ctx, q.Hold+relayTime)
 	defer cancel()
-	packed, err := s.Ask(ctx, peer.Request{Members: &q})
+	packed, err := s.Call(ctx, peer.Request{Members: &q})
 	if err != nil {
 		return relay.Delta{}, err
 	}
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	defer session.Close()
-	data, err := session.Ask(ctx, peer.Request{Root: true})
+	data, err := session.Call(ctx, peer.Request{Root: true})
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	return d.fetcher.Fetch(ctx, entry, func(ctx context.Context, hash string) ([]byte, error) {
-		return session.Ask(ctx, peer.Request{Chunk: hash})
+		return session.Call(ctx, peer.Request{Chunk: hash})
 	})
 }
 
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -196,7 +196,7 @@
 	if err == nil {
 		// The client's certificate is of the newer key, which the server does
 		// not know: mutual TLS ends the session at the first question.
-		_, err = session.Ask(ctx, Request{Chunk: "h"})
+		_, err = session.Call(ctx, Request{Chunk: "h"})
 		session.Close()
 	}
 	require.Error(t, err)
@@ -204,10 +204,10 @@
 	session, err = NewStreamClient(identity(key(2), key(1))).Dial(ctx, address)
 	require.NoError(t, err)
 	defer session.Close()
-	data, err := session.Ask(ctx, Request{Chunk: "h"})
+	data, err := session.Call(ctx, Request{Chunk: "h"})
 	require.NoError(t, err)
 	require.Len(t, data, 1<<20)
-	_, err = session.Ask(ctx, Request{Chunk: "other"})
+	_, err = session.Call(ctx, Request{Chunk: "other"})
 	require.ErrorIs(t, err, ErrNotFound)
 	_, err = NewStreamClient(identity(key(3))).Dial(ctx, address)
 	require.Error(t, err)
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -182,7 +182,7 @@
 	if err != nil {
 		return nil, err
 	}
-	data, err := s.Ask(ctx, q)
+	data, err := s.Call(ctx, q)
 	if err != nil && !errors.Is(err, ErrNotFound) {
 		c.drop(address, s)
 	}
@@ -242,8 +242,8 @@
 // Close ends the connection.
 func (s *Session) Close() { _ = s.conn.CloseWithError(0, "") }
 
-// Ask asks one question. ErrNotFound means that the peer does not have it.
-func (s *Session) Ask(ctx context.Context, q Request) ([]byte, error) {
+// Call asks one question. ErrNotFound means that the peer does not have it.
+func (s *Session) Call(ctx context.Context, q Request) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, streamTimeout)
 	defer cancel()
 	stream, err := s.conn.OpenStreamSync(ctx)
