--- a/daemon/node.go
+++ b/daemon/node.go
@@ -366,7 +366,7 @@
 		return false
 	}
 	// Callers with keys are refused here while the keys cannot be gone by.
-	return !c.Tree.Edge.Keyed || n.rights.current(c.Revision)
+	return !c.Tree.Edge.RequiresToken || n.rights.current(c.Revision)
 }
 
 // CallersAddr, ReadinessAddr and OperatorsAddr are where the node listens.
--- a/settings/route.go
+++ b/settings/route.go
@@ -9,8 +9,8 @@
 // Edge is the callers' side of a deployment whose callers are told apart by
 // host and path.
 type Edge struct {
-	// Keyed tells that requests need a token, but on public routes.
-	Keyed  bool
+	// RequiresToken tells that requests need a token, but on public routes.
+	RequiresToken  bool
 	Routes []Route
 	Limits EdgeLimits
 }
