--- a/pipeline/authenticate.go
+++ b/pipeline/authenticate.go
@@ -36,7 +36,7 @@
 	if a.TokensCurrent != nil && !a.TokensCurrent(catalog.Revision) {
 		return settings.Identity{}, &StaleSettingsError{}
 	}
-	who, known := catalog.Caller(fields[0][len(bearer):])
+	who, known := catalog.CallerByToken(fields[0][len(bearer):])
 	if !known {
 		return settings.Identity{}, &AuthError{Status: http.StatusUnauthorized, Reason: "the token is not known"}
 	}
--- a/settings/keys_test.go
+++ b/settings/keys_test.go
@@ -17,7 +17,7 @@
 	c := NewCatalog(t)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, known := c.Caller("second1234"); !known {
+		if _, known := c.CallerByToken("second1234"); !known {
 			b.Fatal("unknown")
 		}
 	}
@@ -26,12 +26,12 @@
 func TestCallerIsFoundByItsToken(t *testing.T) {
 	c := NewCatalog(&Tree{Callers: map[string]*Caller{"desk": {TokenSHA256: []string{HashToken("a"), HashToken("b")}}, "none": {}}})
 	for _, token := range []string{"a", "b"} {
-		who, known := c.Caller(token)
+		who, known := c.CallerByToken(token)
 		require.True(t, known)
 		require.Equal(t, "desk", who.Name)
 	}
-	_, known := c.Caller("c")
+	_, known := c.CallerByToken("c")
 	require.False(t, known)
-	_, known = c.Caller("")
+	_, known = c.CallerByToken("")
 	require.False(t, known)
 }
--- a/settings/unit.go
+++ b/settings/unit.go
@@ -148,8 +148,8 @@
 // hashed off the heap.
 const maxTokenBytes = 512
 
-// Caller returns the caller whose token it is.
-func (c *Catalog) Caller(token string) (Identity, bool) {
+// CallerByToken returns the caller whose token it is.
+func (c *Catalog) CallerByToken(token string) (Identity, bool) {
 	var text [maxTokenBytes]byte
 	if len(token) > len(text) {
 		return Identity{}, false
