--- a/pipeline/authenticate.go
+++ b/pipeline/authenticate.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	if !caller.May(x.Call.Name) {
+	if !caller.MayUse(x.Call.Name) {
 		return &AuthError{Status: http.StatusForbidden, Reason: "caller " + caller.Name + " may not use " + x.Call.Name}
 	}
 	x.Caller = caller
--- a/pipeline/openai.go
+++ b/pipeline/openai.go
@@ -111,7 +111,7 @@
 	}
 	list := modelList{Object: "list", Data: []modelItem{}}
 	for _, name := range slices.Sorted(maps.Keys(catalog.Targets)) {
-		if caller.May(name) {
+		if caller.MayUse(name) {
 			list.Data = append(list.Data, modelItem{ID: name, Object: "model", OwnedBy: catalog.Tree.Deployment})
 		}
 	}
--- a/settings/unit.go
+++ b/settings/unit.go
@@ -139,8 +139,8 @@
 	services map[string]bool
 }
 
-// May tells whether the caller may use the service or unit of that name.
-func (i Identity) May(name string) bool {
+// MayUse tells whether the caller may use the service or unit of that name.
+func (i Identity) MayUse(name string) bool {
 	return i.services[AllServices] || i.services[name]
 }
 
