--- a/settings/check.go
+++ b/settings/check.go
@@ -282,7 +282,7 @@
 	if a.Burst < 0 {
 		c.add(path+"/burst", "must not be negative")
 	}
-	if a.PlainTokens < 0 || a.Unit == CountTokens && a.PlainTokens == 0 {
+	if a.DefaultTokens < 0 || a.Unit == CountTokens && a.DefaultTokens == 0 {
 		c.add(path+"/plainTokens", "must be above 0 where tokens are counted")
 	}
 }
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -181,8 +181,8 @@
 	// PerSecond is the rate that may be kept up, Burst what may come at once besides.
 	PerSecond float64 `json:"perSecond"`
 	Burst     float64 `json:"burst"`
-	// PlainTokens is what a request counts in tokens that does not tell its own.
-	PlainTokens int64 `json:"plainTokens,omitempty"`
+	// DefaultTokens is what a request counts in tokens that does not tell its own.
+	DefaultTokens int64 `json:"plainTokens,omitempty"`
 }
 
 // Cost is what a request counts that tells so many tokens, 0 for none.
@@ -193,6 +193,6 @@
 	case tokens > 0:
 		return float64(tokens)
 	default:
-		return float64(a.PlainTokens)
+		return float64(a.DefaultTokens)
 	}
 }
