--- a/store/caller.go
+++ b/store/caller.go
@@ -43,8 +43,8 @@
 // verbWatch counts a call that waits for changes.
 const verbWatch = "WATCH"
 
-// Caller makes calls and tells by the error what a failure proves.
-type Caller struct {
+// Requester makes calls and tells by the error what a failure proves.
+type Requester struct {
 	timeout  time.Duration
 	calls    *expvar.Map
 	phase    func() string
@@ -63,7 +63,7 @@
 
 // NewCaller returns a caller; it makes no call by itself. The URL of the
 // configuration is not used.
-func NewCaller(cfg Config) *Caller {
+func NewCaller(cfg Config) *Requester {
 	if cfg.CallTimeout == 0 {
 		cfg.CallTimeout = DefaultCallTimeout
 	}
@@ -82,19 +82,19 @@
 	if cfg.EraOf == nil {
 		cfg.EraOf = func(http.Header) int64 { return 0 }
 	}
-	return &Caller{eras: cfg.Eras, eraOf: cfg.EraOf, timeout: cfg.CallTimeout, calls: cfg.Calls, phase: cfg.Phase, asked: cfg.Asked, answered: cfg.Answered, http: &http.Client{Transport: cfg.Transport}}
+	return &Requester{eras: cfg.Eras, eraOf: cfg.EraOf, timeout: cfg.CallTimeout, calls: cfg.Calls, phase: cfg.Phase, asked: cfg.Asked, answered: cfg.Answered, http: &http.Client{Transport: cfg.Transport}}
 }
 
 // Call makes a call within the caller's timeout and decodes the answer into
 // into, unless that is nil.
-func (c *Caller) Call(ctx context.Context, call Call, into any) error {
+func (c *Requester) Call(ctx context.Context, call Call, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	return c.Wait(ctx, call, into)
 }
 
 // Wait is Call bounded by ctx alone, for a call that waits for changes.
-func (c *Caller) Wait(ctx context.Context, call Call, into any) error {
+func (c *Requester) Wait(ctx context.Context, call Call, into any) error {
 	err := c.exchange(ctx, call, into)
 	if errors.Is(err, context.DeadlineExceeded) {
 		// Whatever silenced this connection may have silenced those that rest.
@@ -104,7 +104,7 @@
 }
 
 // exchange makes a call and decodes the answer.
-func (c *Caller) exchange(ctx context.Context, call Call, into any) error {
+func (c *Requester) exchange(ctx context.Context, call Call, into any) error {
 	resp, err := c.open(ctx, call)
 	if err != nil {
 		return err
@@ -120,7 +120,7 @@
 }
 
 // open makes a call and returns the answer if it is a success.
-func (c *Caller) open(ctx context.Context, call Call) (*http.Response, error) {
+func (c *Requester) open(ctx context.Context, call Call) (*http.Response, error) {
 	if c.calls != nil {
 		c.calls.Add(call.key(c.phase()), 1)
 	}
--- a/store/client.go
+++ b/store/client.go
@@ -110,7 +110,7 @@
 // HTTPClient speaks to the object API over net/http.
 type HTTPClient struct {
 	base   string
-	caller *Caller
+	caller *Requester
 }
 
 // NewHTTPClient returns a client; it makes no call by itself.
