--- a/store/caller.go
+++ b/store/caller.go
@@ -61,9 +61,9 @@
 // DefaultCallTimeout bounds a call where Config does not.
 const DefaultCallTimeout = 2 * time.Second
 
-// NewCaller returns a caller; it makes no call by itself. The URL of the
+// NewRequester returns a caller; it makes no call by itself. The URL of the
 // configuration is not used.
-func NewCaller(cfg Config) *Requester {
+func NewRequester(cfg Config) *Requester {
 	if cfg.CallTimeout == 0 {
 		cfg.CallTimeout = DefaultCallTimeout
 	}
--- a/store/client.go
+++ b/store/client.go
@@ -115,7 +115,7 @@
 
 // NewHTTPClient returns a client; it makes no call by itself.
 func NewHTTPClient(cfg Config) *HTTPClient {
-	return &HTTPClient{base: strings.TrimSuffix(cfg.URL, "/") + "/apis/" + APIVersion + "/", caller: NewCaller(cfg)}
+	return &HTTPClient{base: strings.TrimSuffix(cfg.URL, "/") + "/apis/" + APIVersion + "/", caller: NewRequester(cfg)}
 }
 
 // Get implements Client.
