--- a/store/caller.go
+++ b/store/caller.go
@@ -20,8 +20,8 @@
 	Name string
 	URL  string
 	Body []byte
-	// Behind tells that the answer may be old, which some stores charge less for.
-	Behind bool
+	// Stale tells that the answer may be old, which some stores charge less for.
+	Stale bool
 	// Hold is how long the store may hold the call before it answers.
 	Hold time.Duration
 	// Era, unless nil, is set to the era of a whole answer.
@@ -31,7 +31,7 @@
 // key is what the call is counted under.
 func (c Call) key(phase string) string {
 	key := c.Verb + " " + string(c.Kind)
-	if c.Behind {
+	if c.Stale {
 		key += " behind"
 	}
 	if phase != "" {
