--- a/store/client.go
+++ b/store/client.go
@@ -30,8 +30,8 @@
 	Watch(ctx context.Context, kind Kind, resourceVersion string, o WatchOptions, handle func(Event)) error
 }
 
-// BehindReader is a Client whose store answers some reads late for a lower price.
-type BehindReader interface {
+// StaleReader is a Client whose store answers some reads late for a lower price.
+type StaleReader interface {
 	// GetBehind is Get of what the object may have been seconds ago.
 	GetBehind(ctx context.Context, kind Kind, name string) (Object, error)
 	// ListBehind is List of what may have been seconds ago, but not before the version
--- a/store/reflector.go
+++ b/store/reflector.go
@@ -119,7 +119,7 @@
 // list asks for the whole list, which may be behind where changes may be and the store
 // knows such reads. One that is older than what is known is asked for again, not behind.
 func (r *Reflector) list(ctx context.Context) (l List, behind bool, err error) {
-	reader, offered := r.client.(BehindReader)
+	reader, offered := r.client.(StaleReader)
 	if offered && r.options.MayBeBehind() {
 		asked := r.options.Stamp()
 		l, err = reader.ListBehind(ctx, r.kind, r.least)
