--- a/daemon/presence.go
+++ b/daemon/presence.go
@@ -133,7 +133,7 @@
 // readBehind reads an object, where an old answer is as good.
 func (d *presenceDuty) readBehind(ctx context.Context, kind store.Kind, name string) (store.Object, error) {
 	if reader, offered := d.client.(store.StaleReader); offered {
-		return reader.GetBehind(ctx, kind, name)
+		return reader.GetStale(ctx, kind, name)
 	}
 	return d.client.Get(ctx, kind, name)
 }
--- a/store/client.go
+++ b/store/client.go
@@ -32,8 +32,8 @@
 
 // StaleReader is a Client whose store answers some reads late for a lower price.
 type StaleReader interface {
-	// GetBehind is Get of what the object may have been seconds ago.
-	GetBehind(ctx context.Context, kind Kind, name string) (Object, error)
+	// GetStale is Get of what the object may have been seconds ago.
+	GetStale(ctx context.Context, kind Kind, name string) (Object, error)
 	// ListBehind is List of what may have been seconds ago, but not before the version
 	// least; an older answer is an ErrOlder. Empty means any.
 	ListBehind(ctx context.Context, kind Kind, least string) (List, error)
