--- a/daemon/holds.go
+++ b/daemon/holds.go
@@ -83,7 +83,7 @@
 
 func (d *holdsDuty) list(ctx context.Context, old bool) (store.List, error) {
 	if reader, offered := d.client.(store.StaleReader); offered && old {
-		return reader.ListBehind(ctx, store.KindHold, "")
+		return reader.ListStale(ctx, store.KindHold, "")
 	}
 	return d.client.List(ctx, store.KindHold)
 }
--- a/store/client.go
+++ b/store/client.go
@@ -34,9 +34,9 @@
 type StaleReader interface {
 	// GetStale is Get of what the object may have been seconds ago.
 	GetStale(ctx context.Context, kind Kind, name string) (Object, error)
-	// ListBehind is List of what may have been seconds ago, but not before the version
+	// ListStale is List of what may have been seconds ago, but not before the version
 	// least; an older answer is an ErrOlder. Empty means any.
-	ListBehind(ctx context.Context, kind Kind, least string) (List, error)
+	ListStale(ctx context.Context, kind Kind, least string) (List, error)
 }
 
 // WatchOptions say how a watch may be served.
--- a/store/reflector.go
+++ b/store/reflector.go
@@ -122,7 +122,7 @@
 	reader, offered := r.client.(StaleReader)
 	if offered && r.options.MayBeBehind() {
 		asked := r.options.Stamp()
-		l, err = reader.ListBehind(ctx, r.kind, r.least)
+		l, err = reader.ListStale(ctx, r.kind, r.least)
 		l.BeganAt = asked
 		if !errors.Is(err, ErrOlder) {
 			return l, true, err
