--- a/daemon/presence.go
+++ b/daemon/presence.go
@@ -194,7 +194,7 @@
 
 // watch follows the other instances.
 func (d *presenceDuty) watch(ctx context.Context) {
-	r := store.NewReflector(d.client, store.KindInstance, store.WatchOptions{Behind: whoIsThereMayBeOld, Now: d.link.now},
+	r := store.NewReflector(d.client, store.KindInstance, store.WatchOptions{AllowStale: whoIsThereMayBeOld, Now: d.link.now},
 		func(l store.List) {
 			d.link.listed(store.KindInstance, l)
 			d.listed(l)
--- a/store/client.go
+++ b/store/client.go
@@ -41,10 +41,10 @@
 
 // WatchOptions say how a watch may be served.
 type WatchOptions struct {
-	// Behind tells, before each call that the watch makes and while it waits, whether
+	// AllowStale tells, before each call that the watch makes and while it waits, whether
 	// changes may come seconds late, which costs some stores less; nil means that they
 	// may not. It is called by several goroutines.
-	Behind func() bool
+	AllowStale func() bool
 	// Wait is how long the store may hold a call that is not behind and has nothing
 	// to tell; 0 means as long as the client is set up for.
 	Wait time.Duration
@@ -67,7 +67,7 @@
 }
 
 // MayBeBehind tells whether changes may come late now.
-func (o WatchOptions) MayBeBehind() bool { return o.Behind != nil && o.Behind() }
+func (o WatchOptions) MayBeBehind() bool { return o.AllowStale != nil && o.AllowStale() }
 
 func (o WatchOptions) confirm() {
 	if o.Confirmed != nil {
--- a/store/reflector_test.go
+++ b/store/reflector_test.go
@@ -115,7 +115,7 @@
 		c := &scriptedClient{watch: func(int, string, func(store.Event)) error { return &store.StatusError{Code: http.StatusGone} }}
 		var behind atomic.Bool
 		behind.Store(true)
-		r := store.NewReflector(c, store.KindLease, store.WatchOptions{Behind: behind.Load}, func(store.List) {}, func(store.Event) {}, func(error) {})
+		r := store.NewReflector(c, store.KindLease, store.WatchOptions{AllowStale: behind.Load}, func(store.List) {}, func(store.Event) {}, func(error) {})
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); r.Run(ctx) }()
@@ -145,7 +145,7 @@
 		}}
 		var behind atomic.Bool
 		behind.Store(true)
-		r := store.NewReflector(c, store.KindLease, store.WatchOptions{Behind: behind.Load}, func(store.List) {}, func(store.Event) {}, func(error) {})
+		r := store.NewReflector(c, store.KindLease, store.WatchOptions{AllowStale: behind.Load}, func(store.List) {}, func(store.Event) {}, func(error) {})
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); r.Run(ctx) }()
