--- a/daemon/latestore_test.go
+++ b/daemon/latestore_test.go
@@ -151,7 +151,7 @@
 	revision, err := strconv.ParseInt(version, 10, 64)
 	for err == nil {
 		var events []store.Event
-		behind := o.MayBeBehind()
+		behind := o.StaleAllowed()
 		if events, revision, err = c.wait(ctx, revision, behind); err != nil {
 			return err
 		}
--- a/store/client.go
+++ b/store/client.go
@@ -66,8 +66,8 @@
 	return o.Now()
 }
 
-// MayBeBehind tells whether changes may come late now.
-func (o WatchOptions) MayBeBehind() bool { return o.AllowStale != nil && o.AllowStale() }
+// StaleAllowed tells whether changes may come late now.
+func (o WatchOptions) StaleAllowed() bool { return o.AllowStale != nil && o.AllowStale() }
 
 func (o WatchOptions) confirm() {
 	if o.Confirmed != nil {
--- a/store/reflector.go
+++ b/store/reflector.go
@@ -80,8 +80,8 @@
 // may be. It reports false if ctx ended first.
 func (r *Reflector) pause(ctx context.Context, err error, pause time.Duration) bool {
 	spread := 0.5 + r.jitter()
-	if IsExpired(err) && r.options.MayBeBehind() {
-		return wait.While(ctx, time.Duration(float64(reflectorBehindPause)*spread), r.options.MayBeBehind)
+	if IsExpired(err) && r.options.StaleAllowed() {
+		return wait.While(ctx, time.Duration(float64(reflectorBehindPause)*spread), r.options.StaleAllowed)
 	}
 	return wait.For(ctx, time.Duration(float64(pause)*spread))
 }
@@ -120,7 +120,7 @@
 // knows such reads. One that is older than what is known is asked for again, not behind.
 func (r *Reflector) list(ctx context.Context) (l List, behind bool, err error) {
 	reader, offered := r.client.(StaleReader)
-	if offered && r.options.MayBeBehind() {
+	if offered && r.options.StaleAllowed() {
 		asked := r.options.Stamp()
 		l, err = reader.ListStale(ctx, r.kind, r.least)
 		l.BeganAt = asked
