--- a/store/client.go
+++ b/store/client.go
@@ -84,10 +84,10 @@
 	// WatchWait is how long the store may hold a watch that has nothing to tell,
 	// where watches are calls that end; 0 means DefaultWatchWait.
 	WatchWait time.Duration
-	// BehindWait is the same for a watch that may be behind; 0 means WatchWait.
+	// StaleWait is the same for a watch that may be behind; 0 means WatchWait.
 	// Such a call goes on as it began, so this is also how long a watch stays
 	// behind when it no longer may.
-	BehindWait time.Duration
+	StaleWait time.Duration
 	// Calls counts calls by "VERB KIND", with "behind" where the answer may be old and
 	// the phase in which they are made; nil counts nothing.
 	Calls *expvar.Map
