--- a/daemon/entries.go
+++ b/daemon/entries.go
@@ -153,7 +153,7 @@
 func (d *entriesDuty) storeWatch(ctx context.Context, following func() context.Context) *store.Reflector {
 	put := func(e membership.EntryEvent) { d.put(ctx, e) }
 	var changes batch
-	options := store.WatchOptions{AllowStale: d.behind, Wait: d.closeWait, Confirmed: func() { d.link.confirmed(d.kind) }, Now: d.now}
+	options := store.WatchOptions{AllowStale: d.behind, Wait: d.closeWait, OnFresh: func() { d.link.confirmed(d.kind) }, Now: d.now}
 	return store.NewReflector(d.client, d.kind, options,
 		func(l store.List) {
 			d.link.listed(d.kind, l)
--- a/daemon/evacuations.go
+++ b/daemon/evacuations.go
@@ -105,7 +105,7 @@
 		return
 	}
 	changes := map[string]bool{}
-	options := store.WatchOptions{Confirmed: func() { d.link.confirmed(d.kind) }, Now: d.now, WaitNow: d.wait}
+	options := store.WatchOptions{OnFresh: func() { d.link.confirmed(d.kind) }, Now: d.now, WaitNow: d.wait}
 	r := store.NewReflector(d.client, d.kind, options,
 		func(l store.List) {
 			d.link.heard()
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -141,7 +141,7 @@
 	// Settings that a new process begins with are never old ones: all instances may have
 	// ended right after newer ones were acknowledged.
 	behind := func() bool { return listed.Load() && d.behind() }
-	options := store.WatchOptions{AllowStale: behind, Confirmed: func() { d.link.confirmed(d.kind) }, Now: d.now, WaitNow: d.wait}
+	options := store.WatchOptions{AllowStale: behind, OnFresh: func() { d.link.confirmed(d.kind) }, Now: d.now, WaitNow: d.wait}
 	var changes batch
 	r := store.NewReflector(d.client, d.kind, options,
 		func(l store.List) {
--- a/store/client.go
+++ b/store/client.go
@@ -50,10 +50,10 @@
 	Wait time.Duration
 	// WaitNow, unless nil, is asked before each such call in place of Wait.
 	WaitNow func() time.Duration
-	// Confirmed is told of each answer that is not behind, also of one without
+	// OnFresh is told of each answer that is not behind, also of one without
 	// changes: what the handler knows then was current a moment ago. Nil tells
 	// nobody.
-	Confirmed func()
+	OnFresh func()
 	// Now stamps when calls are made, in Event.AskedAt, List.AskedAt and List.BeganAt; nil stamps none.
 	Now func() time.Time
 }
@@ -70,8 +70,8 @@
 func (o WatchOptions) StaleAllowed() bool { return o.AllowStale != nil && o.AllowStale() }
 
 func (o WatchOptions) confirm() {
-	if o.Confirmed != nil {
-		o.Confirmed()
+	if o.OnFresh != nil {
+		o.OnFresh()
 	}
 }
 
--- a/store/reflector_test.go
+++ b/store/reflector_test.go
@@ -174,7 +174,7 @@
 			return nil
 		}}
 		confirmed := 0
-		options := store.WatchOptions{Confirmed: func() { confirmed++ }}
+		options := store.WatchOptions{OnFresh: func() { confirmed++ }}
 		r := store.NewReflector(c, store.KindLease, options, func(store.List) {}, func(store.Event) {}, func(error) {})
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
