--- a/store/caller.go
+++ b/store/caller.go
@@ -73,8 +73,8 @@
 	if cfg.Answered == nil {
 		cfg.Answered = func() {}
 	}
-	if cfg.Asked == nil {
-		cfg.Asked = func(time.Duration) {}
+	if cfg.OnCall == nil {
+		cfg.OnCall = func(time.Duration) {}
 	}
 	if cfg.Phase == nil {
 		cfg.Phase = func() string { return "" }
@@ -82,7 +82,7 @@
 	if cfg.EraOf == nil {
 		cfg.EraOf = func(http.Header) int64 { return 0 }
 	}
-	return &Requester{eras: cfg.Eras, eraOf: cfg.EraOf, timeout: cfg.CallTimeout, calls: cfg.Calls, phase: cfg.Phase, asked: cfg.Asked, answered: cfg.Answered, http: &http.Client{Transport: cfg.Transport}}
+	return &Requester{eras: cfg.Eras, eraOf: cfg.EraOf, timeout: cfg.CallTimeout, calls: cfg.Calls, phase: cfg.Phase, asked: cfg.OnCall, answered: cfg.Answered, http: &http.Client{Transport: cfg.Transport}}
 }
 
 // Call makes a call within the caller's timeout and decodes the answer into
--- a/store/client.go
+++ b/store/client.go
@@ -94,9 +94,9 @@
 	// Phase tells in what phase of the instance's life calls are made now; nil means
 	// that they are not told apart.
 	Phase func() string
-	// Asked is told of each call that is made, and how long the store may hold it; nil
+	// OnCall is told of each call that is made, and how long the store may hold it; nil
 	// tells nobody.
-	Asked func(hold time.Duration)
+	OnCall func(hold time.Duration)
 	// Answered is told of each answer by which the store shows that it serves
 	// this instance; nil tells nobody.
 	Answered func()
