--- a/daemon/node.go
+++ b/daemon/node.go
@@ -403,7 +403,7 @@
 	n.vars.Set("queue_length", expvar.Func(func() any { return n.gates.Len() }))
 	n.vars.Set("endpoints_age_ms", expvar.Func(func() any { return n.endpointsAgeMS() }))
 	n.vars.Set("settings_revision", expvar.Func(func() any { return n.revision() }))
-	objects := n.ports.Store(store.Config{URL: n.cfg.ObjectStore, Calls: calls, Phase: n.phase, WatchWait: n.cfg.Fresh.settingsWait(), StaleWait: n.cfg.Fresh.behindWait(), OnCall: n.link.asked, Answered: n.link.answered, Transport: n.storeCalls, Eras: n.eras})
+	objects := n.ports.Store(store.Config{URL: n.cfg.ObjectStore, Calls: calls, Phase: n.phase, WatchWait: n.cfg.Fresh.settingsWait(), StaleWait: n.cfg.Fresh.behindWait(), OnCall: n.link.asked, OnAnswer: n.link.answered, Transport: n.storeCalls, Eras: n.eras})
 	n.placers = &placers{
 		ctx: n.work, cfg: n.cfg.Orders, instance: n.cfg.Instance, holder: n.holder(), client: objects, log: n.log, now: n.clock.NowExact, done: &n.done,
 		controls: n.ports.Controls(n.control, n.cfg.Instance), campaigns: n.campaigns, looks: n.looks, place: n.mesh.place, running: map[string]*placer{}, era: n.eras.Newest,
--- a/store/caller.go
+++ b/store/caller.go
@@ -70,8 +70,8 @@
 	if cfg.Transport == nil {
 		cfg.Transport = &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute}
 	}
-	if cfg.Answered == nil {
-		cfg.Answered = func() {}
+	if cfg.OnAnswer == nil {
+		cfg.OnAnswer = func() {}
 	}
 	if cfg.OnCall == nil {
 		cfg.OnCall = func(time.Duration) {}
@@ -82,7 +82,7 @@
 	if cfg.EraOf == nil {
 		cfg.EraOf = func(http.Header) int64 { return 0 }
 	}
-	return &Requester{eras: cfg.Eras, eraOf: cfg.EraOf, timeout: cfg.CallTimeout, calls: cfg.Calls, phase: cfg.Phase, asked: cfg.OnCall, answered: cfg.Answered, http: &http.Client{Transport: cfg.Transport}}
+	return &Requester{eras: cfg.Eras, eraOf: cfg.EraOf, timeout: cfg.CallTimeout, calls: cfg.Calls, phase: cfg.Phase, asked: cfg.OnCall, answered: cfg.OnAnswer, http: &http.Client{Transport: cfg.Transport}}
 }
 
 // Call makes a call within the caller's timeout and decodes the answer into
--- a/store/client.go
+++ b/store/client.go
@@ -97,9 +97,9 @@
 	// OnCall is told of each call that is made, and how long the store may hold it; nil
 	// tells nobody.
 	OnCall func(hold time.Duration)
-	// Answered is told of each answer by which the store shows that it serves
+	// OnAnswer is told of each answer by which the store shows that it serves
 	// this instance; nil tells nobody.
-	Answered func()
+	OnAnswer func()
 	// Eras follows the store's eras; nil where it has none. EraOf reads the era of an answer.
 	Eras  *Eras
 	EraOf func(http.Header) int64
