--- a/store/client.go
+++ b/store/client.go
@@ -58,8 +58,8 @@
 	Now func() time.Time
 }
 
-// Stamp is when a call is made.
-func (o WatchOptions) Stamp() time.Time {
+// CallTime is when a call is made.
+func (o WatchOptions) CallTime() time.Time {
 	if o.Now == nil {
 		return time.Time{}
 	}
--- a/store/reflector.go
+++ b/store/reflector.go
@@ -121,14 +121,14 @@
 func (r *Reflector) list(ctx context.Context) (l List, behind bool, err error) {
 	reader, offered := r.client.(StaleReader)
 	if offered && r.options.StaleAllowed() {
-		asked := r.options.Stamp()
+		asked := r.options.CallTime()
 		l, err = reader.ListStale(ctx, r.kind, r.least)
 		l.BeganAt = asked
 		if !errors.Is(err, ErrOlder) {
 			return l, true, err
 		}
 	}
-	asked := r.options.Stamp()
+	asked := r.options.CallTime()
 	l, err = r.client.List(ctx, r.kind)
 	l.AskedAt, l.BeganAt = asked, asked
 	return l, false, err
