--- a/daemon/entries.go
+++ b/daemon/entries.go
@@ -169,7 +169,7 @@
 				put(d.at(e.Object.Metadata.ResourceVersion, membership.EntriesChanged{Changes: d.changes(changes.take())}))
 				// Endpoints change many times a second as units come and go, and
 				// each answer of the store costs a call: changes gather meanwhile.
-				d.gather(following(), e.Behind)
+				d.gather(following(), e.Stale)
 			default:
 				changes.add(e)
 			}
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -163,7 +163,7 @@
 					d.found(ctx, e.Object, byWatch)
 				}
 				d.shown(e.AskedAt)
-				if e.Behind && d.inForce != nil {
+				if e.Stale && d.inForce != nil {
 					// There is nothing to ask for until another instance has newer ones.
 					wait.While(ctx, untilTold, func() bool { return d.behind() && d.inForce() })
 				}
--- a/daemon/latestore_test.go
+++ b/daemon/latestore_test.go
@@ -157,7 +157,7 @@
 		}
 		at := strconv.FormatInt(revision, 10)
 		for _, e := range append(events, bookmark(at)) {
-			e.Object.Metadata.ResourceVersion, e.Behind = at, behind
+			e.Object.Metadata.ResourceVersion, e.Stale = at, behind
 			handle(e)
 		}
 	}
--- a/store/object.go
+++ b/store/object.go
@@ -101,8 +101,8 @@
 type Event struct {
 	Type   EventType `json:"type"`
 	Object Object    `json:"object"`
-	// Behind tells that the answer which brought the event may be seconds old.
-	Behind bool `json:"-"`
+	// Stale tells that the answer which brought the event may be seconds old.
+	Stale bool `json:"-"`
 	// AskedAt is when the call was made that brought the event, zero where it may be behind
 	// or its watch is not made of calls. All that the store had acknowledged by then has come
 	// with the bookmark behind the call's changes.
--- a/store/reflector.go
+++ b/store/reflector.go
@@ -105,7 +105,7 @@
 	err = r.client.Watch(ctx, r.kind, r.version, r.options, func(e Event) {
 		progress = true
 		r.version, r.least = e.Object.Metadata.ResourceVersion, e.Object.Metadata.ResourceVersion
-		if !e.Behind {
+		if !e.Stale {
 			r.options.confirm()
 		}
 		r.apply(e)
--- a/store/reflector_test.go
+++ b/store/reflector_test.go
@@ -166,7 +166,7 @@
 func TestOnlyCloseAnswersConfirm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &scriptedClient{watch: func(n int, _ string, handle func(store.Event)) error {
-			e := store.Event{Type: store.EventBookmark, Object: store.Object{Metadata: store.Metadata{ResourceVersion: "101"}}, Behind: n == 1}
+			e := store.Event{Type: store.EventBookmark, Object: store.Object{Metadata: store.Metadata{ResourceVersion: "101"}}, Stale: n == 1}
 			handle(e)
 			if n < 3 {
 				return errAway
