--- a/daemon/storelink.go
+++ b/daemon/storelink.go
@@ -47,8 +47,8 @@
 // listed notes that the store has answered with a whole list, and logs how long that took.
 func (l *storeLink) listed(kind store.Kind, list store.List) {
 	l.heard()
-	if !list.BeganAt.IsZero() {
-		l.log.Info("list read", "kind", kind, "objects", len(list.Items), "took_ms", l.now().Sub(list.BeganAt).Milliseconds())
+	if !list.RequestedAt.IsZero() {
+		l.log.Info("list read", "kind", kind, "objects", len(list.Items), "took_ms", l.now().Sub(list.RequestedAt).Milliseconds())
 	}
 }
 
--- a/store/object.go
+++ b/store/object.go
@@ -81,8 +81,8 @@
 	Items           []Object
 	// AskedAt is when a Reflector asked for the list, zero if it may be behind.
 	AskedAt time.Time
-	// BeganAt is the same for lists that may be behind too.
-	BeganAt time.Time
+	// RequestedAt is the same for lists that may be behind too.
+	RequestedAt time.Time
 }
 
 // EventType says what happened to an object.
--- a/store/reflector.go
+++ b/store/reflector.go
@@ -123,13 +123,13 @@
 	if offered && r.options.StaleAllowed() {
 		asked := r.options.CallTime()
 		l, err = reader.ListStale(ctx, r.kind, r.least)
-		l.BeganAt = asked
+		l.RequestedAt = asked
 		if !errors.Is(err, ErrOlder) {
 			return l, true, err
 		}
 	}
 	asked := r.options.CallTime()
 	l, err = r.client.List(ctx, r.kind)
-	l.AskedAt, l.BeganAt = asked, asked
+	l.AskedAt, l.RequestedAt = asked, asked
 	return l, false, err
 }
