--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -265,7 +265,7 @@
 			continue
 		}
 		if p.Era > 0 {
-			m.eras.Saw(p.Era)
+			m.eras.Observe(p.Era)
 		}
 		if p.From != m.instance && m.permits.heard(p) {
 			continue
--- a/store/caller.go
+++ b/store/caller.go
@@ -141,7 +141,7 @@
 		return nil, &UnansweredError{Kind: call.Kind, Name: call.Name, Err: err}
 	}
 	era := c.eraOf(resp.Header)
-	if era > 0 && !c.eras.Saw(era) {
+	if era > 0 && !c.eras.Observe(era) {
 		resp.Body.Close()
 		return nil, &UnansweredError{Kind: call.Kind, Name: call.Name, Err: ErrEarlierEra}
 	}
--- a/store/era.go
+++ b/store/era.go
@@ -39,9 +39,9 @@
 	return e.newest
 }
 
-// Saw records that an answer, or another instance, has told an era. It reports false for an
+// Observe records that an answer, or another instance, has told an era. It reports false for an
 // earlier one than is known: what it says holds no more.
-func (e *Eras) Saw(era int64) bool {
+func (e *Eras) Observe(era int64) bool {
 	if e == nil {
 		return true
 	}
