--- a/daemon/vouch_test.go
+++ b/daemon/vouch_test.go
@@ -113,7 +113,7 @@
 func TestHungWatchIsReplacedInTime(t *testing.T) {
 	for _, ms := range boundsForNews {
 		f := NodeFresh{LeavingMS: ms, SettingsMS: ms, ContactMS: 4000}
-		again := store.WatchSlack + store.LongestFirstPause + answerTime
+		again := store.WatchSlack + store.MaxFirstRetryDelay + answerTime
 		require.LessOrEqual(t, entriesGather+f.entriesWait()+again, milliseconds(ms), "endpoints, %d ms", ms)
 		require.LessOrEqual(t, f.settingsWait()+again, milliseconds(ms), "settings, %d ms", ms)
 		for _, f.ContactMS = range []int{2500, 3000, 4000} {
--- a/store/reflector.go
+++ b/store/reflector.go
@@ -39,9 +39,9 @@
 	reflectorMaxPause = 600 * time.Millisecond
 	// reflectorBehindPause is that before a list that may come late.
 	reflectorBehindPause = 2 * time.Second
-	// LongestFirstPause is the longest pause before a broken watch goes on while the
+	// MaxFirstRetryDelay is the longest pause before a broken watch goes on while the
 	// store answers.
-	LongestFirstPause = reflectorMinPause * 3 / 2
+	MaxFirstRetryDelay = reflectorMinPause * 3 / 2
 	// LongestPause is that while it does not.
 	LongestPause = reflectorMaxPause * 3 / 2
 	// WatchSlack is how much longer than the store was told to hold a watch its
