--- a/daemon/fresh.go
+++ b/daemon/fresh.go
@@ -64,7 +64,7 @@
 // nobody answers, is also over and made again before the node counts as in contact.
 func (f NodeFresh) wait() time.Duration {
 	left := f.forNews() - newsReserve - f.holderLost() - entriesGather - answerTime
-	inContact := milliseconds(f.ContactMS) - entriesGather - store.WatchSlack - store.LongestPause - answerTime
+	inContact := milliseconds(f.ContactMS) - entriesGather - store.WatchSlack - store.MaxRetryDelay - answerTime
 	return min(max(min(left/2, inContact), leastWait), mostWait)
 }
 
--- a/daemon/vouch_test.go
+++ b/daemon/vouch_test.go
@@ -117,7 +117,7 @@
 		require.LessOrEqual(t, entriesGather+f.entriesWait()+again, milliseconds(ms), "endpoints, %d ms", ms)
 		require.LessOrEqual(t, f.settingsWait()+again, milliseconds(ms), "settings, %d ms", ms)
 		for _, f.ContactMS = range []int{2500, 3000, 4000} {
-			behindOutage := store.WatchSlack + store.LongestPause + answerTime
+			behindOutage := store.WatchSlack + store.MaxRetryDelay + answerTime
 			require.LessOrEqual(t, f.settingsWait()+behindOutage, milliseconds(f.ContactMS))
 		}
 		require.LessOrEqual(t, entriesGather+f.entriesWait()+answerTime, f.vouchAge())
--- a/store/reflector.go
+++ b/store/reflector.go
@@ -42,8 +42,8 @@
 	// MaxFirstRetryDelay is the longest pause before a broken watch goes on while the
 	// store answers.
 	MaxFirstRetryDelay = reflectorMinPause * 3 / 2
-	// LongestPause is that while it does not.
-	LongestPause = reflectorMaxPause * 3 / 2
+	// MaxRetryDelay is that while it does not.
+	MaxRetryDelay = reflectorMaxPause * 3 / 2
 	// WatchSlack is how much longer than the store was told to hold a watch its
 	// answer may take: a slow store needs up to 0.4 s. A call that nobody answers, as it
 	// began while the store was silent or its connection is, is given up then.
