--- a/engine/limit.go
+++ b/engine/limit.go
@@ -8,8 +8,8 @@
 
 // Limit is what an endpoint says, with an answer, of the requests that it takes.
 type Limit struct {
-	// Named is set if it names a limit.
-	Named bool
+	// Present is set if it names a limit.
+	Present bool
 	// PerSecond is the requests a second that it takes from all instances together.
 	PerSecond float64
 }
--- a/pipeline/limits.go
+++ b/pipeline/limits.go
@@ -56,7 +56,7 @@
 		}
 		return true
 	}
-	if !told.Named {
+	if !told.Present {
 		return false
 	}
 	if f.permits.RecordLimit(f.now(), e.PermitKey(), told.PerSecond) {
