--- a/engine/limit.go
+++ b/engine/limit.go
@@ -25,9 +25,9 @@
 	return fmt.Sprintf("limit unreadable: %q", e.Text[:min(len(e.Text), shownLimit)])
 }
 
-// ToldCold returns how much longer an endpoint stays cold, as it tells with the head of an
+// ColdRemaining returns how much longer an endpoint stays cold, as it tells with the head of an
 // answer; 0 where it is not, or does not tell.
-func (c *Client) ToldCold(head http.Header) time.Duration { return c.dialect.Cold(head) }
+func (c *Client) ColdRemaining(head http.Header) time.Duration { return c.dialect.Cold(head) }
 
 // ToldLimit returns the limit that an endpoint tells with the head of an answer. The error
 // is a *LimitError; such a word says nothing.
--- a/pipeline/limits.go
+++ b/pipeline/limits.go
@@ -23,7 +23,7 @@
 
 // cold takes how much longer the endpoint stays cold, if it tells.
 func (f limits) cold(x *Exchange, e *routing.Endpoint, head http.Header) {
-	remaining := f.client.ToldCold(head)
+	remaining := f.client.ColdRemaining(head)
 	if remaining == 0 {
 		return
 	}
