--- a/engine/limit.go
+++ b/engine/limit.go
@@ -29,6 +29,6 @@
 // answer; 0 where it is not, or does not tell.
 func (c *Client) ColdRemaining(head http.Header) time.Duration { return c.dialect.Cold(head) }
 
-// ToldLimit returns the limit that an endpoint tells with the head of an answer. The error
+// ReportedLimit returns the limit that an endpoint tells with the head of an answer. The error
 // is a *LimitError; such a word says nothing.
-func (c *Client) ToldLimit(head http.Header) (Limit, error) { return c.dialect.Limit(head) }
+func (c *Client) ReportedLimit(head http.Header) (Limit, error) { return c.dialect.Limit(head) }
--- a/pipeline/limits.go
+++ b/pipeline/limits.go
@@ -49,7 +49,7 @@
 
 // named reports whether the head says anything of a limit.
 func (f limits) named(e *routing.Endpoint, head http.Header) bool {
-	told, err := f.client.ToldLimit(head)
+	told, err := f.client.ReportedLimit(head)
 	if err != nil {
 		if e.MarkLimitInvalid() {
 			f.log.Error(err, "endpoint limit", "endpoint", e.Name)
