--- a/engine/dialect.go
+++ b/engine/dialect.go
@@ -132,8 +132,8 @@
 	return resp.Body.Close()
 }
 
-// ToldLoad returns the load that an endpoint told with an answer.
-func (c *Client) ToldLoad(resp *http.Response) (running, waiting int, ok bool) {
+// ReportedLoad returns the load that an endpoint told with an answer.
+func (c *Client) ReportedLoad(resp *http.Response) (running, waiting int, ok bool) {
 	return c.dialect.Load(resp.Header)
 }
 
--- a/pipeline/dispatch.go
+++ b/pipeline/dispatch.go
@@ -52,7 +52,7 @@
 
 // noteLoad records the load that the endpoint told with its answer.
 func (f dispatch) noteLoad(x *Exchange, resp *http.Response) {
-	running, waiting, told := f.client.ToldLoad(resp)
+	running, waiting, told := f.client.ReportedLoad(resp)
 	if !told {
 		return
 	}
