--- a/engine/dialect.go
+++ b/engine/dialect.go
@@ -54,7 +54,7 @@
 // openAIHeaders are the fields of the product's own protocol: the id of the attempt
 // and where a stream goes on are the instance's to say.
 var openAIHeaders = Headers{
-	Asking:   map[string]bool{IdempotencyKeyHeader: true, "Content-Type": true},
+	FirstValueOnly:   map[string]bool{IdempotencyKeyHeader: true, "Content-Type": true},
 	Steering: map[string]bool{RequestIDHeader: true, http.CanonicalHeaderKey(LastEventIDHeader): true},
 }
 
--- a/engine/header.go
+++ b/engine/header.go
@@ -8,10 +8,10 @@
 // Headers says which fields of a caller's head concern an endpoint in a dialect.
 // Names are in canonical form.
 type Headers struct {
-	// Asking are the fields that say what is asked for. Each is carried with the one
+	// FirstValueOnly are the fields that say what is asked for. Each is carried with the one
 	// value that the instance has read, its first: an endpoint that reads another one
 	// would run another request.
-	Asking map[string]bool
+	FirstValueOnly map[string]bool
 	// Steering are the fields by which an instance directs an endpoint. A caller's
 	// are dropped: a forged one takes a place that was set aside, pins memory, or
 	// goes on from the memory of somebody else's request.
@@ -39,7 +39,7 @@
 	for name, values := range caller {
 		switch {
 		case len(values) == 0 || oneHop[name] || h.steers(name):
-		case h.Asking[name]:
+		case h.FirstValueOnly[name]:
 			out[name] = values[:1:1]
 		case !listed[name]:
 			out[name] = values
--- a/engine/header_test.go
+++ b/engine/header_test.go
@@ -9,7 +9,7 @@
 )
 
 var testHeaders = Headers{
-	Asking:           map[string]bool{"X-Asked": true},
+	FirstValueOnly:           map[string]bool{"X-Asked": true},
 	Steering:         map[string]bool{"X-Steer": true},
 	SteeringPrefixes: []string{"Kv-"},
 }
@@ -32,15 +32,15 @@
 		listed := connectionOptions(head)
 		for name, got := range out {
 			require.False(t, OneHop(name) || testHeaders.steers(name), name)
-			require.False(t, listed[name] && !testHeaders.Asking[name], name)
-			if testHeaders.Asking[name] {
+			require.False(t, listed[name] && !testHeaders.FirstValueOnly[name], name)
+			if testHeaders.FirstValueOnly[name] {
 				require.Equal(t, head[name][:1], got)
 				continue
 			}
 			require.Equal(t, head[name], got)
 		}
 		for name := range head {
-			if testHeaders.Asking[name] || !OneHop(name) && !testHeaders.steers(name) && !listed[name] {
+			if testHeaders.FirstValueOnly[name] || !OneHop(name) && !testHeaders.steers(name) && !listed[name] {
 				require.Contains(t, out, name)
 			}
 		}
