--- a/engine/dialect.go
+++ b/engine/dialect.go
@@ -55,7 +55,7 @@
 // and where a stream goes on are the instance's to say.
 var openAIHeaders = Headers{
 	FirstValueOnly:   map[string]bool{IdempotencyKeyHeader: true, "Content-Type": true},
-	Steering: map[string]bool{RequestIDHeader: true, http.CanonicalHeaderKey(LastEventIDHeader): true},
+	Control: map[string]bool{RequestIDHeader: true, http.CanonicalHeaderKey(LastEventIDHeader): true},
 }
 
 // Headers implements Dialect.
--- a/engine/header.go
+++ b/engine/header.go
@@ -12,10 +12,10 @@
 	// value that the instance has read, its first: an endpoint that reads another one
 	// would run another request.
 	FirstValueOnly map[string]bool
-	// Steering are the fields by which an instance directs an endpoint. A caller's
+	// Control are the fields by which an instance directs an endpoint. A caller's
 	// are dropped: a forged one takes a place that was set aside, pins memory, or
 	// goes on from the memory of somebody else's request.
-	Steering map[string]bool
+	Control map[string]bool
 	// SteeringPrefixes begin the names of further such fields.
 	SteeringPrefixes []string
 }
@@ -49,7 +49,7 @@
 }
 
 func (h Headers) steers(name string) bool {
-	if h.Steering[name] {
+	if h.Control[name] {
 		return true
 	}
 	for _, prefix := range h.SteeringPrefixes {
--- a/engine/header_test.go
+++ b/engine/header_test.go
@@ -10,7 +10,7 @@
 
 var testHeaders = Headers{
 	FirstValueOnly:           map[string]bool{"X-Asked": true},
-	Steering:         map[string]bool{"X-Steer": true},
+	Control:         map[string]bool{"X-Steer": true},
 	SteeringPrefixes: []string{"Kv-"},
 }
 
