--- a/engine/header.go
+++ b/engine/header.go
@@ -16,8 +16,8 @@
 	// are dropped: a forged one takes a place that was set aside, pins memory, or
 	// goes on from the memory of somebody else's request.
 	Control map[string]bool
-	// SteeringPrefixes begin the names of further such fields.
-	SteeringPrefixes []string
+	// ControlPrefixes begin the names of further such fields.
+	ControlPrefixes []string
 }
 
 // oneHop are the fields that stay between the caller and the instance: those of one
@@ -52,7 +52,7 @@
 	if h.Control[name] {
 		return true
 	}
-	for _, prefix := range h.SteeringPrefixes {
+	for _, prefix := range h.ControlPrefixes {
 		if strings.HasPrefix(name, prefix) {
 			return true
 		}
--- a/engine/header_test.go
+++ b/engine/header_test.go
@@ -11,7 +11,7 @@
 var testHeaders = Headers{
 	FirstValueOnly:           map[string]bool{"X-Asked": true},
 	Control:         map[string]bool{"X-Steer": true},
-	SteeringPrefixes: []string{"Kv-"},
+	ControlPrefixes: []string{"Kv-"},
 }
 
 // TestCallersHeadOnlyAsks draws heads whatever and looks at what goes on: no name that
