--- a/engine/header.go
+++ b/engine/header.go
@@ -28,9 +28,9 @@
 	"Authorization": true, "Content-Length": true,
 }
 
-// OneHop tells whether a field, its name in canonical form, concerns one connection
+// HopByHop tells whether a field, its name in canonical form, concerns one connection
 // only or is a credential.
-func OneHop(name string) bool { return oneHop[name] }
+func HopByHop(name string) bool { return oneHop[name] }
 
 // forward returns what a caller's head carries to an endpoint.
 func (h Headers) forward(caller http.Header) http.Header {
--- a/engine/header_test.go
+++ b/engine/header_test.go
@@ -31,7 +31,7 @@
 		out := testHeaders.forward(head)
 		listed := connectionOptions(head)
 		for name, got := range out {
-			require.False(t, OneHop(name) || testHeaders.steers(name), name)
+			require.False(t, HopByHop(name) || testHeaders.steers(name), name)
 			require.False(t, listed[name] && !testHeaders.FirstValueOnly[name], name)
 			if testHeaders.FirstValueOnly[name] {
 				require.Equal(t, head[name][:1], got)
@@ -40,7 +40,7 @@
 			require.Equal(t, head[name], got)
 		}
 		for name := range head {
-			if testHeaders.FirstValueOnly[name] || !OneHop(name) && !testHeaders.steers(name) && !listed[name] {
+			if testHeaders.FirstValueOnly[name] || !HopByHop(name) && !testHeaders.steers(name) && !listed[name] {
 				require.Contains(t, out, name)
 			}
 		}
--- a/pipeline/relay.go
+++ b/pipeline/relay.go
@@ -266,7 +266,7 @@
 func (x *Exchange) writeHeader(d Dialect, resp *http.Response) {
 	h := x.Writer.Header()
 	for name, values := range resp.Header {
-		if !engine.OneHop(name) && name != engine.RequestIDHeader {
+		if !engine.HopByHop(name) && name != engine.RequestIDHeader {
 			h[name] = values
 		}
 	}
