--- a/engine/client.go
+++ b/engine/client.go
@@ -139,7 +139,7 @@
 		drainBody(resp)
 		return &NotStartedError{
 			Endpoint: endpoint, Busy: refused.Busy, NotResident: refused.NotResident, Replaced: refused.Replaced,
-			Head: resp.Header, Err: &refused.RefusalError,
+			Header: resp.Header, Err: &refused.RefusalError,
 		}
 	}
 	d.abandon()
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -18,8 +18,8 @@
 	// Replaced is set when another incarnation answers at the endpoint's address:
 	// the one that was meant is gone.
 	Replaced bool
-	// Head is that of the endpoint's refusal; nil if none came.
-	Head http.Header
+	// Header is that of the endpoint's refusal; nil if none came.
+	Header http.Header
 	Err  error
 }
 
--- a/pipeline/dispatch.go
+++ b/pipeline/dispatch.go
@@ -26,8 +26,8 @@
 	resp, err := f.client.Do(ctx, x.engineAttempt())
 	var notStarted *engine.NotStartedError
 	if errors.As(err, &notStarted) {
-		f.limits.cold(x, a.Decision.Endpoint, notStarted.Head)
-		f.limits.refused(a.Decision.Endpoint, notStarted.Head)
+		f.limits.cold(x, a.Decision.Endpoint, notStarted.Header)
+		f.limits.refused(a.Decision.Endpoint, notStarted.Header)
 		a.NotStarted, a.Unsent = true, notStarted.Unsent
 		return &DispatchError{NotStarted: true, Err: err}
 	}
