--- a/daemon/cell.go
+++ b/daemon/cell.go
@@ -141,7 +141,7 @@
 func (d *cellDuty) send(ctx context.Context, s placement.SendOrder) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	err := d.engine.Send(ctx, s.Endpoint, s.Address, s.Order)
+	err := d.engine.SendOrder(ctx, s.Endpoint, s.Address, s.Order)
 	var refused *engine.RefusedOrderError
 	result := placement.SendUnknown
 	switch {
--- a/engine/control.go
+++ b/engine/control.go
@@ -88,9 +88,9 @@
 	return r, nil
 }
 
-// Send delivers an order. A nil error means that the endpoint has taken it;
+// SendOrder delivers an order. A nil error means that the endpoint has taken it;
 // *RefusedOrderError that it never will; any other error that it may yet.
-func (c *Client) Send(ctx context.Context, endpoint, address string, o Order) error {
+func (c *Client) SendOrder(ctx context.Context, endpoint, address string, o Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return &NotStartedError{Endpoint: endpoint, Err: err}
