--- a/engine/listens.go
+++ b/engine/listens.go
@@ -13,9 +13,9 @@
 // endpoint that has ended takes the connection, and closes it at once.
 const listensLook = 30 * time.Millisecond
 
-// Listens tells whether an endpoint takes connections. An error says that it is not
+// IsListening tells whether an endpoint takes connections. An error says that it is not
 // known: a machine that is cut off, or without power, answers nothing.
-func (c *Client) Listens(ctx context.Context, address string) (bool, error) {
+func (c *Client) IsListening(ctx context.Context, address string) (bool, error) {
 	conn, err := c.transport.DialContext(ctx, "tcp", address)
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
 		return false, nil
--- a/engine/listens_test.go
+++ b/engine/listens_test.go
@@ -46,12 +46,12 @@
 			conn.Close()
 		}), false},
 	} {
-		got, err := c.Listens(context.Background(), tc.address)
+		got, err := c.IsListening(context.Background(), tc.address)
 		require.NoError(t, err, name)
 		require.Equal(t, tc.want, got, name)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err = c.Listens(ctx, closed)
+	_, err = c.IsListening(ctx, closed)
 	require.Error(t, err, "not known")
 }
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -106,7 +106,7 @@
 		},
 		settle:  settle{dialect: cfg.Dialect, log: cfg.Log, metrics: cfg.Metrics, now: cfg.Now, allowances: cfg.Allowances},
 		retries: cfg.Retries,
-		breaks:  &breaks{keeper: cfg.Quarantine, listens: cfg.Engine.Listens, log: cfg.Log, waiting: map[*routing.Endpoint][]broken{}},
+		breaks:  &breaks{keeper: cfg.Quarantine, listens: cfg.Engine.IsListening, log: cfg.Log, waiting: map[*routing.Endpoint][]broken{}},
 	}
 }
 
