--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -152,7 +152,7 @@
 			for _, o := range l.Items {
 				d.found(ctx, o, byList)
 			}
-			d.shown(l.AskedAt)
+			d.shown(l.FreshAsOf)
 		},
 		func(e store.Event) {
 			switch e.Type {
--- a/store/object.go
+++ b/store/object.go
@@ -79,8 +79,8 @@
 type List struct {
 	ResourceVersion string
 	Items           []Object
-	// AskedAt is when a Reflector asked for the list, zero if it may be behind.
-	AskedAt time.Time
+	// FreshAsOf is when a Reflector asked for the list, zero if it may be behind.
+	FreshAsOf time.Time
 	// RequestedAt is the same for lists that may be behind too.
 	RequestedAt time.Time
 }
--- a/store/reflector.go
+++ b/store/reflector.go
@@ -130,6 +130,6 @@
 	}
 	asked := r.options.CallTime()
 	l, err = r.client.List(ctx, r.kind)
-	l.AskedAt, l.RequestedAt = asked, asked
+	l.FreshAsOf, l.RequestedAt = asked, asked
 	return l, false, err
 }
