--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -71,7 +71,7 @@
 		for _, e := range changes.take() {
 			d.found(ctx, e.Object, byWatch)
 		}
-		d.shown(e.AskedAt)
+		d.shown(e.FreshAsOf)
 		cancel()
 	})
 	if store.IsExpired(err) {
@@ -162,7 +162,7 @@
 				for _, e := range changes.take() {
 					d.found(ctx, e.Object, byWatch)
 				}
-				d.shown(e.AskedAt)
+				d.shown(e.FreshAsOf)
 				if e.Stale && d.inForce != nil {
 					// There is nothing to ask for until another instance has newer ones.
 					wait.While(ctx, untilTold, func() bool { return d.behind() && d.inForce() })
--- a/store/object.go
+++ b/store/object.go
@@ -103,8 +103,8 @@
 	Object Object    `json:"object"`
 	// Stale tells that the answer which brought the event may be seconds old.
 	Stale bool `json:"-"`
-	// AskedAt is when the call was made that brought the event, zero where it may be behind
+	// FreshAsOf is when the call was made that brought the event, zero where it may be behind
 	// or its watch is not made of calls. All that the store had acknowledged by then has come
 	// with the bookmark behind the call's changes.
-	AskedAt time.Time `json:"-"`
+	FreshAsOf time.Time `json:"-"`
 }
