--- a/engine/client.go
+++ b/engine/client.go
@@ -37,9 +37,9 @@
 	Path    string
 	// Host is the host that the caller asked for; empty means Address.
 	Host string
-	// Caller is the head of the caller's request, of which the dialect says what
+	// CallerHeader is the head of the caller's request, of which the dialect says what
 	// goes to the endpoint; Header is what the instance itself adds.
-	Caller, Header http.Header
+	CallerHeader, Header http.Header
 	Body           []byte
 	// Account names whose request it is, for endpoints that are told; empty for nobody.
 	Account string
@@ -171,7 +171,7 @@
 	if a.Host != "" {
 		req.Host = a.Host
 	}
-	req.Header = c.dialect.Headers().forward(a.Caller)
+	req.Header = c.dialect.Headers().forward(a.CallerHeader)
 	maps.Copy(req.Header, a.Header)
 	c.dialect.Encode(req, a)
 	sendOnce(req, bytes.NewReader(a.Body))
--- a/engine/header_test.go
+++ b/engine/header_test.go
@@ -59,7 +59,7 @@
 	c := NewClient(Config{})
 	req, err := c.newRequest(t.Context(), Attempt{
 		ID: "mine", Method: http.MethodPost, Path: "/",
-		Caller: http.Header{RequestIDHeader: {"forged"}, "X-Other": {"1"}},
+		CallerHeader: http.Header{RequestIDHeader: {"forged"}, "X-Other": {"1"}},
 		Header: http.Header{"Content-Type": {"application/json"}},
 	})
 	require.NoError(t, err)
--- a/pipeline/dispatch.go
+++ b/pipeline/dispatch.go
@@ -94,7 +94,7 @@
 	e := a.Decision.Endpoint
 	out := engine.Attempt{
 		ID: a.ID, Endpoint: e.Name, Incarnation: e.Incarnation, Address: e.Address,
-		Method: x.Call.Method, Path: x.Call.Path, Host: x.Call.Host, Caller: x.Request.Header, Body: x.Call.Body,
+		Method: x.Call.Method, Path: x.Call.Path, Host: x.Call.Host, CallerHeader: x.Request.Header, Body: x.Call.Body,
 		Account: x.Caller.Name, Priority: x.rank(), Resume: x.reached, ResumeAfter: x.offset,
 	}
 	return out
