--- a/engine/dialect.go
+++ b/engine/dialect.go
@@ -26,9 +26,9 @@
 	// Cancel returns the attempt that tells an endpoint to cancel another one;
 	// false means that closing the connection does so.
 	Cancel(a Attempt) (Attempt, bool)
-	// Resumes tells whether an endpoint goes on with a broken stream when the
+	// SupportsResume tells whether an endpoint goes on with a broken stream when the
 	// attempt's id is asked for.
-	Resumes() bool
+	SupportsResume() bool
 	// Load reads the load that an endpoint tells with an answer, the answered
 	// request included; false means that it tells none.
 	Load(h http.Header) (running, waiting int, ok bool)
@@ -107,8 +107,8 @@
 	}, true
 }
 
-// Resumes implements Dialect.
-func (OpenAI) Resumes() bool { return true }
+// SupportsResume implements Dialect.
+func (OpenAI) SupportsResume() bool { return true }
 
 // Load implements Dialect: engines tell it when asked.
 func (OpenAI) Load(http.Header) (running, waiting int, ok bool) { return 0, 0, false }
@@ -138,4 +138,4 @@
 }
 
 // Resumes tells whether Resume may be used.
-func (c *Client) Resumes() bool { return c.dialect.Resumes() }
+func (c *Client) Resumes() bool { return c.dialect.SupportsResume() }
