--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -306,7 +306,7 @@
 func (p *placers) demanded(demands map[string]peer.Demand) {
 	told := counted.DemandReport{Rate: map[string]float64{}, Waiting: map[string]int{}, LastRequestAt: map[string]time.Time{}}
 	for unit, d := range demands {
-		told.Rate[unit], told.Waiting[unit], told.LastRequestAt[unit] = d.Rate, d.Waiting, d.AskedAt
+		told.Rate[unit], told.Waiting[unit], told.LastRequestAt[unit] = d.WorkPerSecond, d.Waiting, d.AskedAt
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/peer/board.go
+++ b/peer/board.go
@@ -45,8 +45,8 @@
 
 // Demand is what is asked of one unit, of all instances together.
 type Demand struct {
-	// Rate is the work a second, Waiting the requests that wait for a replica.
-	Rate    float64
+	// WorkPerSecond is the work a second, Waiting the requests that wait for a replica.
+	WorkPerSecond    float64
 	Waiting int
 	// AskedAt is when the unit was last asked for: rates fall to nothing only
 	// slowly.
@@ -184,7 +184,7 @@
 	for _, e := range b.peers {
 		for unit, r := range e.demands {
 			d := demands[unit]
-			d.Rate += r.rate
+			d.WorkPerSecond += r.rate
 			d.Waiting += r.waiting
 			if r.askedAt.After(d.AskedAt) {
 				d.AskedAt = r.askedAt
--- a/peer/board_test.go
+++ b/peer/board_test.go
@@ -49,7 +49,7 @@
 		b.Receive(boardAt(ms), Packet{From: "a", Process: "p", Seq: seq, Demands: []UnitDemand{{Unit: "m", Work: work, Waiting: 2}}})
 	}
 	d := b.Demand()["m"]
-	require.InDelta(t, 1000, d.Rate, 150)
+	require.InDelta(t, 1000, d.WorkPerSecond, 150)
 	require.Equal(t, 2, d.Waiting)
 	require.Equal(t, boardAt(7900), d.AskedAt)
 	for ms := 8000; ms < 13000; ms += 100 {
@@ -57,7 +57,7 @@
 		b.Receive(boardAt(ms), Packet{From: "a", Process: "p", Seq: seq})
 	}
 	d = b.Demand()["m"]
-	require.Less(t, d.Rate, 20.0)
+	require.Less(t, d.WorkPerSecond, 20.0)
 	require.Zero(t, d.Waiting)
 	require.Equal(t, boardAt(7900), d.AskedAt, "a rate that has not fallen to nothing yet is no request")
 }
@@ -68,7 +68,7 @@
 	b := NewFleetView()
 	b.Receive(boardAt(0), Packet{From: "a", Process: "p", Seq: 1})
 	b.Receive(boardAt(100), Packet{From: "a", Process: "p", Seq: 2, Demands: []UnitDemand{{Unit: "m", Work: 3000}}})
-	require.Greater(t, b.Demand()["m"].Rate, 1000.0)
+	require.Greater(t, b.Demand()["m"].WorkPerSecond, 1000.0)
 }
 
 func FuzzDecodePacket(f *testing.F) {
