--- a/engine/client.go
+++ b/engine/client.go
@@ -40,7 +40,7 @@
 	// CallerHeader is the head of the caller's request, of which the dialect says what
 	// goes to the endpoint; Header is what the instance itself adds.
 	CallerHeader, Header http.Header
-	Body           []byte
+	Body                 []byte
 	// Account names whose request it is, for endpoints that are told; empty for nobody.
 	Account string
 	// Priority orders requests at the endpoint; higher goes first.
--- a/engine/dialect.go
+++ b/engine/dialect.go
@@ -54,8 +54,8 @@
 // openAIHeaders are the fields of the product's own protocol: the id of the attempt
 // and where a stream goes on are the instance's to say.
 var openAIHeaders = Headers{
-	FirstValueOnly:   map[string]bool{IdempotencyKeyHeader: true, "Content-Type": true},
-	Control: map[string]bool{RequestIDHeader: true, http.CanonicalHeaderKey(LastEventIDHeader): true},
+	FirstValueOnly: map[string]bool{IdempotencyKeyHeader: true, "Content-Type": true},
+	Control:        map[string]bool{RequestIDHeader: true, http.CanonicalHeaderKey(LastEventIDHeader): true},
 }
 
 // Headers implements Dialect.
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -20,7 +20,7 @@
 	Replaced bool
 	// Header is that of the endpoint's refusal; nil if none came.
 	Header http.Header
-	Err  error
+	Err    error
 }
 
 // Error names the endpoint and the cause.
--- a/engine/header_test.go
+++ b/engine/header_test.go
@@ -9,7 +9,7 @@
 )
 
 var testHeaders = Headers{
-	FirstValueOnly:           map[string]bool{"X-Asked": true},
+	FirstValueOnly:  map[string]bool{"X-Asked": true},
 	Control:         map[string]bool{"X-Steer": true},
 	ControlPrefixes: []string{"Kv-"},
 }
@@ -60,7 +60,7 @@
 	req, err := c.newRequest(t.Context(), Attempt{
 		ID: "mine", Method: http.MethodPost, Path: "/",
 		CallerHeader: http.Header{RequestIDHeader: {"forged"}, "X-Other": {"1"}},
-		Header: http.Header{"Content-Type": {"application/json"}},
+		Header:       http.Header{"Content-Type": {"application/json"}},
 	})
 	require.NoError(t, err)
 	require.Equal(t, []string{"mine"}, req.Header[RequestIDHeader])
--- a/peer/board.go
+++ b/peer/board.go
@@ -46,8 +46,8 @@
 // Demand is what is asked of one unit, of all instances together.
 type Demand struct {
 	// WorkPerSecond is the work a second, Waiting the requests that wait for a replica.
-	WorkPerSecond    float64
-	Waiting int
+	WorkPerSecond float64
+	Waiting       int
 	// AskedAt is when the unit was last asked for: rates fall to nothing only
 	// slowly.
 	AskedAt time.Time
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -96,8 +96,8 @@
 
 // Defaults of GossipConfig.
 const (
-	DefaultGossipInterval = 500 * time.Millisecond
-	DefaultMinFetchInterval  = 300 * time.Millisecond
+	DefaultGossipInterval   = 500 * time.Millisecond
+	DefaultMinFetchInterval = 300 * time.Millisecond
 	// DefaultListGrace is many times what lies between the list's answers to two
 	// calls that wait, so that an ask means that the own call hangs.
 	DefaultListGrace = 250 * time.Millisecond
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -61,7 +61,7 @@
 	// none of them tells.
 	PlacedStarts    []int64 `cbor:"18,keyasint,omitempty"`
 	WithdrawnStarts []int64 `cbor:"19,keyasint,omitempty"`
-	ReplacedStarts      []int64 `cbor:"20,keyasint,omitempty"`
+	ReplacedStarts  []int64 `cbor:"20,keyasint,omitempty"`
 	// EndpointsDigest stands, with Current, for who the endpoints are that the sender lists,
 	// and in what state: whoever comes to the same number lists the same.
 	EndpointsDigest uint64 `cbor:"21,keyasint,omitempty"`
--- a/settings/route.go
+++ b/settings/route.go
@@ -10,9 +10,9 @@
 // host and path.
 type Edge struct {
 	// RequiresToken tells that requests need a token, but on public routes.
-	RequiresToken  bool
-	Routes []Route
-	Limits EdgeLimits
+	RequiresToken bool
+	Routes        []Route
+	Limits        EdgeLimits
 }
 
 // EdgeLimits bound what a caller may send and how long it may rest.
