--- a/daemon/presence_test.go
+++ b/daemon/presence_test.go
@@ -99,7 +99,7 @@
 	return *s.key, nil
 }
 
-func (s *keyStore) GetBehind(context.Context, store.Kind, string) (store.Object, error) {
+func (s *keyStore) GetStale(context.Context, store.Kind, string) (store.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.key == nil || time.Since(s.madeAt) < keyShownAfter {
@@ -108,7 +108,7 @@
 	return *s.key, nil
 }
 
-func (s *keyStore) ListBehind(context.Context, store.Kind, string) (store.List, error) {
+func (s *keyStore) ListStale(context.Context, store.Kind, string) (store.List, error) {
 	return store.List{}, store.ErrOlder
 }
 
@@ -156,11 +156,11 @@
 // slowEntryStore answers for entries of instances late.
 type slowEntryStore struct{ *keyStore }
 
-func (s slowEntryStore) GetBehind(ctx context.Context, kind store.Kind, name string) (store.Object, error) {
+func (s slowEntryStore) GetStale(ctx context.Context, kind store.Kind, name string) (store.Object, error) {
 	if kind == store.KindInstance {
 		time.Sleep(time.Second)
 	}
-	return s.keyStore.GetBehind(ctx, kind, name)
+	return s.keyStore.GetStale(ctx, kind, name)
 }
 
 // TestKeyIsNotReadBehindTheEntry guards against a link between instances that opens a call later
