--- a/placement/applier.go
+++ b/placement/applier.go
@@ -12,15 +12,15 @@
 // move is checked again by the ledger's own rules, which do not trust the
 // planner; a move that they refuse is dropped and planned anew.
 func (c *Controller) plan(now time.Time) []Action {
-	if now.Before(c.planAt) || c.settings.Units == nil || c.members == nil {
+	if now.Before(c.nextPlanAt) || c.settings.Units == nil || c.members == nil {
 		return nil
 	}
 	// With a list older than the ledger's, replicas on record may be of an
 	// endpoint that is known to be gone: nothing is decided by them.
-	if !c.noteList() {
+	if !c.recordListVersion() {
 		return nil
 	}
-	c.planAt = now.Add(c.cfg.PlanEvery)
+	c.nextPlanAt = now.Add(c.cfg.PlanInterval)
 	var actions []Action
 	for _, m := range Plan(c.snapshot(now)) {
 		if err := c.apply(now, m); err != nil {
@@ -37,14 +37,14 @@
 	return actions
 }
 
-// errNotQuiet refuses a load while copies of this controller's own unload may
+// errNotQuiescent refuses a load while copies of this controller's own unload may
 // still arrive.
-var errNotQuiet = errors.New("an unload of the unit was sent too lately")
+var errNotQuiescent = errors.New("an unload of the unit was sent too lately")
 
 func (c *Controller) apply(now time.Time, m Move) error {
 	if m.Op == OpLoad {
-		if u := c.working.unit(m.Endpoint, m.Unit); u != nil && !c.history.quiet(now, m.Endpoint, m.Unit, c.settings.MaxOrderDelay) {
-			return &RuleError{Endpoint: m.Endpoint, Unit: m.Unit, Err: errNotQuiet}
+		if u := c.working.unit(m.Endpoint, m.Unit); u != nil && !c.history.quiescent(now, m.Endpoint, m.Unit, c.settings.MaxOrderDelay) {
+			return &RuleError{Endpoint: m.Endpoint, Unit: m.Unit, Err: errNotQuiescent}
 		}
 		return c.working.IntendLoad(m.Endpoint, m.Unit, m.Base, c.newOrderID(), m.MemoryMB)
 	}
@@ -55,7 +55,7 @@
 func (c *Controller) snapshot(now time.Time) Snapshot {
 	s := Snapshot{Units: slices.Clone(c.settings.Units), LoadBudget: c.loadsAllowed(now)}
 	for i := range s.Units {
-		s.Units[i].Demand = c.demand.of(s.Units[i].Name)
+		s.Units[i].Demand = c.demand.estimate(s.Units[i].Name)
 	}
 	for _, m := range c.members {
 		use := c.working.Endpoints[m.Name]
@@ -72,15 +72,15 @@
 	live := !m.Leaving && m.Incarnation == use.Incarnation
 	e := EndpointState{
 		Name: m.Name, FailureDomain: m.FailureDomain, CapacityMB: use.CapacityMB, FreeMB: use.FreeMB(),
-		Concurrency: c.settings.Concurrency, AcceptsLoads: live && c.known(m.Name), Live: live,
+		Concurrency: c.settings.Concurrency, AcceptsLoads: live && c.recordUsable(m.Name), Live: live,
 		Units: make(map[string]PlacedUnit, len(use.Units)),
 	}
 	for name, u := range use.Units {
 		late := len(u.LateLoads)+len(u.LateUnloads) > 0
 		e.Units[name] = PlacedUnit{
-			State: u.State, MemoryMB: u.MemoryMB, Base: u.Base, Stable: u.Certain(),
+			State: u.State, MemoryMB: u.MemoryMB, Base: u.Base, Stable: u.Stable(),
 			Freeing: !late && (u.State == Absent || u.State == Unloading),
-			Blocked: u.State == Absent && (len(u.LateUnloads) > 0 || !c.history.quiet(now, m.Name, name, c.settings.MaxOrderDelay)),
+			Blocked: u.State == Absent && (len(u.LateUnloads) > 0 || !c.history.quiescent(now, m.Name, name, c.settings.MaxOrderDelay)),
 		}
 	}
 	return e
--- a/placement/controller.go
+++ b/placement/controller.go
@@ -14,24 +14,24 @@
 	Cell string
 	// Holder names this instance: NAME/INCARNATION, and more behind a slash.
 	Holder string
-	// ResendEvery is the pause before an order that was not taken goes again.
-	ResendEvery time.Duration
-	// InventoryEvery is the time between inventories of an endpoint without
+	// ResendInterval is the pause before an order that was not taken goes again.
+	ResendInterval time.Duration
+	// InventoryInterval is the time between inventories of an endpoint without
 	// open orders, InventoryFast that of one with some.
-	InventoryEvery, InventoryFast time.Duration
-	// InventoryShare bounds the inventories of endpoints without open orders:
+	InventoryInterval, OpenOrderInventoryInterval time.Duration
+	// InventorySpacing bounds the inventories of endpoints without open orders:
 	// all of them together are asked no more than once in this time.
-	InventoryShare time.Duration
-	// PlanEvery is the time between plans.
-	PlanEvery time.Duration
+	InventorySpacing time.Duration
+	// PlanInterval is the time between plans.
+	PlanInterval time.Duration
 }
 
 // DefaultControllerConfig returns the defaults for a cell.
 func DefaultControllerConfig(cell, holder string) ControllerConfig {
 	return ControllerConfig{
-		Cell: cell, Holder: holder, ResendEvery: time.Second,
-		InventoryEvery: 2 * time.Second, InventoryFast: 250 * time.Millisecond,
-		InventoryShare: 250 * time.Millisecond, PlanEvery: 250 * time.Millisecond,
+		Cell: cell, Holder: holder, ResendInterval: time.Second,
+		InventoryInterval: 2 * time.Second, OpenOrderInventoryInterval: 250 * time.Millisecond,
+		InventorySpacing: 250 * time.Millisecond, PlanInterval: 250 * time.Millisecond,
 	}
 }
 
@@ -66,34 +66,34 @@
 	// listVersion is the version of the list that members and instances are of.
 	listVersion int64
 
-	committed *Ledger
-	working   *Ledger
-	version   string
-	dirty     bool
-	// committing is the ledger under way to the store, nil for none.
-	committing *Ledger
-	commitSeq  int64
+	committed     *Ledger
+	working       *Ledger
+	ledgerVersion string
+	dirty         bool
+	// inFlightCommit is the ledger under way to the store, nil for none.
+	inFlightCommit *Ledger
+	commitSeq      int64
 
-	orders  map[string]*openOrder
-	nextID  int64
-	history sendHistory
-	fences  map[string]*fence
-	asked   map[string]time.Time
-	asking  map[string]bool
-	demand  demandEstimates
-	budget  loadBudget
-	planAt  time.Time
-	// goneAt is when each earlier holder was first missing on the list,
+	orders               map[string]*openOrder
+	nextID               int64
+	history              sendHistory
+	fences               map[string]*fence
+	inventoryRequestedAt map[string]time.Time
+	inventoryPending     map[string]bool
+	demand               demandEstimates
+	budget               loadBudget
+	nextPlanAt           time.Time
+	// holderMissingSince is when each earlier holder was first missing on the list,
 	// unlisted when each endpoint on record was.
-	goneAt   map[string]time.Time
-	unlisted map[string]time.Time
+	holderMissingSince map[string]time.Time
+	unlistedSince      map[string]time.Time
 	// settledEpoch is the epoch for which WriteSettled was last asked for.
 	settledEpoch  int64
 	settledReadAt time.Time
-	// settledAt is when this controller last learnt that an earlier one's
+	// predecessorSettledAt is when this controller last learnt that an earlier one's
 	// orders can no longer arrive.
-	settledAt time.Time
-	readAt    time.Time
+	predecessorSettledAt time.Time
+	ledgerReadAt         time.Time
 }
 
 // openOrder is what is known of the sendings of an order in the ledger.
@@ -103,7 +103,7 @@
 	memoryMB       int64
 	inFlight       bool
 	sent           bool
-	taken          bool
+	accepted       bool
 	// endedAt is when the last sending ended.
 	endedAt time.Time
 }
@@ -111,8 +111,8 @@
 // NewController returns a controller that does not hold the lease.
 func NewController(cfg ControllerConfig) *Controller {
 	return &Controller{
-		cfg: cfg, orders: map[string]*openOrder{}, fences: map[string]*fence{}, asked: map[string]time.Time{},
-		asking: map[string]bool{}, history: newSendHistory(), demand: newDemandEstimates(), goneAt: map[string]time.Time{}, unlisted: map[string]time.Time{},
+		cfg: cfg, orders: map[string]*openOrder{}, fences: map[string]*fence{}, inventoryRequestedAt: map[string]time.Time{},
+		inventoryPending: map[string]bool{}, history: newSendHistory(), demand: newDemandEstimates(), holderMissingSince: map[string]time.Time{}, unlistedSince: map[string]time.Time{},
 	}
 }
 
@@ -123,7 +123,7 @@
 	case LeaseAcquired:
 		c.settledEpoch = 0
 		c.phase, c.epoch = phaseReading, e.Epoch
-		c.readAt = time.Time{}
+		c.ledgerReadAt = time.Time{}
 		// What an earlier epoch of this process sent is left to the history.
 		// Fences belong to the epoch: taking over once more in the same epoch
 		// must not adopt an inventory anew, as that would not shut out the
@@ -144,7 +144,7 @@
 	case HolderSettled:
 		c.holderSettled(now, e)
 	case InventoryReply:
-		actions = c.inventory(now, e)
+		actions = c.inventoryReceived(now, e)
 	case OrderEnded:
 		actions = c.orderEnded(now, e)
 	}
@@ -161,31 +161,31 @@
 func (c *Controller) advance(now time.Time) []Action {
 	switch c.phase {
 	case phaseReading:
-		return c.read(now)
+		return c.requestLedger(now)
 	case phaseTakingOver:
 		return c.commit()
 	case phaseRunning:
 		actions := c.reconcileMembers(now)
-		actions = append(actions, c.settleEarlier(now)...)
+		actions = append(actions, c.settlePredecessors(now)...)
 		actions = append(actions, c.plan(now)...)
 		actions = append(actions, c.commit()...)
 		actions = append(actions, c.send(now)...)
-		return append(actions, c.ask(now)...)
+		return append(actions, c.requestInventories(now)...)
 	default:
-		return c.settleSelf(now)
+		return c.announceSettled(now)
 	}
 }
 
-// rereadEvery is the pause between reads of the ledger.
-const rereadEvery = 500 * time.Millisecond
+// ledgerReadInterval is the pause between reads of the ledger.
+const ledgerReadInterval = 500 * time.Millisecond
 
-func (c *Controller) read(now time.Time) []Action {
+func (c *Controller) requestLedger(now time.Time) []Action {
 	// A holder that the list does not show yet would be taken for gone, and
 	// without settings the delay of orders is not known.
-	if now.Sub(c.readAt) < rereadEvery || c.settings.Units == nil || c.holderGone(c.cfg.Holder) {
+	if now.Sub(c.ledgerReadAt) < ledgerReadInterval || c.settings.Units == nil || c.holderGone(c.cfg.Holder) {
 		return nil
 	}
-	c.readAt = now
+	c.ledgerReadAt = now
 	return []Action{ReadLedger{}}
 }
 
@@ -203,12 +203,12 @@
 	if l.Epoch > c.epoch || l.Epoch == c.epoch && l.Holder != c.cfg.Holder {
 		return []Action{LogEvent{Event: "ledger has a newer epoch", Detail: strconv.FormatInt(l.Epoch, 10)}}
 	}
-	c.working, c.version, c.committed = l.Clone(), e.Version, nil
-	c.noteList()
+	c.working, c.ledgerVersion, c.committed = l.Clone(), e.Version, nil
+	c.recordListVersion()
 	c.working.TakeOver(c.epoch, c.cfg.Holder, c.newOrderID)
-	c.history.takeover(now)
-	clear(c.asked)
-	c.dirty, c.committing, c.phase = true, nil, phaseTakingOver
+	c.history.recordTakeover(now)
+	clear(c.inventoryRequestedAt)
+	c.dirty, c.inFlightCommit, c.phase = true, nil, phaseTakingOver
 	c.trackOrders()
 	return nil
 }
@@ -243,25 +243,25 @@
 
 // commit starts a commit if there is something to commit and none under way.
 func (c *Controller) commit() []Action {
-	if !c.dirty || c.committing != nil {
+	if !c.dirty || c.inFlightCommit != nil {
 		return nil
 	}
-	c.committing, c.dirty = c.working.Clone(), false
+	c.inFlightCommit, c.dirty = c.working.Clone(), false
 	c.commitSeq++
-	return []Action{Commit{Seq: c.commitSeq, Ledger: c.committing, Version: c.version}}
+	return []Action{Commit{Seq: c.commitSeq, Ledger: c.inFlightCommit, Version: c.ledgerVersion}}
 }
 
 func (c *Controller) commitEnded(_ time.Time, e CommitEnded) []Action {
-	sent := c.committing
+	sent := c.inFlightCommit
 	if sent == nil || e.Seq != c.commitSeq {
 		return nil
 	}
-	c.committing = nil
+	c.inFlightCommit = nil
 	if c.phase == phaseIdle {
 		return nil
 	}
 	if e.Result == commit.Done {
-		c.committed, c.version = sent, e.Version
+		c.committed, c.ledgerVersion = sent, e.Version
 		if c.phase == phaseTakingOver {
 			c.phase = phaseRunning
 			return []Action{LogEvent{Event: "took the cell over", Detail: strconv.FormatInt(c.epoch, 10)}}
@@ -270,13 +270,13 @@
 	}
 	// What is stored is no longer known. Reading tells; until then nothing that
 	// is not committed may be sent, and the takeover is made anew.
-	c.phase, c.readAt = phaseReading, time.Time{}
+	c.phase, c.ledgerReadAt = phaseReading, time.Time{}
 	return []Action{LogEvent{Event: "commit not confirmed"}}
 }
 
-// noteList records the version of the list that is acted on, and tells whether
+// recordListVersion records the version of the list that is acted on, and tells whether
 // the list is as new as any that was.
-func (c *Controller) noteList() bool {
+func (c *Controller) recordListVersion() bool {
 	if c.listVersion > c.working.ListVersion {
 		c.working.ListVersion, c.dirty = c.listVersion, true
 	}
--- a/placement/controller_test.go
+++ b/placement/controller_test.go
@@ -43,9 +43,9 @@
 // an endpoint over its memory.
 func TestBrokenRulesAreCaught(t *testing.T) {
 	for name, m := range map[string]mutation{
-		"order before intent":    {orderFirst: true},
-		"late orders forgotten":  {noLateOrders: true},
-		"delay not waited for":   {trustTime: true},
+		"order before intent":    {sendBeforeCommit: true},
+		"late orders forgotten":  {ignoreLateOrders: true},
+		"delay not waited for":   {ignoreOrderDelay: true},
 		"unloads not counted on": {countReadyOnly: true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/placement/counted/adapters.go
+++ b/placement/counted/adapters.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// adapters loads the adapters that are asked for: one replica for each, and
+// placeRequestedAdapters loads the adapters that are asked for: one replica for each, and
 // more by its share of the model's demand.
-func (p *planner) adapters() {
-	for _, name := range sortedNames(p.c.demand.askedAt) {
+func (p *planner) placeRequestedAdapters() {
+	for _, name := range sortedNames(p.c.demand.lastRequestAt) {
 		u, known := p.c.units[name]
-		if !known || u.Base == "" || p.c.demand.idle(p.now, name) > recent {
+		if !known || u.Base == "" || p.c.demand.idleTime(p.now, name) > recentTime {
 			continue
 		}
-		for len(p.holders[name]) < p.wantedAdapters(u) && p.addAdapter(u) {
+		for len(p.holders[name]) < p.wantedAdapterReplicas(u) && p.addAdapter(u) {
 		}
 	}
 }
 
-// spareAdapters brings adapters to endpoints with free slots before anybody asks,
+// preloadAdapters brings adapters to endpoints with free slots before anybody asks,
 // those of the models in most demand first: while a model is loaded, an endpoint
 // takes no order for an adapter, and that may last for seconds. An adapter is
 // small and takes milliseconds, so one too many costs next to nothing.
-func (p *planner) spareAdapters() {
+func (p *planner) preloadAdapters() {
 	models := slices.Clone(p.c.models)
 	slices.SortStableFunc(models, func(a, b Unit) int { return cmp.Compare(p.share[b.Name], p.share[a.Name]) })
 	for _, model := range models {
@@ -31,25 +31,25 @@
 			if len(p.holders[name]) > 0 {
 				continue
 			}
-			if e := p.adapterPlace(u); e != nil && p.fitsAdapter(e, u) {
+			if e := p.endpointForAdapter(u); e != nil && p.fitsAdapter(e, u) {
 				p.loadAdapter(e, u, ReasonSpare)
 			}
 		}
 	}
 }
 
-func (p *planner) wantedAdapters(u Unit) int {
+func (p *planner) wantedAdapterReplicas(u Unit) int {
 	bases := len(p.holders[u.Base])
 	of := p.c.demand.rate[u.Base]
 	for _, adapter := range p.c.adapters[u.Base] {
 		of += p.c.demand.rate[adapter]
 	}
-	n := int(float64(bases)*p.c.demand.rate[u.Name]/max(of, 1)*adapterFill) + 1
+	n := int(float64(bases)*p.c.demand.rate[u.Name]/max(of, 1)*adapterReplicaFactor) + 1
 	return min(n, bases)
 }
 
 func (p *planner) addAdapter(u Unit) bool {
-	best := p.adapterPlace(u)
+	best := p.endpointForAdapter(u)
 	if best == nil {
 		return false
 	}
@@ -57,15 +57,15 @@
 		p.loadAdapter(best, u, p.adapterReason(u))
 		return true
 	}
-	p.used[best] = true
-	if v := p.idlestAdapter(best); v != "" && len(best.going) == 0 && !p.c.alone {
+	p.hasMove[best] = true
+	if v := p.idlestAdapter(best); v != "" && len(best.draining) == 0 && !p.c.isolated {
 		p.record(Move{Op: OpUnload, Endpoint: best.Name, Unit: v, Reason: ReasonRoom, For: u.Name})
 	}
 	return false
 }
 
 func (p *planner) loadAdapter(e *endpoint, u Unit, why Reason) {
-	p.used[e] = true
+	p.hasMove[e] = true
 	p.record(Move{Op: OpLoad, Endpoint: e.Name, Unit: u.Name, Reason: why})
 	p.holders[u.Name] = append(p.holders[u.Name], e)
 }
@@ -73,21 +73,21 @@
 // fitsAdapter tells whether an endpoint has a slot and memory for the adapter.
 func (p *planner) fitsAdapter(e *endpoint, u Unit) bool {
 	slots := p.c.settings.AdapterSlots
-	if slots > 0 && e.adapters(p.c.units)+p.c.lateAdapters(p.now, e) >= slots {
+	if slots > 0 && e.usedAdapterSlots(p.c.units)+p.c.lateAdapters(p.now, e) >= slots {
 		return false
 	}
 	return p.c.freeMB(p.now, e) >= u.MemoryMB
 }
 
-// adapterPlace returns the endpoint for one more replica of an adapter, the one
+// endpointForAdapter returns the endpoint for one more replica of an adapter, the one
 // with the most free slots and then the least load; nil if none can take it.
-func (p *planner) adapterPlace(u Unit) *endpoint {
+func (p *planner) endpointForAdapter(u Unit) *endpoint {
 	var best *endpoint
 	for _, e := range p.holders[u.Base] {
-		if !e.movable() || !e.serves(u.Base) || p.used[e] || p.holds(e, u.Name) || len(e.coming) >= maxComing {
+		if !e.canMoveModel() || !e.serves(u.Base) || p.hasMove[e] || p.holds(e, u.Name) || len(e.loading) >= maxLoadingAdapters {
 			continue
 		}
-		if best == nil || cmp.Or(cmp.Compare(e.adapters(p.c.units), best.adapters(p.c.units)), cmp.Compare(p.load[e], p.load[best])) < 0 {
+		if best == nil || cmp.Or(cmp.Compare(e.usedAdapterSlots(p.c.units), best.usedAdapterSlots(p.c.units)), cmp.Compare(p.load[e], p.load[best])) < 0 {
 			best = e
 		}
 	}
@@ -108,7 +108,7 @@
 		if p.c.units[name].Base == "" {
 			continue
 		}
-		if idlest == "" || p.c.demand.idle(p.now, name) > p.c.demand.idle(p.now, idlest) {
+		if idlest == "" || p.c.demand.idleTime(p.now, name) > p.c.demand.idleTime(p.now, idlest) {
 			idlest = name
 		}
 	}
--- a/placement/counted/controller.go
+++ b/placement/counted/controller.go
@@ -18,43 +18,43 @@
 
 // Times of a Controller.
 const (
-	// planEvery is the time between plans, unless a request waits.
-	planEvery = 200 * time.Millisecond
-	// hurriedPlan is the time between plans while a request waits.
-	hurriedPlan = 40 * time.Millisecond
-	// refreshEvery is the time between reports of an endpoint at which nothing
+	// planInterval is the time between plans, unless a request waits.
+	planInterval = 200 * time.Millisecond
+	// urgentPlanInterval is the time between plans while a request waits.
+	urgentPlanInterval = 40 * time.Millisecond
+	// reportInterval is the time between reports of an endpoint at which nothing
 	// is under way; its entry tells of changes besides.
-	refreshEvery = 5 * time.Second
-	// pollEvery is the time between reports of one at which something is late.
-	pollEvery = 250 * time.Millisecond
-	// mostAsking is how many endpoints may be asked at once: a holder that is new asks all of
+	reportInterval = 5 * time.Second
+	// pollInterval is the time between reports of one at which something is late.
+	pollInterval = 250 * time.Millisecond
+	// maxPendingReports is how many endpoints may be asked at once: a holder that is new asks all of
 	// them, and thousands of calls at once take its memory, and too long to be answered.
-	mostAsking = 256
-	// askRetry is the time before a report that did not come is asked for again.
-	askRetry = 500 * time.Millisecond
-	// suspectRetry is the time before a second look at an endpoint that refused a
+	maxPendingReports = 256
+	// reportRetryInterval is the time before a report that did not come is asked for again.
+	reportRetryInterval = 500 * time.Millisecond
+	// refusedRetryInterval is the time before a second look at an endpoint that refused a
 	// connection, suspectEvery that between looks for failed requests.
-	suspectRetry = 100 * time.Millisecond
-	suspectEvery = 500 * time.Millisecond
-	// settleTime is how old a report may be: one asked for sooner after an
+	refusedRetryInterval = 100 * time.Millisecond
+	recheckInterval      = 500 * time.Millisecond
+	// maxReportAge is how old a report may be: one asked for sooner after an
 	// order's end may not show its effect.
-	settleTime = 150 * time.Millisecond
-	// withdrawTime is the time between the withdrawal of a unit from routing
+	maxReportAge = 150 * time.Millisecond
+	// withdrawalDelay is the time between the withdrawal of a unit from routing
 	// and its unload, for requests that are being sent.
-	withdrawTime = 60 * time.Millisecond
+	withdrawalDelay = 60 * time.Millisecond
 	// unloadTime is how long an unload of an idle model takes, about.
 	unloadTime = 150 * time.Millisecond
 	// busyUnloadTime is how long it takes while requests run, which it waits for.
 	busyUnloadTime = 2 * time.Second
-	// unknownLoadTime stands for a load time that the settings do not tell.
-	unknownLoadTime = 10 * time.Second
+	// defaultLoadTime stands for a load time that the settings do not tell.
+	defaultLoadTime = 10 * time.Second
 	// adapterTime is how long an adapter takes to load, about.
 	adapterTime = 25 * time.Millisecond
 )
 
-// spentAtTakeover is how many loads of the window a successor takes for
+// unspentAtTakeover is how many loads of the window a successor takes for
 // unspent: the platform's bound allows that many beyond its rate.
-const spentAtTakeover = 3
+const unspentAtTakeover = 3
 
 // Controller places the units of one cell while its instance may order.
 type Controller struct {
@@ -67,23 +67,23 @@
 	models   []Unit
 	adapters map[string][]string
 	// endpoints is keyed by name, and ordered holds the same in the order of names.
-	endpoints map[string]*endpoint
-	ordered   []*endpoint
-	demand    demand
-	window    loadWindow
+	endpoints       map[string]*endpoint
+	sortedEndpoints []*endpoint
+	demand          demand
+	window          loadWindow
 
-	// alone is set while nobody may hear what is withdrawn: to unload it would make
+	// isolated is set while nobody may hear what is withdrawn: to unload it would make
 	// its endpoint turn away what the others go on to send there. A holder that is cut
 	// off orders on until its lease ends.
-	alone   bool
-	holding bool
-	epoch   int64
-	// orderFrom is when the first order may be sent.
-	orderFrom time.Time
-	planAt    time.Time
-	plannedAt time.Time
-	// knowsOrdersFrom is from when on each order that may yet arrive is an own one.
-	knowsOrdersFrom time.Time
+	isolated bool
+	holding  bool
+	epoch    int64
+	// ordersAllowedFrom is when the first order may be sent.
+	ordersAllowedFrom time.Time
+	nextPlanAt        time.Time
+	plannedAt         time.Time
+	// ownOrdersOnlyFrom is from when on each order that may yet arrive is an own one.
+	ownOrdersOnlyFrom time.Time
 	// departed holds the orders that may yet arrive at endpoints that are not listed
 	// any more: they may start again under their names.
 	departed map[string][]lateOrder
@@ -101,40 +101,40 @@
 	case CellSettings:
 		c.configure(e)
 	case MemberList:
-		c.list(now, e)
+		c.updateMembers(now, e)
 	case ReportReply:
-		actions = c.reported(now, e)
+		actions = c.reportReceived(now, e)
 	case RequestsFailed:
-		c.suspect(now, e)
+		c.recheckEndpoints(now, e)
 	case EndpointsReplaced:
-		actions = c.gone(e)
+		actions = c.endpointsReplaced(e)
 	case IsolationChanged:
-		c.alone = e.Isolated
+		c.isolated = e.Isolated
 	case OrderEnded:
 		actions = c.orderEnded(now, e)
 	case DemandReport:
 		c.demand.observe(now, e)
-		c.hurry(now, e)
+		c.expeditePlan(now, e)
 	case LeaseAcquired:
-		actions = c.acquired(now, e)
+		actions = c.leaseAcquired(now, e)
 	case LeaseLost:
 		c.holding = false
 	}
 	if !c.holding {
 		return actions
 	}
-	concerned := c.concerned(e)
-	actions = append(actions, c.ask(now, concerned)...)
-	if now.Before(c.orderFrom) {
+	concerned := c.affectedEndpoints(e)
+	actions = append(actions, c.requestReports(now, concerned)...)
+	if now.Before(c.ordersAllowedFrom) {
 		return actions
 	}
-	return append(actions, c.place(now, concerned)...)
+	return append(actions, c.placeUnits(now, concerned)...)
 }
 
-// concerned returns the endpoints at which something may be due behind an event. Answers of
+// affectedEndpoints returns the endpoints at which something may be due behind an event. Answers of
 // one endpoint change nothing at the others: what falls due there by time alone waits for the
 // next tick. To look at thousands for each answer took more than an instance's processor time.
-func (c *Controller) concerned(e Event) []*endpoint {
+func (c *Controller) affectedEndpoints(e Event) []*endpoint {
 	name := ""
 	switch e := e.(type) {
 	case ReportReply:
@@ -144,7 +144,7 @@
 	case DemandReport:
 		return nil
 	default:
-		return c.ordered
+		return c.sortedEndpoints
 	}
 	if one := c.endpoints[name]; one != nil {
 		return []*endpoint{one}
@@ -175,14 +175,14 @@
 	c.window.configure(e.LoadsPerSecond, c.cfg.RateWindow, c.cfg.RateFactor)
 }
 
-func (c *Controller) list(now time.Time, l MemberList) {
+func (c *Controller) updateMembers(now time.Time, l MemberList) {
 	present := make(map[string]bool, len(l.Members))
 	joined := false
 	for _, m := range l.Members {
 		present[m.Name] = true
 		e := c.endpoints[m.Name]
 		if e == nil {
-			c.endpoints[m.Name] = c.join(now, m)
+			c.endpoints[m.Name] = c.addMember(now, m)
 			joined = true
 			continue
 		}
@@ -197,113 +197,113 @@
 		if !slices.Equal(e.Member.Resident, m.Resident) {
 			// The entry has changed: something that was ordered is done, or
 			// something else has happened.
-			e.askAt = now
+			e.reportDueAt = now
 		}
 		e.Member = m
 	}
 	for name, e := range c.endpoints {
 		if !present[name] {
-			c.leave(now, e)
+			c.removeMember(now, e)
 		}
 	}
-	if joined || len(c.endpoints) != len(c.ordered) {
-		c.order()
+	if joined || len(c.endpoints) != len(c.sortedEndpoints) {
+		c.sortEndpoints()
 	}
 }
 
-// order brings the endpoints in order by name, after some have come or gone.
-func (c *Controller) order() {
-	c.ordered = slices.SortedFunc(maps.Values(c.endpoints), func(a, b *endpoint) int { return cmp.Compare(a.Name, b.Name) })
+// sortEndpoints brings the endpoints in order by name, after some have come or gone.
+func (c *Controller) sortEndpoints() {
+	c.sortedEndpoints = slices.SortedFunc(maps.Values(c.endpoints), func(a, b *endpoint) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-func (c *Controller) acquired(now time.Time, e LeaseAcquired) []Action {
-	c.holding, c.epoch, c.orderFrom, c.knowsOrdersFrom = true, e.Epoch, now, time.Time{}
+func (c *Controller) leaseAcquired(now time.Time, e LeaseAcquired) []Action {
+	c.holding, c.epoch, c.ordersAllowedFrom, c.ownOrdersOnlyFrom = true, e.Epoch, now, time.Time{}
 	if e.HasPredecessor {
-		c.knowsOrdersFrom = now.Add(lateOrderTime)
-		c.orderFrom = now.Add(e.OrderDelay)
-		c.window.begin(now, max(0, c.window.limit-spentAtTakeover))
+		c.ownOrdersOnlyFrom = now.Add(maxOrderDelay)
+		c.ordersAllowedFrom = now.Add(e.OrderDelay)
+		c.window.start(now, max(0, c.window.limit-unspentAtTakeover))
 	}
 	for _, ep := range c.endpoints {
-		ep.sendingIsLate(now)
+		ep.addInFlightToUnanswered(now)
 		// What the former holder ordered is not known here.
-		ep.known, ep.sending, ep.doubt, ep.askAt, ep.asking, ep.moving = false, nil, nil, now, false, nil
-		clear(ep.going)
-		ep.toldAt = time.Time{}
+		ep.stateKnown, ep.inFlight, ep.unresolved, ep.reportDueAt, ep.reportPending, ep.modelMove = false, nil, nil, now, false, nil
+		clear(ep.draining)
+		ep.announcedAt = time.Time{}
 	}
 	return []Action{LogEvent{Event: "placement taken over", Detail: "epoch " + strconv.FormatInt(e.Epoch, 10)}}
 }
 
-// ask asks those of the endpoints whose state is not known, or at which something is due.
-func (c *Controller) ask(now time.Time, endpoints []*endpoint) []Action {
+// requestReports asks those of the endpoints whose state is not known, or at which something is due.
+func (c *Controller) requestReports(now time.Time, endpoints []*endpoint) []Action {
 	var actions []Action
 	asking := 0
 	for _, e := range endpoints {
-		if e.asking {
+		if e.reportPending {
 			asking++
 		}
 	}
 	for _, e := range endpoints {
-		if asking >= mostAsking {
+		if asking >= maxPendingReports {
 			break
 		}
-		if e.replaced || e.asking || e.sending != nil || now.Before(e.askAt) || now.Sub(e.endedAt) < settleTime {
+		if e.replaced || e.reportPending || e.inFlight != nil || now.Before(e.reportDueAt) || now.Sub(e.orderEndedAt) < maxReportAge {
 			continue
 		}
-		e.asking = true
+		e.reportPending = true
 		asking++
 		actions = append(actions, RequestReport{Endpoint: e.Name, StartedAtMS: e.StartedAtMS, Address: e.Address})
 	}
 	return actions
 }
 
-func (c *Controller) reported(now time.Time, r ReportReply) []Action {
+func (c *Controller) reportReceived(now time.Time, r ReportReply) []Action {
 	e := c.endpoints[r.Endpoint]
 	if e == nil || r.StartedAtMS < e.StartedAtMS {
 		return nil
 	}
-	e.asking = false
-	e.askAt = now.Add(askRetry)
+	e.reportPending = false
+	e.reportDueAt = now.Add(reportRetryInterval)
 	if r.ConnectionRefused {
-		return c.refusedReport(now, e)
+		return c.connectionRefused(now, e)
 	}
-	if r.Report == nil || e.sending != nil || r.RequestedAt.Before(e.endedAt.Add(settleTime)) {
+	if r.Report == nil || e.inFlight != nil || r.RequestedAt.Before(e.orderEndedAt.Add(maxReportAge)) {
 		return nil
 	}
 	if r.Report.StartedAtMS > e.StartedAtMS {
 		e.restart(now, Member{Name: e.Name, Address: e.Address, FailureDomain: e.FailureDomain, StartedAtMS: r.Report.StartedAtMS})
 	}
-	if !e.believe(now, r.Report) {
-		e.askAt = now.Add(pollEvery)
+	if !e.applyReport(now, r.Report) {
+		e.reportDueAt = now.Add(pollInterval)
 		return nil
 	}
-	e.askAt = now.Add(c.nextAsk(now, e))
-	return e.tell(now)
+	e.reportDueAt = now.Add(c.nextReportDelay(now, e))
+	return e.announce(now)
 }
 
-// refusedReport takes a refused connection.
-func (c *Controller) refusedReport(now time.Time, e *endpoint) []Action {
-	e.refusals++
-	if e.refusals < lostAfter {
-		e.askAt = now.Add(suspectRetry)
+// connectionRefused takes a refused connection.
+func (c *Controller) connectionRefused(now time.Time, e *endpoint) []Action {
+	e.refusedConnections++
+	if e.refusedConnections < lostAfterRefusals {
+		e.reportDueAt = now.Add(refusedRetryInterval)
 	}
-	if e.refusals != lostAfter {
+	if e.refusedConnections != lostAfterRefusals {
 		return nil
 	}
 	e.lost = true
 	return []Action{LogEvent{Event: "endpoint lost", Endpoint: e.Name}}
 }
 
-// suspect looks at endpoints at which requests have failed.
-func (c *Controller) suspect(now time.Time, s RequestsFailed) {
+// recheckEndpoints looks at endpoints at which requests have failed.
+func (c *Controller) recheckEndpoints(now time.Time, s RequestsFailed) {
 	for _, name := range s.Endpoints {
-		if e := c.endpoints[name]; e != nil && !e.lost && now.Sub(e.suspectedAt) >= suspectEvery {
-			e.suspectedAt, e.askAt = now, now
+		if e := c.endpoints[name]; e != nil && !e.lost && now.Sub(e.suspectedAt) >= recheckInterval {
+			e.suspectedAt, e.reportDueAt = now, now
 		}
 	}
 }
 
-// gone takes endpoints off whose addresses others have.
-func (c *Controller) gone(g EndpointsReplaced) []Action {
+// endpointsReplaced takes endpoints off whose addresses others have.
+func (c *Controller) endpointsReplaced(g EndpointsReplaced) []Action {
 	var actions []Action
 	for _, name := range g.Endpoints {
 		e := c.endpoints[name]
@@ -316,18 +316,18 @@
 	return actions
 }
 
-// nextAsk is how long the report just taken will do.
-func (c *Controller) nextAsk(now time.Time, e *endpoint) time.Duration {
+// nextReportDelay is how long the report just taken will do.
+func (c *Controller) nextReportDelay(now time.Time, e *endpoint) time.Duration {
 	switch {
-	case e.moving != nil:
-		left := e.moving.since.Add(c.duration(e, Order{Op: e.moving.op, Unit: e.moving.unit})).Sub(now)
-		return max(left, pollEvery)
-	case e.foreignBusy || e.doubt != nil || len(e.coming) > 0:
-		return pollEvery
-	case c.mayMeetLateOrders(now, e):
-		return lateOrderPoll
+	case e.modelMove != nil:
+		left := e.modelMove.since.Add(c.duration(e, Order{Op: e.modelMove.op, Unit: e.modelMove.unit})).Sub(now)
+		return max(left, pollInterval)
+	case e.foreignMove || e.unresolved != nil || len(e.loading) > 0:
+		return pollInterval
+	case c.lateOrdersMayArrive(now, e):
+		return lateOrderPollInterval
 	default:
-		return refreshEvery
+		return reportInterval
 	}
 }
 
@@ -346,110 +346,110 @@
 	case u.StoreLoadTime > 0:
 		return u.StoreLoadTime
 	default:
-		return unknownLoadTime
+		return defaultLoadTime
 	}
 }
 
-// fromStore tells whether a load of the model draws on the weight store.
-func (e *endpoint) fromStore(model string) bool { return !e.inMemory[model] && !e.onDisk[model] }
+// needsStore tells whether a load of the model draws on the weight store.
+func (e *endpoint) needsStore(model string) bool { return !e.inMemory[model] && !e.onDisk[model] }
 
-// doubtful is how many orders of unknown fate may yet begin a load from the
+// unresolvedStoreLoads is how many orders of unknown fate may yet begin a load from the
 // weight store.
-func (c *Controller) doubtful(now time.Time) int {
+func (c *Controller) unresolvedStoreLoads(now time.Time) int {
 	n := 0
 	for _, e := range c.endpoints {
-		if e.doubt != nil && e.doubt.Op == OpLoad && c.units[e.doubt.Unit].Base == "" && e.fromStore(e.doubt.Unit) {
+		if e.unresolved != nil && e.unresolved.Op == OpLoad && c.units[e.unresolved.Unit].Base == "" && e.needsStore(e.unresolved.Unit) {
 			n++
 		}
-		n += len(c.lateLoads(now, e))
+		n += len(c.lateStoreLoads(now, e))
 	}
 	return n
 }
 
 func (c *Controller) orderEnded(now time.Time, o OrderEnded) []Action {
 	e := c.endpoints[o.Endpoint]
-	if e == nil || e.sending == nil || *e.sending != o.Order {
+	if e == nil || e.inFlight == nil || *e.inFlight != o.Order {
 		return nil
 	}
-	e.sending, e.endedAt, e.askAt = nil, now, now
-	c.window.late(e.storeLoadAt, now)
+	e.inFlight, e.orderEndedAt, e.reportDueAt = nil, now, now
+	c.window.postpone(e.storeLoadAt, now)
 	e.storeLoadAt = time.Time{}
 	switch o.Result {
 	case Accepted:
-		e.took(now, o.Order, c.units, c.duration(e, o.Order))
-		e.askAt = now.Add(max(c.duration(e, o.Order), settleTime))
-		return e.tell(now)
+		e.applyOrder(now, o.Order, c.units, c.duration(e, o.Order))
+		e.reportDueAt = now.Add(max(c.duration(e, o.Order), maxReportAge))
+		return e.announce(now)
 	case Superseded:
 		c.holding = false
 		return []Action{LogEvent{Event: "superseded", Endpoint: o.Endpoint}}
 	case Replaced:
-		return c.gone(EndpointsReplaced{Endpoints: []string{o.Endpoint}})
+		return c.endpointsReplaced(EndpointsReplaced{Endpoints: []string{o.Endpoint}})
 	case Unknown:
 		doubt := o.Order
-		e.doubt = &doubt
-		e.mayArrive(now, o.Order)
+		e.unresolved = &doubt
+		e.addUnanswered(now, o.Order)
 		return []Action{LogEvent{Event: "order unanswered", Endpoint: o.Endpoint, Unit: o.Order.Unit, Detail: string(o.Order.Op)}}
 	default:
-		e.known = false
+		e.stateKnown = false
 		return []Action{LogEvent{Event: "order refused", Endpoint: o.Endpoint, Unit: o.Order.Unit, Detail: string(o.Order.Op)}}
 	}
 }
 
-// hurry brings the next plan forward if a request waits for a unit that nobody
+// expeditePlan brings the next plan forward if a request waits for a unit that nobody
 // has.
-func (c *Controller) hurry(now time.Time, d DemandReport) {
-	soon := c.plannedAt.Add(hurriedPlan)
-	if c.planAt.After(soon) && !c.reachable(d.Waiting) {
-		c.planAt = soon
+func (c *Controller) expeditePlan(now time.Time, d DemandReport) {
+	soon := c.plannedAt.Add(urgentPlanInterval)
+	if c.nextPlanAt.After(soon) && !c.allReachable(d.Waiting) {
+		c.nextPlanAt = soon
 	}
 }
 
-// reachable tells whether all units for which requests wait are served or on their way.
-func (c *Controller) reachable(waiting map[string]int) bool {
+// allReachable tells whether all units for which requests wait are served or on their way.
+func (c *Controller) allReachable(waiting map[string]int) bool {
 	missing := make([]string, 0, len(waiting))
 	for unit, n := range waiting {
 		if n > 0 {
 			missing = append(missing, unit)
 		}
 	}
-	for _, e := range c.ordered {
+	for _, e := range c.sortedEndpoints {
 		if len(missing) == 0 {
 			return true
 		}
 		missing = slices.DeleteFunc(missing, func(unit string) bool {
-			_, coming := e.coming[unit]
+			_, coming := e.loading[unit]
 			return coming || e.serves(unit)
 		})
 	}
 	return len(missing) == 0
 }
 
-// place sends what is due at the endpoints, and plans.
-func (c *Controller) place(now time.Time, endpoints []*endpoint) []Action {
+// placeUnits sends what is due at the endpoints, and plans.
+func (c *Controller) placeUnits(now time.Time, endpoints []*endpoint) []Action {
 	actions := c.unloadWithdrawn(now, endpoints)
-	if now.Before(c.planAt) || len(c.units) == 0 {
+	if now.Before(c.nextPlanAt) || len(c.units) == 0 {
 		return actions
 	}
-	c.planAt, c.plannedAt = now.Add(planEvery), now
+	c.nextPlanAt, c.plannedAt = now.Add(planInterval), now
 	for _, m := range c.plan(now) {
 		actions = append(actions, LogMove{Move: m})
-		actions = append(actions, c.carryOut(now, m)...)
+		actions = append(actions, c.execute(now, m)...)
 	}
 	return actions
 }
 
 // unloadWithdrawn sends the unloads whose withdrawal has been told.
 func (c *Controller) unloadWithdrawn(now time.Time, endpoints []*endpoint) []Action {
-	if c.alone {
+	if c.isolated {
 		return nil
 	}
 	var actions []Action
 	for _, e := range endpoints {
-		if len(e.going) == 0 {
+		if len(e.draining) == 0 {
 			continue
 		}
-		for _, unit := range sortedNames(e.going) {
-			if now.Sub(e.going[unit]) < withdrawTime || !e.movable() {
+		for _, unit := range sortedNames(e.draining) {
+			if now.Sub(e.draining[unit]) < withdrawalDelay || !e.canMoveModel() {
 				continue
 			}
 			actions = append(actions, c.send(e, Order{Op: OpUnload, Unit: unit}))
@@ -458,19 +458,19 @@
 	return actions
 }
 
-func (c *Controller) carryOut(now time.Time, m Move) []Action {
+func (c *Controller) execute(now time.Time, m Move) []Action {
 	e := c.endpoints[m.Endpoint]
 	if m.Op == OpUnload {
-		e.going[m.Unit] = now
+		e.draining[m.Unit] = now
 		if c.units[m.Unit].Base == "" {
 			e.reserved, e.reservedAt = m.For, now
 		}
-		return e.tell(now)
+		return e.announce(now)
 	}
 	if m.Op == OpLoad && c.units[m.Unit].Base == "" {
 		e.reserved = ""
-		if e.fromStore(m.Unit) {
-			c.window.begin(now, 1)
+		if e.needsStore(m.Unit) {
+			c.window.start(now, 1)
 			e.storeLoadAt = now
 		}
 	}
@@ -478,7 +478,7 @@
 }
 
 func (c *Controller) send(e *endpoint, o Order) SendOrder {
-	o.ExpectedCount, o.Epoch, o.StartedAtMS = e.count, c.epoch, e.StartedAtMS
-	e.sending = &o
+	o.ExpectedCount, o.Epoch, o.StartedAtMS = e.orderCount, c.epoch, e.StartedAtMS
+	e.inFlight = &o
 	return SendOrder{Endpoint: e.Name, Address: e.Address, Order: o}
 }
--- a/placement/counted/demand.go
+++ b/placement/counted/demand.go
@@ -9,47 +9,49 @@
 // falls slowly, as a replica too many costs less than one too few.
 type demand struct {
 	rate map[string]float64
-	// lasting is the mean rate over lastingTime.
-	lasting map[string]float64
+	// average is the mean rate over lastingTime.
+	average map[string]float64
 	waiting map[string]int
-	// askedAt is when each unit was last asked for.
-	askedAt map[string]time.Time
-	at      time.Time
-	// since is when anything was first asked for.
-	since time.Time
+	// lastRequestAt is when each unit was last asked for.
+	lastRequestAt map[string]time.Time
+	updatedAt     time.Time
+	// firstSeenAt is when anything was first asked for.
+	firstSeenAt time.Time
 }
 
-// warmTime is how long demand must have been seen before replicas give way to
+// warmUpTime is how long demand must have been seen before replicas give way to
 // it: where units lie at first says more than a few requests.
-const warmTime = 2500 * time.Millisecond
+const warmUpTime = 2500 * time.Millisecond
 
-// warm tells whether demand has been seen for long enough.
-func (d *demand) warm(now time.Time) bool { return !d.since.IsZero() && now.Sub(d.since) >= warmTime }
+// warmedUp tells whether demand has been seen for long enough.
+func (d *demand) warmedUp(now time.Time) bool {
+	return !d.firstSeenAt.IsZero() && now.Sub(d.firstSeenAt) >= warmUpTime
+}
 
-// lastingTime is the time over which the lasting demand is averaged.
-const lastingTime = 3 * time.Second
+// averagingTime is the time over which the lasting demand is averaged.
+const averagingTime = 3 * time.Second
 
-// lastingTotal is the lasting demand for all units.
-func (d *demand) lastingTotal() float64 {
+// averageTotal is the lasting demand for all units.
+func (d *demand) averageTotal() float64 {
 	total := 0.0
-	for _, rate := range d.lasting {
+	for _, rate := range d.average {
 		total += rate
 	}
 	return total
 }
 
-// fallTime is the time in which a demand that has ended falls to a third.
-const fallTime = 4 * time.Second
+// fallTimeConstant is the time in which a demand that has ended falls to a third.
+const fallTimeConstant = 4 * time.Second
 
 func newDemand() demand {
-	return demand{rate: map[string]float64{}, lasting: map[string]float64{}, waiting: map[string]int{}, askedAt: map[string]time.Time{}}
+	return demand{rate: map[string]float64{}, average: map[string]float64{}, waiting: map[string]int{}, lastRequestAt: map[string]time.Time{}}
 }
 
 func (d *demand) observe(now time.Time, e DemandReport) {
-	elapsed := now.Sub(d.at).Seconds()
-	d.average(math.Exp(-elapsed/lastingTime.Seconds()), e.Rate)
-	kept := math.Exp(-elapsed / fallTime.Seconds())
-	d.at = now
+	elapsed := now.Sub(d.updatedAt).Seconds()
+	d.updateAverage(math.Exp(-elapsed/averagingTime.Seconds()), e.Rate)
+	kept := math.Exp(-elapsed / fallTimeConstant.Seconds())
+	d.updatedAt = now
 	for unit, rate := range d.rate {
 		if rate *= kept; rate < 1 {
 			delete(d.rate, unit)
@@ -57,37 +59,37 @@
 		}
 		d.rate[unit] = rate
 	}
-	if d.since.IsZero() && len(e.Rate) > 0 {
-		d.since = now
+	if d.firstSeenAt.IsZero() && len(e.Rate) > 0 {
+		d.firstSeenAt = now
 	}
 	for unit, rate := range e.Rate {
 		d.rate[unit] = max(d.rate[unit], rate)
 	}
 	for unit, at := range e.LastRequestAt {
-		if at.After(d.askedAt[unit]) {
-			d.askedAt[unit] = at
+		if at.After(d.lastRequestAt[unit]) {
+			d.lastRequestAt[unit] = at
 		}
 	}
 	d.waiting = e.Waiting
 }
 
-// average takes the rates into the lasting demand, of which a share is kept.
-func (d *demand) average(kept float64, rates map[string]float64) {
-	for unit, rate := range d.lasting {
+// updateAverage takes the rates into the lasting demand, of which a share is kept.
+func (d *demand) updateAverage(kept float64, rates map[string]float64) {
+	for unit, rate := range d.average {
 		if rate *= kept; rate < 1 {
-			delete(d.lasting, unit)
+			delete(d.average, unit)
 			continue
 		}
-		d.lasting[unit] = rate
+		d.average[unit] = rate
 	}
 	for unit, rate := range rates {
-		d.lasting[unit] += rate * (1 - kept)
+		d.average[unit] += rate * (1 - kept)
 	}
 }
 
-// idle is how long ago the unit was last asked for.
-func (d *demand) idle(now time.Time, unit string) time.Duration {
-	if at, asked := d.askedAt[unit]; asked {
+// idleTime is how long ago the unit was last asked for.
+func (d *demand) idleTime(now time.Time, unit string) time.Duration {
+	if at, asked := d.lastRequestAt[unit]; asked {
 		return now.Sub(at)
 	}
 	return math.MaxInt64
--- a/placement/counted/endpoint.go
+++ b/placement/counted/endpoint.go
@@ -12,59 +12,59 @@
 // moving are the effect of the orders up to count.
 type endpoint struct {
 	Member
-	known bool
-	count int64
+	stateKnown bool
+	orderCount int64
 
 	resident map[string]bool
-	// coming holds the adapters on their way and when they should be there.
-	coming map[string]time.Time
-	// moving is the load or unload of a model under way; nil for none.
-	moving *moving
-	// foreignBusy tells that a move is under way that this controller did not
+	// loading holds the adapters on their way and when they should be there.
+	loading map[string]time.Time
+	// modelMove is the load or unload of a model under way; nil for none.
+	modelMove *modelMove
+	// foreignMove tells that a move is under way that this controller did not
 	// order.
-	foreignBusy      bool
+	foreignMove      bool
 	inMemory, onDisk map[string]bool
-	// since is when each unit was first seen resident.
-	since map[string]time.Time
-	// going holds the units that are withdrawn from routing, to be unloaded,
+	// residentSince is when each unit was first seen resident.
+	residentSince map[string]time.Time
+	// draining holds the units that are withdrawn from routing, to be unloaded,
 	// and when that was told.
-	going map[string]time.Time
+	draining map[string]time.Time
 
 	// reserved is the model that room was made for, at reservedAt.
 	reserved   string
 	reservedAt time.Time
 
-	sending *Order
+	inFlight *Order
 	// storeLoadAt is when the order on its way was counted as a load from the weight store;
 	// zero if it is none.
 	storeLoadAt time.Time
-	// doubt is the last order of unknown fate; it may still take effect while
+	// unresolved is the last order of unknown fate; it may still take effect while
 	// the count is the one it carries.
-	doubt *Order
+	unresolved *Order
 
-	asking      bool
-	askAt       time.Time
-	endedAt     time.Time
-	suspectedAt time.Time
-	// refusals counts connections in a row that its machine refused; lost is set
+	reportPending bool
+	reportDueAt   time.Time
+	orderEndedAt  time.Time
+	suspectedAt   time.Time
+	// refusedConnections counts connections in a row that its machine refused; lost is set
 	// once they prove that the process is gone.
-	refusals int
-	lost     bool
+	refusedConnections int
+	lost               bool
 	// replaced is set once another incarnation has answered at its address.
 	replaced bool
-	// told is what routing was told last, at toldAt.
-	told   AnnounceUnits
-	toldAt time.Time
-	// behind counts reports in a row that were older than what is known.
-	behind int
+	// announced is what routing was told last, at toldAt.
+	announced   AnnounceUnits
+	announcedAt time.Time
+	// staleReports counts reports in a row that were older than what is known.
+	staleReports int
 	// unanswered are orders that may yet arrive, also at a later start.
 	unanswered []lateOrder
 	// restartedAt is when a new start was noticed; zero for never.
 	restartedAt time.Time
 }
 
-// moving is a load or unload of a model.
-type moving struct {
+// modelMove is a load or unload of a model.
+type modelMove struct {
 	op    Op
 	unit  string
 	since time.Time
@@ -72,127 +72,127 @@
 
 func newEndpoint(m Member, now time.Time) *endpoint {
 	return &endpoint{
-		Member: m, askAt: now, resident: map[string]bool{}, coming: map[string]time.Time{},
-		since: map[string]time.Time{}, going: map[string]time.Time{}, inMemory: map[string]bool{}, onDisk: map[string]bool{},
+		Member: m, reportDueAt: now, resident: map[string]bool{}, loading: map[string]time.Time{},
+		residentSince: map[string]time.Time{}, draining: map[string]time.Time{}, inMemory: map[string]bool{}, onDisk: map[string]bool{},
 	}
 }
 
 // serves tells whether the endpoint takes requests for the unit.
 func (e *endpoint) serves(unit string) bool {
-	_, going := e.going[unit]
-	return !e.out() && e.resident[unit] && !going
+	_, going := e.draining[unit]
+	return !e.excluded() && e.resident[unit] && !going
 }
 
-// out tells whether the endpoint counts for nothing any more.
-func (e *endpoint) out() bool { return e.Leaving || e.lost || e.replaced }
+// excluded tells whether the endpoint counts for nothing any more.
+func (e *endpoint) excluded() bool { return e.Leaving || e.lost || e.replaced }
 
-// reserveTime is how long freed memory waits for the model that it was freed
+// reservationTime is how long freed memory waits for the model that it was freed
 // for: an unload waits until the model's requests have ended.
-const reserveTime = 5 * time.Second
+const reservationTime = 5 * time.Second
 
 // reservedFor returns the model that memory is kept for; empty for none.
 func (e *endpoint) reservedFor(now time.Time) string {
-	if now.Sub(e.reservedAt) >= reserveTime {
+	if now.Sub(e.reservedAt) >= reservationTime {
 		return ""
 	}
 	return e.reserved
 }
 
-// orderable tells whether an order may be sent now.
-func (e *endpoint) orderable() bool {
-	return e.known && e.sending == nil && !e.out()
+// canOrder tells whether an order may be sent now.
+func (e *endpoint) canOrder() bool {
+	return e.stateKnown && e.inFlight == nil && !e.excluded()
 }
 
-// movable tells whether a model may be loaded or unloaded now.
-func (e *endpoint) movable() bool {
-	return e.orderable() && e.moving == nil && !e.foreignBusy
+// canMoveModel tells whether a model may be loaded or unloaded now.
+func (e *endpoint) canMoveModel() bool {
+	return e.canOrder() && e.modelMove == nil && !e.foreignMove
 }
 
-// lostAfter is how many refused connections in a row say that the process at an
+// lostAfterRefusals is how many refused connections in a row say that the process at an
 // endpoint's address is gone; a new one would have a new name.
-const lostAfter = 2
+const lostAfterRefusals = 2
 
-// maxBehind is how many reports in a row must tell an older count before they
+// maxStaleReports is how many reports in a row must tell an older count before they
 // are believed: a report is a few hundred milliseconds old at most.
-const maxBehind = 4
+const maxStaleReports = 4
 
-// believe takes a report. It tells whether the report was news.
-func (e *endpoint) believe(now time.Time, r *Report) bool {
+// applyReport takes a report. It tells whether the report was news.
+func (e *endpoint) applyReport(now time.Time, r *Report) bool {
 	if r.StartedAtMS != 0 && r.StartedAtMS < e.StartedAtMS {
 		// A former start's, which came late.
 		return false
 	}
-	if e.lost && r.OrderCount < e.count {
+	if e.lost && r.OrderCount < e.orderCount {
 		// Its process was gone, and this one has taken fewer orders: a new one.
 		e.replaced = true
 		return false
 	}
-	if e.known && r.OrderCount < e.count && e.behind < maxBehind {
-		e.behind++
+	if e.stateKnown && r.OrderCount < e.orderCount && e.staleReports < maxStaleReports {
+		e.staleReports++
 		return false
 	}
-	e.behind, e.refusals, e.lost = 0, 0, false
-	if e.doubt != nil && r.OrderCount > e.doubt.ExpectedCount {
-		e.doubt = nil
+	e.staleReports, e.refusedConnections, e.lost = 0, 0, false
+	if e.unresolved != nil && r.OrderCount > e.unresolved.ExpectedCount {
+		e.unresolved = nil
 	}
-	moved := e.known && r.OrderCount == e.count && e.moving != nil && r.Busy
-	e.known, e.count = true, r.OrderCount
+	moved := e.stateKnown && r.OrderCount == e.orderCount && e.modelMove != nil && r.Busy
+	e.stateKnown, e.orderCount = true, r.OrderCount
 	e.resident = setOf(r.Resident)
 	e.inMemory, e.onDisk = setOf(r.InMemory), setOf(r.OnDisk)
-	e.foreignBusy = r.Busy && !moved
+	e.foreignMove = r.Busy && !moved
 	if !moved {
-		e.moving = nil
+		e.modelMove = nil
 	}
 	coming := make(map[string]time.Time, len(r.Loading))
 	for _, u := range r.Loading {
 		coming[u] = now
-		if at, known := e.coming[u]; known {
+		if at, known := e.loading[u]; known {
 			coming[u] = at
 		}
 	}
-	e.coming = coming
-	e.settle(now)
+	e.loading = coming
+	e.pruneDerived(now)
 	return true
 }
 
-// settle brings what is derived from the resident units up to date.
-func (e *endpoint) settle(now time.Time) {
+// pruneDerived brings what is derived from the resident units up to date.
+func (e *endpoint) pruneDerived(now time.Time) {
 	for u := range e.resident {
-		if _, known := e.since[u]; !known {
-			e.since[u] = now
+		if _, known := e.residentSince[u]; !known {
+			e.residentSince[u] = now
 		}
-		delete(e.coming, u)
+		delete(e.loading, u)
 	}
-	for u := range e.since {
+	for u := range e.residentSince {
 		if !e.resident[u] {
-			delete(e.since, u)
+			delete(e.residentSince, u)
 		}
 	}
-	for u := range e.going {
+	for u := range e.draining {
 		if !e.resident[u] {
-			delete(e.going, u)
+			delete(e.draining, u)
 		}
 	}
 }
 
-// took moves the state on by an order that the endpoint has taken.
-func (e *endpoint) took(now time.Time, o Order, units map[string]Unit, eta time.Duration) {
-	e.count = o.ExpectedCount + 1
-	e.doubt = nil
+// applyOrder moves the state on by an order that the endpoint has taken.
+func (e *endpoint) applyOrder(now time.Time, o Order, units map[string]Unit, eta time.Duration) {
+	e.orderCount = o.ExpectedCount + 1
+	e.unresolved = nil
 	switch {
 	case units[o.Unit].Base == "":
-		e.moving = &moving{op: o.Op, unit: o.Unit, since: now}
+		e.modelMove = &modelMove{op: o.Op, unit: o.Unit, since: now}
 		if o.Op == OpUnload {
 			// The adapters go with their model.
 			e.dropAdapters(o.Unit, units)
 		}
-		e.askAt = now.Add(eta)
+		e.reportDueAt = now.Add(eta)
 	case o.Op == OpLoad:
-		e.coming[o.Unit] = now.Add(eta)
-		e.askAt = minTime(e.askAt, now.Add(eta))
+		e.loading[o.Unit] = now.Add(eta)
+		e.reportDueAt = minTime(e.reportDueAt, now.Add(eta))
 	default:
 		delete(e.resident, o.Unit)
-		e.settle(now)
+		e.pruneDerived(now)
 	}
 }
 
@@ -202,9 +202,9 @@
 			delete(e.resident, u)
 		}
 	}
-	for u := range e.coming {
+	for u := range e.loading {
 		if units[u].Base == model {
-			delete(e.coming, u)
+			delete(e.loading, u)
 		}
 	}
 }
@@ -213,7 +213,7 @@
 // effect. Where a unit is held that the settings do not know, or a move that is
 // not known is under way, nothing counts as free.
 func (e *endpoint) freeMB(units map[string]Unit, capacity int64) int64 {
-	if e.foreignBusy {
+	if e.foreignMove {
 		return 0
 	}
 	free := capacity
@@ -226,13 +226,13 @@
 	for name := range e.resident {
 		hold(name)
 	}
-	for name := range e.coming {
+	for name := range e.loading {
 		if !e.resident[name] {
 			hold(name)
 		}
 	}
-	if m := e.moving; m != nil && m.op == OpLoad && !e.resident[m.unit] {
-		if _, coming := e.coming[m.unit]; !coming {
+	if m := e.modelMove; m != nil && m.op == OpLoad && !e.resident[m.unit] {
+		if _, coming := e.loading[m.unit]; !coming {
 			hold(m.unit)
 		}
 	}
@@ -242,9 +242,9 @@
 	return free
 }
 
-// adapters is how many adapter slots are taken.
-func (e *endpoint) adapters(units map[string]Unit) int {
-	n := len(e.coming)
+// usedAdapterSlots is how many adapter slots are taken.
+func (e *endpoint) usedAdapterSlots(units map[string]Unit) int {
+	n := len(e.loading)
 	for u := range e.resident {
 		if units[u].Base != "" {
 			n++
@@ -253,27 +253,27 @@
 	return n
 }
 
-// tellEvery is how often routing is told what it knows already, as it may have
+// announceInterval is how often routing is told what it knows already, as it may have
 // missed it.
-const tellEvery = 4 * time.Second
+const announceInterval = 4 * time.Second
 
-// tell is what routing is to know of the endpoint; nothing if it was told that
+// announce is what routing is to know of the endpoint; nothing if it was told that
 // lately.
-func (e *endpoint) tell(now time.Time) []Action {
-	t := AnnounceUnits{Endpoint: e.Name, StartedAtMS: e.StartedAtMS, Units: slices.Sorted(maps.Keys(e.resident)), Draining: slices.Sorted(maps.Keys(e.going))}
-	if now.Sub(e.toldAt) < tellEvery && slices.Equal(t.Units, e.told.Units) && slices.Equal(t.Draining, e.told.Draining) {
+func (e *endpoint) announce(now time.Time) []Action {
+	t := AnnounceUnits{Endpoint: e.Name, StartedAtMS: e.StartedAtMS, Units: slices.Sorted(maps.Keys(e.resident)), Draining: slices.Sorted(maps.Keys(e.draining))}
+	if now.Sub(e.announcedAt) < announceInterval && slices.Equal(t.Units, e.announced.Units) && slices.Equal(t.Draining, e.announced.Draining) {
 		return nil
 	}
-	t.Change = e.news(t)
-	e.told, e.toldAt = t, now
+	t.Change = e.changeFor(t)
+	e.announced, e.announcedAt = t, now
 	return []Action{t}
 }
 
-// news is what a word brings that is to be told. Behind a takeover routing goes by the
+// changeFor is what a word brings that is to be told. Behind a takeover routing goes by the
 // endpoint's entry.
-func (e *endpoint) news(t AnnounceUnits) Change {
-	known := e.told.Units
-	if e.toldAt.IsZero() {
+func (e *endpoint) changeFor(t AnnounceUnits) Change {
+	known := e.announced.Units
+	if e.announcedAt.IsZero() {
 		known = e.Member.Resident
 	}
 	units := setOf(t.Units)
--- a/placement/counted/plan_bench_test.go
+++ b/placement/counted/plan_bench_test.go
@@ -25,7 +25,7 @@
 	for _, endpoints := range []int{12, 140, 720, 3000} {
 		b.Run(fmt.Sprintf("%d endpoints", endpoints), func(b *testing.B) {
 			c, now := benchController(endpoints, 196, 12)
-			for i, e := range c.ordered {
+			for i, e := range c.sortedEndpoints {
 				resident := []string{"m000", fmt.Sprintf("m%03d", 1+i%7), fmt.Sprintf("m%03d", 8+i%(196-8))}
 				c.Step(now, ReportReply{Endpoint: e.Name, RequestedAt: now, Report: &Report{Resident: resident, OnDisk: resident}})
 			}
@@ -38,7 +38,7 @@
 			}
 			for range 3 {
 				now = now.Add(2 * time.Second)
-				c.planAt = now.Add(time.Hour)
+				c.nextPlanAt = now.Add(time.Hour)
 				c.Step(now, demandNow(now, rate, nil))
 			}
 			moves := 0
@@ -56,7 +56,7 @@
 		b.Run(fmt.Sprintf("%d endpoints", endpoints), func(b *testing.B) {
 			c, now := benchController(endpoints, 196, 6)
 			names := sortedNames(c.endpoints)
-			c.planAt = now.Add(time.Hour)
+			c.nextPlanAt = now.Add(time.Hour)
 			for i := 0; b.Loop(); i++ {
 				name := names[i%len(names)]
 				c.Step(now, ReportReply{Endpoint: name, RequestedAt: now, Report: &Report{Resident: []string{"m000"}}})
@@ -70,7 +70,7 @@
 	for _, endpoints := range []int{12, 140, 720, 3000} {
 		b.Run(fmt.Sprintf("%d endpoints", endpoints), func(b *testing.B) {
 			c, now := benchController(endpoints, 196, 6)
-			c.planAt = now.Add(time.Hour)
+			c.nextPlanAt = now.Add(time.Hour)
 			waiting := map[string]int{}
 			for i := range 100 {
 				waiting[fmt.Sprintf("m%03d", i%min(endpoints*3, 196))] = 1
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -130,7 +130,7 @@
 	require.NotNil(t, m, "behind the busy model in the list, so demand has passed it")
 	require.Equal(t, "m1", m.For)
 	s.c.endpoints["e1"].resident = setOf([]string{"m7", "m8"})
-	s.c.endpoints["e1"].settle(s.now)
+	s.c.endpoints["e1"].pruneDerived(s.now)
 	s.demand(map[string]float64{"m1": 90000, "m0": 10}, map[string]int{"m0": 1})
 	moves := s.plan()
 	require.NotNil(t, find(moves, OpLoad, "m0"), "%v", moves)
@@ -169,7 +169,7 @@
 		require.False(t, sent, "nothing is sent before the others know")
 	}
 	require.Equal(t, []string{"m0/a2"}, told.Draining, "the one that nobody asks for")
-	s.now = s.now.Add(withdrawTime)
+	s.now = s.now.Add(withdrawalDelay)
 	require.Contains(t, s.step(Tick{}), SendOrder{Endpoint: "e1", Order: Order{Op: OpUnload, Unit: "m0/a2", Epoch: 1}})
 }
 
@@ -178,7 +178,7 @@
 	s.step(RequestsFailed{Endpoints: []string{"e1"}})
 	s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, ConnectionRefused: true})
 	require.False(t, s.c.endpoints["e1"].lost, "once may be chance")
-	s.now = s.now.Add(suspectRetry)
+	s.now = s.now.Add(refusedRetryInterval)
 	s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, ConnectionRefused: true})
 	require.True(t, s.c.endpoints["e1"].lost)
 	s.demand(map[string]float64{"m0": 5000}, map[string]int{"m0": 1})
@@ -220,8 +220,8 @@
 			s.step(OrderEnded{Endpoint: "e1", Order: send.Order, Result: Replaced})
 		},
 		"its process was gone and a new one reports": func(s *cell) {
-			s.c.endpoints["e1"].count = 5
-			for range lostAfter {
+			s.c.endpoints["e1"].orderCount = 5
+			for range lostAfterRefusals {
 				s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, ConnectionRefused: true})
 			}
 			s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, Report: &Report{}})
@@ -230,7 +230,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newCell(4, map[string][]string{"e1": {"m0"}, "e2": {"m1"}}, nil)
 			find(s)
-			require.True(t, s.c.endpoints["e1"].out())
+			require.True(t, s.c.endpoints["e1"].excluded())
 			s.now = s.now.Add(time.Minute)
 			for _, a := range s.step(demandNow(s.now, map[string]float64{"m0": 9000}, map[string]int{"m0": 1})) {
 				switch a := a.(type) {
@@ -293,7 +293,7 @@
 	moves := func(alone bool) (loads, withdrawn int) {
 		s := newCell(6, held, nil)
 		s.demand(map[string]float64{"m4": 90_000, "m5": 80_000}, map[string]int{"m4": 3, "m5": 3})
-		s.c.alone = alone
+		s.c.isolated = alone
 		for _, m := range s.plan() {
 			if m.Op == OpUnload {
 				withdrawn++
@@ -316,8 +316,8 @@
 func TestPlanForThousandsIsBounded(t *testing.T) {
 	const endpoints, models, parts = 3000, 196, 3
 	c, now := benchController(endpoints, models, 0)
-	c.planAt = now.Add(time.Hour)
-	for i, e := range c.ordered {
+	c.nextPlanAt = now.Add(time.Hour)
+	for i, e := range c.sortedEndpoints {
 		*e = *newEndpoint(e.Member, now)
 		resident := []string{"m000", "m001", fmt.Sprintf("m%03d", 2+i%(models-3))}
 		c.Step(now, ReportReply{Endpoint: e.Name, RequestedAt: now, Report: &Report{Resident: resident, OnDisk: append(resident, "m195", "m002", "m003")}})
@@ -328,22 +328,22 @@
 	}
 	for range 3 {
 		now = now.Add(2 * time.Second)
-		c.planAt = now.Add(time.Hour)
+		c.nextPlanAt = now.Add(time.Hour)
 		c.Step(now, demandNow(now, rate, nil))
 	}
 	c.demand.waiting = map[string]int{"m195": 1}
 	seen := map[string]bool{}
 	before := 0
 	for range 3 {
-		p := c.planned(now)
-		require.LessOrEqual(t, p.allLooks, parts*(mostLooks+2*endpoints))
+		p := c.makePlan(now)
+		require.LessOrEqual(t, p.totalVisits, parts*(maxEndpointVisits+2*endpoints))
 		require.NotEmpty(t, p.moves)
 		if len(seen) == 0 {
 			require.Equal(t, "m195", p.moves[0].For, "room for the model that nobody holds")
 		}
 		for _, m := range p.moves {
 			seen[m.Endpoint] = true
-			c.carryOut(now, m)
+			c.execute(now, m)
 		}
 		require.Greater(t, len(seen), before, "further endpoints have their turn")
 		before = len(seen)
@@ -371,11 +371,11 @@
 		return sent
 	}
 	sent := loads(c.Step(now, ReportReply{Endpoint: "e1", RequestedAt: now, Report: &Report{}}))
-	sent = append(sent, loads(c.Step(now.Add(planEvery), ReportReply{Endpoint: "e2", RequestedAt: now, Report: &Report{}}))...)
+	sent = append(sent, loads(c.Step(now.Add(planInterval), ReportReply{Endpoint: "e2", RequestedAt: now, Report: &Report{}}))...)
 	require.Len(t, sent, 1, "the rate allows one in five seconds")
 	const late = 2 * time.Second
 	c.Step(now.Add(late), OrderEnded{Endpoint: sent[0].Endpoint, Order: sent[0].Order, Result: Accepted})
-	require.Empty(t, loads(c.Step(now.Add(5*time.Second+planEvery), Tick{})), "the first may have begun two seconds late")
+	require.Empty(t, loads(c.Step(now.Add(5*time.Second+planInterval), Tick{})), "the first may have begun two seconds late")
 	require.Len(t, loads(c.Step(now.Add(late+5*time.Second), Tick{})), 1)
 }
 
@@ -384,17 +384,17 @@
 	now := time.Unix(1000, 0)
 	e := newEndpoint(Member{Name: "e1", Resident: []string{"m1"}}, now)
 	news := func() Change {
-		now = now.Add(tellEvery)
-		return e.tell(now)[0].(AnnounceUnits).Change
+		now = now.Add(announceInterval)
+		return e.announce(now)[0].(AnnounceUnits).Change
 	}
 	e.resident = setOf([]string{"m1"})
 	require.Equal(t, Unchanged, news(), "the entry tells the same")
 	e.resident["m2"] = true
 	require.Equal(t, UnitsAdded, news())
 	require.Equal(t, Unchanged, news())
-	e.going["m2"] = now
+	e.draining["m2"] = now
 	require.Equal(t, UnitsWithdrawn, news())
-	delete(e.going, "m2")
+	delete(e.draining, "m2")
 	delete(e.resident, "m2")
 	require.Equal(t, UnitsWithdrawn, news())
 }
--- a/placement/counted/restart.go
+++ b/placement/counted/restart.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// lateOrderTime is how long an order that was not answered may be on its way: such
+	// maxOrderDelay is how long an order that was not answered may be on its way: such
 	// orders were seen to be carried out up to 12 s late.
-	lateOrderTime = 15 * time.Second
-	// clockSlack is by how much the clocks of an endpoint and of this instance may
+	maxOrderDelay = 15 * time.Second
+	// maxClockDifference is by how much the clocks of an endpoint and of this instance may
 	// differ: they are stepped by seconds now and then.
-	clockSlack = 5 * time.Second
-	// lateOrderPoll is the time between reports of an endpoint at which late orders of
+	maxClockDifference = 5 * time.Second
+	// lateOrderPollInterval is the time between reports of an endpoint at which late orders of
 	// its former start may arrive. A load takes longer than that, so each is noticed
 	// before the next can begin.
-	lateOrderPoll = 500 * time.Millisecond
+	lateOrderPollInterval = 500 * time.Millisecond
 )
 
 // lateOrder is an order that was not answered, and until when it may arrive. The start
@@ -23,20 +23,20 @@
 	until time.Time
 }
 
-// mayArrive notes that an order may yet arrive.
-func (e *endpoint) mayArrive(now time.Time, o Order) {
-	e.unanswered = append(pending(now, e.unanswered), lateOrder{Order: o, until: now.Add(lateOrderTime)})
+// addUnanswered notes that an order may yet arrive.
+func (e *endpoint) addUnanswered(now time.Time, o Order) {
+	e.unanswered = append(stillDue(now, e.unanswered), lateOrder{Order: o, until: now.Add(maxOrderDelay)})
 }
 
-// sendingIsLate notes that the order on its way, if any, may arrive whenever.
-func (e *endpoint) sendingIsLate(now time.Time) {
-	if e.sending != nil {
-		e.mayArrive(now, *e.sending)
+// addInFlightToUnanswered notes that the order on its way, if any, may arrive whenever.
+func (e *endpoint) addInFlightToUnanswered(now time.Time) {
+	if e.inFlight != nil {
+		e.addUnanswered(now, *e.inFlight)
 	}
 }
 
-// pending returns the orders that may still arrive.
-func pending(now time.Time, orders []lateOrder) []lateOrder {
+// stillDue returns the orders that may still arrive.
+func stillDue(now time.Time, orders []lateOrder) []lateOrder {
 	var kept []lateOrder
 	for _, o := range orders {
 		if now.Before(o.until) {
@@ -49,31 +49,31 @@
 // restart begins anew with an endpoint that has started again under its name: what was
 // known of it holds no more, but for the orders that may yet arrive.
 func (e *endpoint) restart(now time.Time, m Member) {
-	e.sendingIsLate(now)
-	unanswered := pending(now, e.unanswered)
+	e.addInFlightToUnanswered(now)
+	unanswered := stillDue(now, e.unanswered)
 	*e = *newEndpoint(m, now)
 	e.unanswered, e.restartedAt = unanswered, now
 }
 
-// join returns the state of an endpoint that is listed now and was not before.
-func (c *Controller) join(now time.Time, m Member) *endpoint {
+// addMember returns the state of an endpoint that is listed now and was not before.
+func (c *Controller) addMember(now time.Time, m Member) *endpoint {
 	e := newEndpoint(m, now)
-	e.unanswered = pending(now, c.departed[m.Name])
+	e.unanswered = stillDue(now, c.departed[m.Name])
 	delete(c.departed, m.Name)
 	return e
 }
 
-// leave forgets an endpoint that is not listed any more, but for the orders that may
+// removeMember forgets an endpoint that is not listed any more, but for the orders that may
 // yet arrive: it may start again under its name.
-func (c *Controller) leave(now time.Time, e *endpoint) {
-	e.sendingIsLate(now)
+func (c *Controller) removeMember(now time.Time, e *endpoint) {
+	e.addInFlightToUnanswered(now)
 	delete(c.endpoints, e.Name)
 	for name, orders := range c.departed {
-		if len(pending(now, orders)) == 0 {
+		if len(stillDue(now, orders)) == 0 {
 			delete(c.departed, name)
 		}
 	}
-	if unanswered := pending(now, e.unanswered); len(unanswered) > 0 {
+	if unanswered := stillDue(now, e.unanswered); len(unanswered) > 0 {
 		c.departed[e.Name] = unanswered
 	}
 }
@@ -83,8 +83,8 @@
 func (c *Controller) lateOrders(now time.Time, e *endpoint) []Order {
 	var late []Order
 	counts := map[int64]int{}
-	for _, o := range pending(now, e.unanswered) {
-		if o.StartedAtMS == e.StartedAtMS || e.known && o.ExpectedCount < e.count || o.Op != OpLoad {
+	for _, o := range stillDue(now, e.unanswered) {
+		if o.StartedAtMS == e.StartedAtMS || e.stateKnown && o.ExpectedCount < e.orderCount || o.Op != OpLoad {
 			continue
 		}
 		at, counted := counts[o.ExpectedCount]
@@ -99,11 +99,11 @@
 	return late
 }
 
-// lateLoads are those of the late orders that draw on the weight store.
-func (c *Controller) lateLoads(now time.Time, e *endpoint) []Order {
+// lateStoreLoads are those of the late orders that draw on the weight store.
+func (c *Controller) lateStoreLoads(now time.Time, e *endpoint) []Order {
 	var loads []Order
 	for _, o := range c.lateOrders(now, e) {
-		if c.units[o.Unit].Base == "" && e.fromStore(o.Unit) {
+		if c.units[o.Unit].Base == "" && e.needsStore(o.Unit) {
 			loads = append(loads, o)
 		}
 	}
@@ -118,7 +118,7 @@
 			n++
 		}
 	}
-	if c.othersMayArrive(now, e) {
+	if c.predecessorOrdersMayArrive(now, e) {
 		n++
 	}
 	return n
@@ -131,25 +131,25 @@
 	for _, o := range c.lateOrders(now, e) {
 		free -= c.units[o.Unit].MemoryMB
 	}
-	if c.othersMayArrive(now, e) {
+	if c.predecessorOrdersMayArrive(now, e) {
 		free -= c.largestMB
 	}
 	return free
 }
 
-// mayMeetLateOrders tells whether orders to a former start may take effect at e.
-func (c *Controller) mayMeetLateOrders(now time.Time, e *endpoint) bool {
-	return c.othersMayArrive(now, e) || len(c.lateOrders(now, e)) > 0
+// lateOrdersMayArrive tells whether orders to a former start may take effect at e.
+func (c *Controller) lateOrdersMayArrive(now time.Time, e *endpoint) bool {
+	return c.predecessorOrdersMayArrive(now, e) || len(c.lateOrders(now, e)) > 0
 }
 
-// othersMayArrive tells whether orders of a former holder to a former start may arrive
+// predecessorOrdersMayArrive tells whether orders of a former holder to a former start may arrive
 // at e: the endpoint was started lately, and this controller did not order alone since
 // long before.
-func (c *Controller) othersMayArrive(now time.Time, e *endpoint) bool {
-	if e.StartedAtMS == 0 || !now.Before(c.knowsOrdersFrom) {
+func (c *Controller) predecessorOrdersMayArrive(now time.Time, e *endpoint) bool {
+	if e.StartedAtMS == 0 || !now.Before(c.ownOrdersOnlyFrom) {
 		return false
 	}
-	noticed := !e.restartedAt.IsZero() && now.Sub(e.restartedAt) < lateOrderTime
+	noticed := !e.restartedAt.IsZero() && now.Sub(e.restartedAt) < maxOrderDelay
 	age := time.Duration(now.UnixMilli()-e.StartedAtMS) * time.Millisecond
-	return noticed || age < lateOrderTime+clockSlack
+	return noticed || age < maxOrderDelay+maxClockDifference
 }
--- a/placement/counted/restart_test.go
+++ b/placement/counted/restart_test.go
@@ -10,14 +10,14 @@
 
 var restarts = flag.Int("restarts", 60, "random schedules that TestSchedulesOfRestarts plays")
 
-// playRestarts runs a schedule in which endpoints start again under the names that they
+// runRestartSchedule runs a schedule in which endpoints start again under the names that they
 // had, while orders to their former starts are on their way and lists are up to two
 // seconds old.
-func playRestarts(t *testing.T, seed uint64, spoil func(*player)) *world {
+func runRestartSchedule(t *testing.T, seed uint64, spoil func(*instance)) *world {
 	w := newWorld(t, seed)
-	w.reborn = true
-	return playIn(w, func(p *player) {
-		p.slow = time.Duration(w.rnd.IntN(2000)) * time.Millisecond
+	w.restartsInPlace = true
+	return runScheduleIn(w, func(p *instance) {
+		p.listDelay = time.Duration(w.rnd.IntN(2000)) * time.Millisecond
 		if spoil != nil {
 			spoil(p)
 		}
@@ -29,22 +29,22 @@
 // again. Nothing is held beyond memory or slots all the same.
 func TestSchedulesOfRestarts(t *testing.T) {
 	for seed := range uint64(*restarts) {
-		w := playRestarts(t, seed, nil)
-		require.Empty(t, w.faults, "seed %d", seed)
+		w := runRestartSchedule(t, seed, nil)
+		require.Empty(t, w.violations, "seed %d", seed)
 	}
 }
 
 // TestJudgeSeesBlindControllers shows that the schedules can tell: controllers that do
 // not tell starts apart, or keep no room for late orders, break a rule.
 func TestJudgeSeesBlindControllers(t *testing.T) {
-	for name, spoil := range map[string]func(*player){
-		"starts are not told apart":       func(p *player) { p.blind = true },
-		"no room is kept for late orders": func(p *player) { p.forgetful = true },
+	for name, spoil := range map[string]func(*instance){
+		"starts are not told apart":       func(p *instance) { p.ignoresStarts = true },
+		"no room is kept for late orders": func(p *instance) { p.ignoresLateOrders = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(400) {
-				if w := playRestarts(t, seed, spoil); len(w.faults) > 0 {
-					t.Logf("seed %d: %s", seed, w.faults[0])
+				if w := runRestartSchedule(t, seed, spoil); len(w.violations) > 0 {
+					t.Logf("seed %d: %s", seed, w.violations[0])
 					return
 				}
 			}
@@ -57,11 +57,11 @@
 func TestNewHolderAsksSoManyAtOnce(t *testing.T) {
 	const endpoints = 1000
 	c, now := benchController(endpoints, 12, 0)
-	for _, e := range c.ordered {
+	for _, e := range c.sortedEndpoints {
 		*e = *newEndpoint(e.Member, now)
 	}
 	now = now.Add(time.Minute)
-	c.planAt = now.Add(time.Hour)
+	c.nextPlanAt = now.Add(time.Hour)
 	asked := map[string]bool{}
 	for actions := c.Step(now, LeaseAcquired{Epoch: 2}); len(actions) > 0; actions = c.Step(now, Tick{}) {
 		asking := 0
@@ -74,7 +74,7 @@
 			asked[ask.Endpoint] = true
 			c.Step(now, ReportReply{Endpoint: ask.Endpoint, RequestedAt: now, Report: &Report{}})
 		}
-		require.LessOrEqual(t, asking, mostAsking)
+		require.LessOrEqual(t, asking, maxPendingReports)
 		now = now.Add(50 * time.Millisecond)
 	}
 	require.Len(t, asked, endpoints)
--- a/placement/counted/room.go
+++ b/placement/counted/room.go
@@ -7,50 +7,50 @@
 
 // makeRoom begins to make room for one more replica of a model.
 func (p *planner) makeRoom(u Unit, why Reason) bool {
-	if p.c.alone {
+	if p.c.isolated {
 		return false
 	}
-	if p.storeLoads <= 0 && !p.atHandSomewhere(u) {
+	if p.storeLoadBudget <= 0 && !p.copyAvailable(u) {
 		return false
 	}
-	if why == ReasonUnreachable && p.reservedLately(u.Name) {
+	if why == ReasonUnreachable && p.reservedRecently(u.Name) {
 		return true
 	}
-	if why != ReasonUnreachable && !p.c.demand.warm(p.now) {
+	if why != ReasonUnreachable && !p.c.demand.warmedUp(p.now) {
 		return false
 	}
-	e, victim := p.victim(u, why)
+	e, victim := p.evictionCandidate(u, why)
 	if e == nil {
 		return false
 	}
-	p.used[e] = true
+	p.hasMove[e] = true
 	p.record(Move{Op: OpUnload, Endpoint: e.Name, Unit: victim, Reason: ReasonRoom, For: u.Name})
 	p.holders[victim] = slices.DeleteFunc(p.holders[victim], func(h *endpoint) bool { return h == e })
 	p.serving[victim]--
-	p.reserved[u.Name]++
+	p.reservations[u.Name]++
 	return true
 }
 
-// victim returns the replica that is needed least, and its endpoint, to make
+// evictionCandidate returns the replica that is needed least, and its endpoint, to make
 // room for u; nil if none is needed less than u.
-func (p *planner) victim(u Unit, why Reason) (*endpoint, string) {
+func (p *planner) evictionCandidate(u Unit, why Reason) (*endpoint, string) {
 	var best *endpoint
 	var unit string
 	var least float64
-	p.look()
-	for _, e := range p.c.ordered {
-		if !e.movable() || len(e.going) > 0 || p.used[e] || p.holds(e, u.Name) || e.reservedFor(p.now) != "" {
+	p.countVisits()
+	for _, e := range p.c.sortedEndpoints {
+		if !e.canMoveModel() || len(e.draining) > 0 || p.hasMove[e] || p.holds(e, u.Name) || e.reservedFor(p.now) != "" {
 			continue
 		}
-		if p.c.mayMeetLateOrders(p.now, e) {
+		if p.c.lateOrdersMayArrive(p.now, e) {
 			// What is unloaded there could not be loaded again for long.
 			continue
 		}
-		if p.storeLoads <= 0 && e.fromStore(u.Name) {
+		if p.storeLoadBudget <= 0 && e.needsStore(u.Name) {
 			continue
 		}
 		for _, v := range p.residentsOf(e) {
-			cost, spare := p.cost(e, v, u, why)
+			cost, spare := p.evictionCost(e, v, u, why)
 			if !spare {
 				continue
 			}
@@ -74,39 +74,39 @@
 // delay is how long it takes, about, to unload v and load u in its place.
 func (p *planner) delay(e *endpoint, v string, u Unit) time.Duration {
 	unload := unloadTime
-	if p.idle(v) < recent {
+	if p.modelIdleTime(v) < recentTime {
 		// The unload waits for requests that are running.
 		unload = busyUnloadTime
 	}
 	return unload + p.c.duration(e, Order{Op: OpLoad, Unit: u.Name})
 }
 
-// cost is the pressure that is left on the other replicas of v without the one
+// evictionCost is the pressure that is left on the other replicas of v without the one
 // at e; false if v must stay for u's sake.
-func (p *planner) cost(e *endpoint, v string, u Unit, why Reason) (float64, bool) {
+func (p *planner) evictionCost(e *endpoint, v string, u Unit, why Reason) (float64, bool) {
 	unit := p.c.units[v]
-	if unit.Base != "" || p.now.Sub(e.since[v]) < minStay {
+	if unit.Base != "" || p.now.Sub(e.residentSince[v]) < minResidence {
 		return 0, false
 	}
-	if p.certain(v, e) == 0 {
+	if p.servingElsewhere(v, e) == 0 {
 		return p.swapCost(v), p.swappable(e, v) && (why == ReasonUnreachable || p.overloaded(u))
 	}
 	cost := p.share[v] / float64(max(p.replicaCount(v)-1, 1))
-	return cost, why == ReasonUnreachable || p.pressure(u.Name) > cost*worthMoving
+	return cost, why == ReasonUnreachable || p.pressure(u.Name) > cost*minPressureRatio
 }
 
 // swappable tells whether the only replica of a model may go: nobody asks for it
 // now, little is asked of it, and the endpoint keeps a copy from which it is
 // back soon when somebody does.
 func (p *planner) swappable(e *endpoint, model string) bool {
-	return !p.asked(model) && p.share[model] < swapParts*p.even && !e.fromStore(model)
+	return !p.requested(model) && p.share[model] < swapMaxDemand*p.evenShare && !e.needsStore(model)
 }
 
 // swapCost is what it costs to take the only replica of a model.
 func (p *planner) swapCost(model string) float64 {
-	cost := swapCost*p.even + p.share[model]
-	if ahead := p.c.units[model].Rank - p.lastBusy; p.lastBusy >= 0 && ahead > 0 && ahead <= nearAhead*p.ahead {
-		cost += nearCost * p.even
+	cost := swapBaseCost*p.evenShare + p.share[model]
+	if ahead := p.c.units[model].Rank - p.lastBusyRank; p.lastBusyRank >= 0 && ahead > 0 && ahead <= swapNearLookaheads*p.lookahead {
+		cost += swapNearCost * p.evenShare
 	}
 	return cost
 }
@@ -114,25 +114,25 @@
 // overloaded tells whether the replicas of a model bear more than an endpoint's
 // even part of all demand.
 func (p *planner) overloaded(u Unit) bool {
-	return p.pressure(u.Name) > swapGain*p.even
+	return p.pressure(u.Name) > swapMinPressure*p.evenShare
 }
 
-// idle is how long ago a model or one of its adapters was asked for.
-func (p *planner) idle(model string) time.Duration {
-	least, known := p.idles[model]
+// modelIdleTime is how long ago a model or one of its adapters was asked for.
+func (p *planner) modelIdleTime(model string) time.Duration {
+	least, known := p.idleTimes[model]
 	if known {
 		return least
 	}
-	least = p.c.demand.idle(p.now, model)
+	least = p.c.demand.idleTime(p.now, model)
 	for _, adapter := range p.c.adapters[model] {
-		least = min(least, p.c.demand.idle(p.now, adapter))
+		least = min(least, p.c.demand.idleTime(p.now, adapter))
 	}
-	p.idles[model] = least
+	p.idleTimes[model] = least
 	return least
 }
 
-// certain is how many endpoints other than e, at which room may be made, serve the unit now.
-func (p *planner) certain(unit string, e *endpoint) int {
+// servingElsewhere is how many endpoints other than e, at which room may be made, serve the unit now.
+func (p *planner) servingElsewhere(unit string, e *endpoint) int {
 	if e.serves(unit) {
 		return p.serving[unit] - 1
 	}
--- a/placement/counted/simulation_test.go
+++ b/placement/counted/simulation_test.go
@@ -23,30 +23,30 @@
 	// over is the rate window's allowance, for the judge.
 	limit int
 
-	engines map[string]*simEngine
-	mail    []mail
-	nextID  int
-	begun   []time.Time
-	// reborn makes endpoints start again under the names that they had.
-	reborn bool
-	// faults says what the judge saw.
-	faults []string
+	engines    map[string]*simEngine
+	inTransit  []message
+	nextID     int
+	storeLoads []time.Time
+	// restartsInPlace makes endpoints start again under the names that they had.
+	restartsInPlace bool
+	// violations says what the judge saw.
+	violations []string
 }
 
 // simEngine is one endpoint.
 type simEngine struct {
 	name string
-	// born is when it was started, in Unix milliseconds; one that starts again under
+	// startedAtMS is when it was started, in Unix milliseconds; one that starts again under
 	// its name is a new simEngine with a later one.
-	born     int64
-	count    int64
-	resident map[string]bool
-	coming   map[string]time.Time
-	moving   string
-	op       Op
-	done     time.Time
-	disk     map[string]bool
-	down     bool
+	startedAtMS int64
+	count       int64
+	resident    map[string]bool
+	coming      map[string]time.Time
+	moving      string
+	op          Op
+	done        time.Time
+	disk        map[string]bool
+	down        bool
 	// history holds what reports tell: they lag.
 	history []simReport
 }
@@ -56,10 +56,10 @@
 	report Report
 }
 
-// mail is something that arrives later.
-type mail struct {
-	at   time.Time
-	open func()
+// message is something that arrives later.
+type message struct {
+	at     time.Time
+	arrive func()
 }
 
 func simUnits() []Unit {
@@ -98,7 +98,7 @@
 	if disk == nil {
 		disk = map[string]bool{}
 	}
-	e := &simEngine{name: name, born: w.now.UnixMilli(), resident: map[string]bool{}, coming: map[string]time.Time{}, disk: disk}
+	e := &simEngine{name: name, startedAtMS: w.now.UnixMilli(), resident: map[string]bool{}, coming: map[string]time.Time{}, disk: disk}
 	w.engines[e.name] = e
 }
 
@@ -109,29 +109,29 @@
 
 func (w *world) after(least, most time.Duration, open func()) {
 	d := least + time.Duration(w.rnd.Int64N(int64(most-least)+1))
-	w.mail = append(w.mail, mail{at: w.now.Add(d), open: open})
+	w.inTransit = append(w.inTransit, message{at: w.now.Add(d), arrive: open})
 }
 
 // deliver opens the mail that is due, in the order of its time.
 func (w *world) deliver() {
 	for {
 		due := -1
-		for i, m := range w.mail {
-			if !m.at.After(w.now) && (due < 0 || m.at.Before(w.mail[due].at)) {
+		for i, m := range w.inTransit {
+			if !m.at.After(w.now) && (due < 0 || m.at.Before(w.inTransit[due].at)) {
 				due = i
 			}
 		}
 		if due < 0 {
 			return
 		}
-		m := w.mail[due]
-		w.mail = slices.Delete(w.mail, due, due+1)
-		m.open()
+		m := w.inTransit[due]
+		w.inTransit = slices.Delete(w.inTransit, due, due+1)
+		m.arrive()
 	}
 }
 
-// pass lets time pass at the endpoints.
-func (w *world) pass() {
+// advance lets time pass at the endpoints.
+func (w *world) advance() {
 	for _, e := range w.engines {
 		for u, at := range e.coming {
 			if !at.After(w.now) {
@@ -159,7 +159,7 @@
 }
 
 func (e *simEngine) report() Report {
-	r := Report{StartedAtMS: e.born, OrderCount: e.count, Busy: e.moving != ""}
+	r := Report{StartedAtMS: e.startedAtMS, OrderCount: e.count, Busy: e.moving != ""}
 	r.Resident = sortedNames(e.resident)
 	r.Loading = sortedNames(e.coming)
 	r.OnDisk = sortedNames(e.disk)
@@ -188,7 +188,7 @@
 		return Refused
 	}
 	u := w.unit(o.Unit)
-	if o.StartedAtMS != e.born && u.Base != "" && !e.resident[u.Base] {
+	if o.StartedAtMS != e.startedAtMS && u.Base != "" && !e.resident[u.Base] {
 		// Meant for a former start; this one has no such model.
 		return Refused
 	}
@@ -205,13 +205,13 @@
 		}
 	case o.Op == OpLoad:
 		if !e.resident[u.Base] {
-			w.fault("%s: adapter %s without its model", e.name, u.Name)
+			w.addViolation("%s: adapter %s without its model", e.name, u.Name)
 		}
 		e.coming[o.Unit] = w.now.Add(20 * time.Millisecond)
 	default:
 		delete(e.resident, o.Unit)
 	}
-	w.judge(e)
+	w.checkEndpoint(e)
 	return Accepted
 }
 
@@ -219,13 +219,13 @@
 	took := u.DiskLoadTime
 	if !e.disk[u.Name] {
 		took = u.StoreLoadTime
-		w.begun = append(w.begun, w.now)
+		w.storeLoads = append(w.storeLoads, w.now)
 	}
 	e.moving, e.op, e.done = u.Name, OpLoad, w.now.Add(took)
 }
 
-// judge checks an endpoint's memory, slots and adapters under way.
-func (w *world) judge(e *simEngine) {
+// checkEndpoint checks an endpoint's memory, slots and adapters under way.
+func (w *world) checkEndpoint(e *simEngine) {
 	held := map[string]bool{}
 	for u := range e.resident {
 		held[u] = true
@@ -245,43 +245,43 @@
 		}
 	}
 	if mb > w.cfg.CapacityMB {
-		w.fault("%s holds %d MB of %d", e.name, mb, w.cfg.CapacityMB)
+		w.addViolation("%s holds %d MB of %d", e.name, mb, w.cfg.CapacityMB)
 	}
 	if slots > w.cfg.AdapterSlots {
-		w.fault("%s holds %d adapters of %d", e.name, slots, w.cfg.AdapterSlots)
+		w.addViolation("%s holds %d adapters of %d", e.name, slots, w.cfg.AdapterSlots)
 	}
-	if len(e.coming) > maxComing {
-		w.fault("%s has %d adapters on their way", e.name, len(e.coming))
+	if len(e.coming) > maxLoadingAdapters {
+		w.addViolation("%s has %d adapters on their way", e.name, len(e.coming))
 	}
 }
 
-func (w *world) fault(format string, args ...any) {
-	w.faults = append(w.faults, w.now.Sub(time.Unix(1000, 0)).String()+" "+fmt.Sprintf(format, args...))
+func (w *world) addViolation(format string, args ...any) {
+	w.violations = append(w.violations, w.now.Sub(time.Unix(1000, 0)).String()+" "+fmt.Sprintf(format, args...))
 }
 
-// player is one instance with its controller.
-type player struct {
+// instance is one instance with its controller.
+type instance struct {
 	w *world
 	c *Controller
 	// sees is the demand it is told.
 	demand DemandReport
-	// blind passes over the starts of endpoints, forgetful keeps no room for late
+	// ignoresStarts passes over the starts of endpoints, forgetful keeps no room for late
 	// orders, slow is how old its list may be.
-	blind, forgetful bool
-	slow             time.Duration
+	ignoresStarts, ignoresLateOrders bool
+	listDelay                        time.Duration
 	// listed is the last list, shown at listedAt.
 	listed   MemberList
 	listedAt time.Time
 }
 
-func (w *world) newPlayer() *player {
-	p := &player{w: w, c: NewController(Config{RateWindow: 5 * time.Second, RateFactor: 1.1})}
+func (w *world) newInstance() *instance {
+	p := &instance{w: w, c: NewController(Config{RateWindow: 5 * time.Second, RateFactor: 1.1})}
 	p.step(w.cfg)
 	return p
 }
 
-// blinded takes from an event what tells starts apart.
-func blinded(e Event) Event {
+// withoutStarts takes from an event what tells starts apart.
+func withoutStarts(e Event) Event {
 	switch e := e.(type) {
 	case MemberList:
 		for i := range e.Members {
@@ -298,16 +298,16 @@
 	}
 }
 
-func (p *player) step(e Event) {
-	if p.blind {
-		e = blinded(e)
+func (p *instance) step(e Event) {
+	if p.ignoresStarts {
+		e = withoutStarts(e)
 	}
-	if p.forgetful {
+	if p.ignoresLateOrders {
 		for _, e := range p.c.endpoints {
 			e.unanswered = nil
 		}
 		clear(p.c.departed)
-		p.c.knowsOrdersFrom = time.Time{}
+		p.c.ownOrdersOnlyFrom = time.Time{}
 	}
 	for _, a := range p.c.Step(p.w.now, e) {
 		switch a := a.(type) {
@@ -319,7 +319,7 @@
 	}
 }
 
-func (p *player) ask(a RequestReport) {
+func (p *instance) ask(a RequestReport) {
 	w, asked := p.w, p.w.now
 	w.after(time.Millisecond, 30*time.Millisecond, func() {
 		var r *Report
@@ -336,7 +336,7 @@
 }
 
 // send delivers an order at once, late, or not at all; its answer may be lost.
-func (p *player) send(s SendOrder) {
+func (p *instance) send(s SendOrder) {
 	w := p.w
 	ended := func(r Result) func() {
 		return func() { p.step(OrderEnded{Endpoint: s.Endpoint, Order: s.Order, Result: r}) }
@@ -359,8 +359,8 @@
 }
 
 // tick shows a player the list and the demand.
-func (p *player) tick() {
-	if p.listedAt.IsZero() || p.w.now.Sub(p.listedAt) >= p.slow {
+func (p *instance) tick() {
+	if p.listedAt.IsZero() || p.w.now.Sub(p.listedAt) >= p.listDelay {
 		p.listed, p.listedAt = p.w.list(), p.w.now
 	}
 	p.step(MemberList{Members: slices.Clone(p.listed.Members)})
@@ -374,22 +374,22 @@
 	for _, name := range sortedNames(w.engines) {
 		if e := w.engines[name]; !e.down {
 			l.Members = append(l.Members, Member{
-				Name: name, StartedAtMS: e.born, FailureDomain: "d" + name[len(name)-1:], Resident: sortedNames(e.resident),
+				Name: name, StartedAtMS: e.startedAtMS, FailureDomain: "d" + name[len(name)-1:], Resident: sortedNames(e.resident),
 			})
 		}
 	}
 	return l
 }
 
-// play runs a schedule with endpoints that restart, demand that moves, and
+// runSchedule runs a schedule with endpoints that restart, demand that moves, and
 // holders that follow one another; it ends with a calm span.
-func play(t *testing.T, seed uint64, spoil func(*player)) *world {
-	return playIn(newWorld(t, seed), spoil)
+func runSchedule(t *testing.T, seed uint64, spoil func(*instance)) *world {
+	return runScheduleIn(newWorld(t, seed), spoil)
 }
 
-// playIn runs a schedule in a world that is set up already.
-func playIn(w *world, spoil func(*player)) *world {
-	players := []*player{w.newPlayer(), w.newPlayer()}
+// runScheduleIn runs a schedule in a world that is set up already.
+func runScheduleIn(w *world, spoil func(*instance)) *world {
+	players := []*instance{w.newInstance(), w.newInstance()}
 	for _, p := range players {
 		if spoil != nil {
 			spoil(p)
@@ -404,7 +404,7 @@
 		w.now = w.now.Add(25 * time.Millisecond)
 		calm := step > 1500
 		if !calm {
-			w.trouble()
+			w.injectFault()
 		}
 		if step%80 == 0 && step < 1600 {
 			demand = w.drawDemand()
@@ -417,19 +417,19 @@
 			changeAt = w.now.Add(time.Duration(5+w.rnd.IntN(15)) * time.Second)
 		}
 		w.deliver()
-		w.pass()
+		w.advance()
 		for _, p := range players {
 			p.demand = demand
 			p.tick()
 		}
 	}
-	w.judgeLoads()
-	w.judgeReach(demand)
+	w.checkLoadRate()
+	w.checkReachability(demand)
 	return w
 }
 
-func (w *world) trouble() {
-	if w.reborn {
+func (w *world) injectFault() {
+	if w.restartsInPlace {
 		w.restartOne()
 		return
 	}
@@ -471,31 +471,31 @@
 	return d
 }
 
-// judgeLoads checks that loads from the weight store kept to the rate.
-func (w *world) judgeLoads() {
+// checkLoadRate checks that loads from the weight store kept to the rate.
+func (w *world) checkLoadRate() {
 	const allowance = 3
-	slices.SortFunc(w.begun, time.Time.Compare)
-	for i := range w.begun {
+	slices.SortFunc(w.storeLoads, time.Time.Compare)
+	for i := range w.storeLoads {
 		n := 0
-		for _, at := range w.begun[i:] {
-			if at.Sub(w.begun[i]) < 5*time.Second {
+		for _, at := range w.storeLoads[i:] {
+			if at.Sub(w.storeLoads[i]) < 5*time.Second {
 				n++
 			}
 		}
 		if n > w.limit+allowance {
-			w.fault("%d loads from the weight store within 5 s, %d allowed", n, w.limit+allowance)
+			w.addViolation("%d loads from the weight store within 5 s, %d allowed", n, w.limit+allowance)
 			return
 		}
 	}
 }
 
-// judgeReach checks that the calm span has brought what is asked for.
-func (w *world) judgeReach(d DemandReport) {
+// checkReachability checks that the calm span has brought what is asked for.
+func (w *world) checkReachability(d DemandReport) {
 	for unit, rate := range d.Rate {
 		if rate < 1 || slices.ContainsFunc(sortedNames(w.engines), func(n string) bool { return w.engines[n].resident[unit] }) {
 			continue
 		}
-		w.fault("%s is asked for and nowhere resident", unit)
+		w.addViolation("%s is asked for and nowhere resident", unit)
 	}
 }
 
@@ -505,31 +505,31 @@
 // store's rate, and what is asked for is resident in the end.
 func TestSchedules(t *testing.T) {
 	for seed := range uint64(*schedules) {
-		w := play(t, seed, nil)
-		require.Empty(t, w.faults, "seed %d", seed)
+		w := runSchedule(t, seed, nil)
+		require.Empty(t, w.violations, "seed %d", seed)
 	}
 }
 
 // TestJudgeSeesBrokenControllers shows that the judge can fail: controllers that
 // break one of the rules are caught within a few schedules.
 func TestJudgeSeesBrokenControllers(t *testing.T) {
-	for name, spoil := range map[string]func(*player){
-		"memory is not checked": func(p *player) {
+	for name, spoil := range map[string]func(*instance){
+		"memory is not checked": func(p *instance) {
 			bigger := p.w.cfg
 			bigger.CapacityMB += 70
 			p.step(bigger)
 		},
-		"slots are not checked": func(p *player) {
+		"slots are not checked": func(p *instance) {
 			more := p.w.cfg
 			more.AdapterSlots += 2
 			p.step(more)
 		},
-		"the rate is not kept": func(p *player) { p.c.window.limit = 1000 },
+		"the rate is not kept": func(p *instance) { p.c.window.limit = 1000 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(40) {
-				w := newWorldFor(t, seed, spoil)
-				if len(w.faults) > 0 {
+				w := runJudged(t, seed, spoil)
+				if len(w.violations) > 0 {
 					return
 				}
 			}
@@ -538,10 +538,10 @@
 	}
 }
 
-// newWorldFor plays a schedule and judges loads by the true limit.
-func newWorldFor(t *testing.T, seed uint64, spoil func(*player)) *world {
-	w := play(t, seed, spoil)
+// runJudged plays a schedule and judges loads by the true limit.
+func runJudged(t *testing.T, seed uint64, spoil func(*instance)) *world {
+	w := runSchedule(t, seed, spoil)
 	w.limit = 5
-	w.judgeLoads()
+	w.checkLoadRate()
 	return w
 }
--- a/placement/counted/window.go
+++ b/placement/counted/window.go
@@ -8,9 +8,9 @@
 // loadWindow keeps the loads from the weight store within its rate: at most
 // limit begin in any window.
 type loadWindow struct {
-	window time.Duration
-	limit  int
-	begun  []time.Time
+	window    time.Duration
+	limit     int
+	startedAt []time.Time
 }
 
 // configure sets the rate; over is by how much a window may go beyond it.
@@ -19,29 +19,29 @@
 	w.limit = max(1, int(perSecond*window.Seconds()*over))
 }
 
-// begin counts n loads that begin now.
-func (w *loadWindow) begin(now time.Time, n int) {
+// start counts n loads that begin now.
+func (w *loadWindow) start(now time.Time, n int) {
 	for range n {
-		w.begun = append(w.begun, now)
+		w.startedAt = append(w.startedAt, now)
 	}
 }
 
-// late counts a load that was to begin at a moment, and whose order has only now ended, from
+// postpone counts a load that was to begin at a moment, and whose order has only now ended, from
 // now on: it has begun by then.
-func (w *loadWindow) late(decided, now time.Time) {
-	if i := slices.IndexFunc(w.begun, decided.Equal); i >= 0 {
-		w.begun[i] = now
+func (w *loadWindow) postpone(decided, now time.Time) {
+	if i := slices.IndexFunc(w.startedAt, decided.Equal); i >= 0 {
+		w.startedAt[i] = now
 	}
 }
 
-// left is how many loads may begin now, if doubtful ones may begin besides.
-func (w *loadWindow) left(now time.Time, doubtful int) int {
-	kept := w.begun[:0]
-	for _, at := range w.begun {
+// remaining is how many loads may begin now, if doubtful ones may begin besides.
+func (w *loadWindow) remaining(now time.Time, doubtful int) int {
+	kept := w.startedAt[:0]
+	for _, at := range w.startedAt {
 		if now.Sub(at) < w.window {
 			kept = append(kept, at)
 		}
 	}
-	w.begun = kept
-	return max(0, w.limit-len(w.begun)-doubtful)
+	w.startedAt = kept
+	return max(0, w.limit-len(w.startedAt)-doubtful)
 }
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -11,21 +11,21 @@
 // rises fast and falls slowly: a replica too many costs memory that is free, a
 // replica too few costs targets.
 type demandEstimates struct {
-	// byEndpoint holds the requests under way by endpoint and unit.
-	byEndpoint map[string]map[string]float64
+	// running holds the requests under way by endpoint and unit.
+	running    map[string]map[string]float64
 	waiting    map[string]float64
 	smoothed   map[string]float64
-	at         time.Time
+	smoothedAt time.Time
 }
 
 // Time constants of the estimates.
 const (
-	riseTime = 3 * time.Second
-	fallTime = 60 * time.Second
+	riseTimeConstant = 3 * time.Second
+	fallTimeConstant = 60 * time.Second
 )
 
 func newDemandEstimates() demandEstimates {
-	return demandEstimates{byEndpoint: map[string]map[string]float64{}, waiting: map[string]float64{}, smoothed: map[string]float64{}}
+	return demandEstimates{running: map[string]map[string]float64{}, waiting: map[string]float64{}, smoothed: map[string]float64{}}
 }
 
 func (d *demandEstimates) observe(now time.Time, endpoint string, r *engine.Report) {
@@ -35,38 +35,38 @@
 			units[u.Name] = float64(u.Running)
 		}
 	}
-	d.byEndpoint[endpoint] = units
+	d.running[endpoint] = units
 	d.smooth(now)
 }
 
-func (d *demandEstimates) forget(endpoint string) { delete(d.byEndpoint, endpoint) }
+func (d *demandEstimates) forget(endpoint string) { delete(d.running, endpoint) }
 
 func (d *demandEstimates) smooth(now time.Time) {
-	elapsed := now.Sub(d.at)
-	d.at = now
+	elapsed := now.Sub(d.smoothedAt)
+	d.smoothedAt = now
 	current := map[string]float64{}
-	for _, units := range d.byEndpoint {
+	for _, units := range d.running {
 		for unit, n := range units {
 			current[unit] += n
 		}
 	}
 	for unit, n := range current {
-		d.smoothed[unit] = approach(d.smoothed[unit], n, elapsed)
+		d.smoothed[unit] = decayTowards(d.smoothed[unit], n, elapsed)
 	}
 	for unit, n := range d.smoothed {
 		if _, active := current[unit]; !active {
-			d.smoothed[unit] = approach(n, 0, elapsed)
+			d.smoothed[unit] = decayTowards(n, 0, elapsed)
 		}
 	}
 }
 
-func approach(from, to float64, elapsed time.Duration) float64 {
-	constant := riseTime
+func decayTowards(from, to float64, elapsed time.Duration) float64 {
+	constant := riseTimeConstant
 	if to < from {
-		constant = fallTime
+		constant = fallTimeConstant
 	}
 	return to + (from-to)*math.Exp(-elapsed.Seconds()/constant.Seconds())
 }
 
-// of returns the smoothed demand of a unit.
-func (d *demandEstimates) of(unit string) float64 { return d.smoothed[unit] }
+// estimate returns the smoothed demand of a unit.
+func (d *demandEstimates) estimate(unit string) float64 { return d.smoothed[unit] }
--- a/placement/inventory.go
+++ b/placement/inventory.go
@@ -6,34 +6,34 @@
 	"github.com/eiderspring/eiderspring/engine"
 )
 
-// ask emits the inventories that are due.
-func (c *Controller) ask(now time.Time) []Action {
+// requestInventories emits the inventories that are due.
+func (c *Controller) requestInventories(now time.Time) []Action {
 	open := map[string]bool{}
 	for _, o := range c.orders {
 		open[o.endpoint] = true
 	}
 	var actions []Action
 	for _, m := range c.members {
-		every := max(c.cfg.InventoryEvery, time.Duration(len(c.members))*c.cfg.InventoryShare)
-		if open[m.Name] || !c.known(m.Name) {
-			every = c.cfg.InventoryFast
+		every := max(c.cfg.InventoryInterval, time.Duration(len(c.members))*c.cfg.InventorySpacing)
+		if open[m.Name] || !c.recordUsable(m.Name) {
+			every = c.cfg.OpenOrderInventoryInterval
 		}
-		if c.asking[m.Name] || now.Sub(c.asked[m.Name]) < every {
+		if c.inventoryPending[m.Name] || now.Sub(c.inventoryRequestedAt[m.Name]) < every {
 			continue
 		}
-		c.asking[m.Name], c.asked[m.Name] = true, now
+		c.inventoryPending[m.Name], c.inventoryRequestedAt[m.Name] = true, now
 		actions = append(actions, RequestInventory{Endpoint: m.Name, Address: m.Address})
 	}
 	return actions
 }
 
-func (c *Controller) inventory(now time.Time, e InventoryReply) []Action {
-	delete(c.asking, e.Endpoint)
+func (c *Controller) inventoryReceived(now time.Time, e InventoryReply) []Action {
+	delete(c.inventoryPending, e.Endpoint)
 	m, listed := c.member(e.Endpoint)
 	if c.phase != phaseRunning || e.Report == nil || !listed || e.Report.Incarnation != m.Incarnation {
 		return nil
 	}
-	if !e.RequestedAt.After(c.history.tookOver) {
+	if !e.RequestedAt.After(c.history.takenOverAt) {
 		// It may be older than what an earlier controller has recorded since.
 		return nil
 	}
@@ -42,17 +42,17 @@
 	if use == nil || use.Incarnation != m.Incarnation || c.mustAdopt(e) {
 		return c.adopt(e)
 	}
-	if !c.known(e.Endpoint) {
+	if !c.recordUsable(e.Endpoint) {
 		return nil
 	}
-	return c.compare(e, use)
+	return c.reconcile(e, use)
 }
 
 // mustAdopt tells whether the inventory is the first since the endpoint was
 // fenced: it then replaces the record, as no earlier order can take effect.
 func (c *Controller) mustAdopt(e InventoryReply) bool {
 	f := c.fences[e.Endpoint]
-	return c.settings.ChecksFencing && f != nil && !f.adopted && !f.takenAt.IsZero() && e.RequestedAt.After(f.takenAt)
+	return c.settings.ChecksFencing && f != nil && !f.adopted && !f.acceptedAt.IsZero() && e.RequestedAt.After(f.acceptedAt)
 }
 
 // adopt makes an inventory the record of an endpoint. That is sound for an
@@ -60,7 +60,7 @@
 // one with a new incarnation, and one that was fenced.
 func (c *Controller) adopt(e InventoryReply) []Action {
 	f := c.fences[e.Endpoint]
-	if c.settings.ChecksFencing && (f == nil || f.takenAt.IsZero() || !e.RequestedAt.After(f.takenAt)) {
+	if c.settings.ChecksFencing && (f == nil || f.acceptedAt.IsZero() || !e.RequestedAt.After(f.acceptedAt)) {
 		return nil
 	}
 	if f != nil {
@@ -71,7 +71,7 @@
 		ChecksFencing: c.settings.ChecksFencing, Units: map[string]*UnitRecord{},
 	}
 	for _, r := range e.Report.Units {
-		use.Units[r.Name] = c.found(r)
+		use.Units[r.Name] = c.discoveredRecord(r)
 	}
 	c.working.Reset(e.Endpoint, use)
 	c.dirty = true
@@ -79,10 +79,10 @@
 	return []Action{LogEvent{Event: "adopted inventory", Endpoint: e.Endpoint}}
 }
 
-// found is the record of a unit that an endpoint holds though no order for it
+// discoveredRecord is the record of a unit that an endpoint holds though no order for it
 // is on record. One that is still loading is waited for with an order of this
 // controller, which finds it loaded or loads it.
-func (c *Controller) found(r engine.UnitReport) *UnitRecord {
+func (c *Controller) discoveredRecord(r engine.UnitReport) *UnitRecord {
 	u := &UnitRecord{State: Ready, MemoryMB: r.MemoryMB, Base: c.baseOf(r.Name)}
 	if !r.Ready {
 		u.State, u.Order = Loading, c.newOrderID()
@@ -99,21 +99,21 @@
 	return ""
 }
 
-// compare brings the record up to date with an inventory.
-func (c *Controller) compare(e InventoryReply, use *EndpointRecord) []Action {
+// reconcile brings the record up to date with an inventory.
+func (c *Controller) reconcile(e InventoryReply, use *EndpointRecord) []Action {
 	var actions []Action
 	seen := make(map[string]engine.UnitReport, len(e.Report.Units))
 	for _, r := range e.Report.Units {
 		seen[r.Name] = r
 		if use.Units[r.Name] == nil {
-			c.working.AddFound(e.Endpoint, r.Name, *c.found(r))
+			c.working.AddDiscovered(e.Endpoint, r.Name, *c.discoveredRecord(r))
 			c.dirty = true
 			actions = append(actions, LogEvent{Event: "found a unit not on record", Endpoint: e.Endpoint, Unit: r.Name})
 		}
 	}
 	for _, unit := range use.UnitNames() {
 		r, resident := seen[unit]
-		if what := c.compareUnit(e, unit, use.Units[unit], resident, r.Ready); what != "" {
+		if what := c.reconcileUnit(e, unit, use.Units[unit], resident, r.Ready); what != "" {
 			c.dirty = true
 			actions = append(actions, LogEvent{Event: what, Endpoint: e.Endpoint, Unit: unit})
 		}
@@ -122,10 +122,10 @@
 	return actions
 }
 
-// compareUnit applies what an inventory shows of one unit and returns what
+// reconcileUnit applies what an inventory shows of one unit and returns what
 // changed, or "". An order is resolved only when none of its sendings is under
 // way, so that a paused sender cannot follow its resolution.
-func (c *Controller) compareUnit(e InventoryReply, unit string, u *UnitRecord, resident, ready bool) string {
+func (c *Controller) reconcileUnit(e InventoryReply, unit string, u *UnitRecord, resident, ready bool) string {
 	o := c.orders[u.Order]
 	switch {
 	case u.Order != "" && (o == nil || !o.sent || !c.history.idle(e.Endpoint, unit)):
@@ -133,15 +133,15 @@
 	case u.State == Loading && ready:
 		c.working.ConfirmLoaded(e.Endpoint, unit)
 		return "loaded"
-	case o != nil && o.taken && e.RequestedAt.After(o.endedAt) && o.undone(resident, ready):
+	case o != nil && o.accepted && e.RequestedAt.After(o.endedAt) && o.effectMissing(resident, ready):
 		// The endpoint took the order, but its effect is not there: it was lost,
 		// or a late copy of an earlier order undid it. It goes again.
-		o.taken = false
+		o.accepted = false
 		return ""
-	case u.State == Unloading && o.taken && e.RequestedAt.After(o.endedAt) && !resident:
+	case u.State == Unloading && o.accepted && e.RequestedAt.After(o.endedAt) && !resident:
 		c.working.ConfirmUnloaded(e.Endpoint, unit)
 		return "unloaded"
-	case u.State == Absent && !resident && c.stayedAway(e, unit) && c.working.Free(e.Endpoint, unit):
+	case u.State == Absent && !resident && c.confirmedAbsent(e, unit) && c.working.Free(e.Endpoint, unit):
 		return "memory freed"
 	case c.working.Observe(e.Endpoint, unit, resident, ready):
 		return "changed by itself"
@@ -150,11 +150,11 @@
 	}
 }
 
-// stayedAway tells whether the inventory was asked for after every order that
+// confirmedAbsent tells whether the inventory was asked for after every order that
 // could have brought the unit back had arrived, if it ever will. An earlier
 // inventory does not count: the last copy may have come in between.
-func (c *Controller) stayedAway(e InventoryReply, unit string) bool {
-	return e.RequestedAt.After(c.settledAt) && c.history.quiet(e.RequestedAt, e.Endpoint, unit, c.settings.MaxOrderDelay)
+func (c *Controller) confirmedAbsent(e InventoryReply, unit string) bool {
+	return e.RequestedAt.After(c.predecessorSettledAt) && c.history.quiescent(e.RequestedAt, e.Endpoint, unit, c.settings.MaxOrderDelay)
 }
 
 // reconcileMembers drops endpoints that are gone from the record. One that is
@@ -162,7 +162,7 @@
 // the old one counts for it. One that is no longer listed might be listed again
 // in the same incarnation, so it is kept until no order can reach it any more.
 func (c *Controller) reconcileMembers(now time.Time) []Action {
-	if c.members == nil || !c.noteList() {
+	if c.members == nil || !c.recordListVersion() {
 		return nil
 	}
 	var actions []Action
@@ -170,15 +170,15 @@
 		m, listed := c.member(name)
 		use := c.working.Endpoints[name]
 		if listed && m.Incarnation == use.Incarnation {
-			delete(c.unlisted, name)
+			delete(c.unlistedSince, name)
 			continue
 		}
-		if !listed && !c.unreachable(now, name, use) {
+		if !listed && !c.noOrderCanArrive(now, name, use) {
 			continue
 		}
 		c.working.Forget(name)
 		delete(c.fences, name)
-		delete(c.unlisted, name)
+		delete(c.unlistedSince, name)
 		c.dirty = true
 		actions = append(actions, LogEvent{Event: "endpoint gone", Endpoint: name})
 	}
@@ -188,13 +188,13 @@
 	return actions
 }
 
-// unreachable tells whether no order can reach an endpoint that is no longer
+// noOrderCanArrive tells whether no order can reach an endpoint that is no longer
 // listed.
-func (c *Controller) unreachable(now time.Time, name string, use *EndpointRecord) bool {
+func (c *Controller) noOrderCanArrive(now time.Time, name string, use *EndpointRecord) bool {
 	c.demand.forget(name)
-	since, known := c.unlisted[name]
+	since, known := c.unlistedSince[name]
 	if !known {
-		c.unlisted[name] = now
+		c.unlistedSince[name] = now
 		return false
 	}
 	if now.Sub(since) < c.settings.MaxOrderDelay {
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -125,15 +125,15 @@
 // Unwrap returns the rule.
 func (e *RuleError) Unwrap() error { return e.Err }
 
-// Certain tells whether the unit is a replica that no order on its way can
+// Stable tells whether the unit is a replica that no order on its way can
 // take away.
-func (u *UnitRecord) Certain() bool { return u.State == Ready && len(u.LateUnloads) == 0 }
+func (u *UnitRecord) Stable() bool { return u.State == Ready && len(u.LateUnloads) == 0 }
 
 // Replicas returns the endpoints at which the unit is certain, in order.
 func (l *Ledger) Replicas(unit string) []string {
 	var names []string
 	for name, e := range l.Endpoints {
-		if u := e.Units[unit]; u != nil && u.Certain() {
+		if u := e.Units[unit]; u != nil && u.Stable() {
 			names = append(names, name)
 		}
 	}
@@ -162,7 +162,7 @@
 	if memoryMB > free {
 		return refuse(ErrMemory)
 	}
-	if b := e.Units[base]; base != "" && (b == nil || !b.Certain()) {
+	if b := e.Units[base]; base != "" && (b == nil || !b.Stable()) {
 		return refuse(ErrNoBase)
 	}
 	next := &UnitRecord{State: Loading, MemoryMB: memoryMB, Base: base, Order: order}
@@ -193,16 +193,16 @@
 			return refuse(ErrBaseInUse)
 		}
 	}
-	if wanted && !l.certainElsewhere(endpoint, unit) {
+	if wanted && !l.stableElsewhere(endpoint, unit) {
 		return refuse(ErrLastReplica)
 	}
 	u.State, u.Order = Unloading, order
 	return nil
 }
 
-func (l *Ledger) certainElsewhere(endpoint, unit string) bool {
+func (l *Ledger) stableElsewhere(endpoint, unit string) bool {
 	for name, e := range l.Endpoints {
-		if u := e.Units[unit]; name != endpoint && u != nil && u.Certain() {
+		if u := e.Units[unit]; name != endpoint && u != nil && u.Stable() {
 			return true
 		}
 	}
@@ -244,8 +244,8 @@
 	}
 }
 
-// AddFound records a unit that an inventory shows though nothing is on record.
-func (l *Ledger) AddFound(endpoint, unit string, found UnitRecord) {
+// AddDiscovered records a unit that an inventory shows though nothing is on record.
+func (l *Ledger) AddDiscovered(endpoint, unit string, found UnitRecord) {
 	l.Endpoints[endpoint].Units[unit] = &found
 }
 
@@ -260,9 +260,9 @@
 	return true
 }
 
-// Settled drops the senders whose orders can no longer arrive. It reports
+// RemoveSenders drops the senders whose orders can no longer arrive. It reports
 // whether anything changed.
-func (l *Ledger) Settled(gone func(Sender) bool) bool {
+func (l *Ledger) RemoveSenders(gone func(Sender) bool) bool {
 	changed := false
 	for _, e := range l.Endpoints {
 		for _, u := range e.Units {
@@ -307,9 +307,9 @@
 				continue
 			}
 			if u.State == Loading {
-				u.LateLoads = addOnce(u.LateLoads, previous)
+				u.LateLoads = appendUnique(u.LateLoads, previous)
 			} else {
-				u.LateUnloads = addOnce(u.LateUnloads, previous)
+				u.LateUnloads = appendUnique(u.LateUnloads, previous)
 			}
 		}
 	}
@@ -329,7 +329,7 @@
 	return nil
 }
 
-func addOnce(list []Sender, s Sender) []Sender {
+func appendUnique(list []Sender, s Sender) []Sender {
 	if slices.Contains(list, s) {
 		return list
 	}
--- a/placement/place.go
+++ b/placement/place.go
@@ -11,36 +11,36 @@
 // the memory that must stay free on some endpoint afterwards. An endpoint that
 // also has room for the unit's adapters is taken before one that has not.
 func (p *planner) place(u *UnitSpec, reserve int64) *EndpointState {
-	companions := p.companions[u.Name]
-	if e := p.best(u, reserve, func(e *EndpointState) bool { return e.FreeMB >= u.MemoryMB+companions }); e != nil {
+	companions := p.adapterMemoryMB[u.Name]
+	if e := p.bestEndpoint(u, reserve, func(e *EndpointState) bool { return e.FreeMB >= u.MemoryMB+companions }); e != nil {
 		return e
 	}
-	return p.best(u, reserve, func(*EndpointState) bool { return true })
+	return p.bestEndpoint(u, reserve, func(*EndpointState) bool { return true })
 }
 
-// best prefers a failure domain with few replicas of the unit, then an
+// bestEndpoint prefers a failure domain with few replicas of the unit, then an
 // endpoint with little load, then one with much free memory, then one that the
 // unit's name hashes to, so that the choice is the same each time.
-func (p *planner) best(u *UnitSpec, reserve int64, allowed func(*EndpointState) bool) *EndpointState {
+func (p *planner) bestEndpoint(u *UnitSpec, reserve int64, allowed func(*EndpointState) bool) *EndpointState {
 	var best *EndpointState
 	var bestRank rank
 	for _, e := range p.endpoints {
-		if !p.fits(u, e) || !allowed(e) {
+		if !p.canLoad(u, e) || !allowed(e) {
 			continue
 		}
 		r := p.rank(u, e)
-		if best == nil || r.before(bestRank) {
+		if best == nil || r.less(bestRank) {
 			best, bestRank = e, r
 		}
 	}
-	if best == nil || !p.leaves(best, u.MemoryMB, reserve) {
+	if best == nil || !p.keepsReserve(best, u.MemoryMB, reserve) {
 		return nil
 	}
 	return best
 }
 
-// fits tells whether the unit may be loaded at the endpoint now.
-func (p *planner) fits(u *UnitSpec, e *EndpointState) bool {
+// canLoad tells whether the unit may be loaded at the endpoint now.
+func (p *planner) canLoad(u *UnitSpec, e *EndpointState) bool {
 	placed, onRecord := e.Units[u.Name]
 	if !e.AcceptsLoads || onRecord && (placed.State != Absent || placed.Blocked) {
 		return false
@@ -51,9 +51,9 @@
 	return u.Base == "" || e.Units[u.Base].Stable
 }
 
-// leaves tells whether some endpoint keeps reserve free after mb more are used
+// keepsReserve tells whether some endpoint keeps reserve free after mb more are used
 // at e.
-func (p *planner) leaves(e *EndpointState, mb, reserve int64) bool {
+func (p *planner) keepsReserve(e *EndpointState, mb, reserve int64) bool {
 	if reserve == 0 {
 		return true
 	}
@@ -80,8 +80,8 @@
 // Endpoints whose load or free memory differ by less than one part in so many
 // count as equal, so that noise does not decide.
 const (
-	loadGrains   = 4
-	memoryGrains = 8
+	loadBuckets   = 4
+	memoryBuckets = 8
 )
 
 func (p *planner) rank(u *UnitSpec, e *EndpointState) rank {
@@ -91,12 +91,12 @@
 			r.sameDomain++
 		}
 	}
-	r.load = int(p.load[e.Name] / max(1, float64(e.Concurrency)) * loadGrains)
-	r.used = int((e.CapacityMB - e.FreeMB) * memoryGrains / max(1, e.CapacityMB))
+	r.load = int(p.load[e.Name] / max(1, float64(e.Concurrency)) * loadBuckets)
+	r.used = int((e.CapacityMB - e.FreeMB) * memoryBuckets / max(1, e.CapacityMB))
 	return r
 }
 
-func (r rank) before(other rank) bool {
+func (r rank) less(other rank) bool {
 	if r.sameDomain != other.sameDomain {
 		return r.sameDomain < other.sameDomain
 	}
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -14,11 +14,11 @@
 	load map[string]float64
 	// holders lists, by unit, the serving endpoints where it is or will be.
 	holders map[string][]*EndpointState
-	// companions is the memory of all adapters on each base.
-	companions map[string]int64
-	largest    int64
-	loads      int
-	moves      []Move
+	// adapterMemoryMB is the memory of all adapters on each base.
+	adapterMemoryMB map[string]int64
+	largestMB       int64
+	loadBudget      int
+	moves           []Move
 	// evicting holds the endpoints at which room is being made already.
 	evicting map[string]bool
 }
@@ -29,14 +29,14 @@
 // its price.
 func Plan(s Snapshot) []Move {
 	p := newPlanner(s)
-	p.dropUnwanted()
-	if p.restoreReachable(s.Units) {
+	p.unloadUnwanted()
+	if p.restoreReachability(s.Units) {
 		// While a unit has no replica, memory and the weight store's budget are
 		// for it; what a spare takes now it may need in the next plan.
 		return p.moves
 	}
-	p.addSpares(s.Units)
-	p.followDemand(s.Units)
+	p.addReplicas(s.Units)
+	p.scaleForDemand(s.Units)
 	return p.moves
 }
 
@@ -44,21 +44,21 @@
 	p := &planner{
 		units: make(map[string]*UnitSpec, len(s.Units)), byName: make(map[string]*EndpointState, len(s.Endpoints)),
 		load: make(map[string]float64, len(s.Endpoints)), holders: make(map[string][]*EndpointState, len(s.Units)),
-		loads: s.LoadBudget, evicting: map[string]bool{}, companions: map[string]int64{},
+		loadBudget: s.LoadBudget, evicting: map[string]bool{}, adapterMemoryMB: map[string]int64{},
 	}
 	for i := range s.Units {
 		if base := s.Units[i].Base; base != "" {
-			p.companions[base] += s.Units[i].MemoryMB
+			p.adapterMemoryMB[base] += s.Units[i].MemoryMB
 		}
 		p.units[s.Units[i].Name] = &s.Units[i]
-		p.largest = max(p.largest, s.Units[i].MemoryMB)
+		p.largestMB = max(p.largestMB, s.Units[i].MemoryMB)
 	}
 	for i := range s.Endpoints {
 		e := s.Endpoints[i]
 		units := make(map[string]PlacedUnit, len(e.Units)+4)
 		for name, placed := range e.Units {
 			units[name] = placed
-			if e.Live && placed.here() {
+			if e.Live && placed.isReplica() {
 				p.holders[name] = append(p.holders[name], &e)
 			}
 		}
@@ -70,8 +70,8 @@
 	return p
 }
 
-// here tells whether the unit is, or will be, a replica.
-func (u PlacedUnit) here() bool { return u.State == Loading || u.State == Ready }
+// isReplica tells whether the unit is, or will be, a replica.
+func (u PlacedUnit) isReplica() bool { return u.State == Loading || u.State == Ready }
 
 // spreadDemand splits the demand of each unit evenly over its holders.
 func (p *planner) spreadDemand() {
@@ -86,8 +86,8 @@
 	}
 }
 
-// dropUnwanted unloads units that the settings no longer name.
-func (p *planner) dropUnwanted() {
+// unloadUnwanted unloads units that the settings no longer name.
+func (p *planner) unloadUnwanted() {
 	for _, e := range p.endpoints {
 		if !e.AcceptsLoads {
 			continue
@@ -109,11 +109,11 @@
 	return false
 }
 
-// restoreReachable loads units that have no replica: those that callers wait
+// restoreReachability loads units that have no replica: those that callers wait
 // for first, then those of most demand, then bases before adapters and large
 // units before small ones, as they are hardest to place. It reports whether
 // there were any.
-func (p *planner) restoreReachable(specs []UnitSpec) bool {
+func (p *planner) restoreReachability(specs []UnitSpec) bool {
 	var missing []*UnitSpec
 	for i := range specs {
 		if len(p.holders[specs[i].Name]) == 0 {
@@ -135,11 +135,11 @@
 	return len(missing) > 0
 }
 
-// addSpares brings units up to the number of replicas that the settings want,
+// addReplicas brings units up to the number of replicas that the settings want,
 // as long as room is left for the largest unit to move. Units of most demand go
 // first; small ones go before large ones, as they keep more units reachable for
 // the memory they take.
-func (p *planner) addSpares(specs []UnitSpec) {
+func (p *planner) addReplicas(specs []UnitSpec) {
 	var short []*UnitSpec
 	for i := range specs {
 		u := &specs[i]
@@ -152,10 +152,10 @@
 			cmp.Compare(int(b.Demand), int(a.Demand)), cmp.Compare(a.MemoryMB, b.MemoryMB), cmp.Compare(a.Name, b.Name))
 	})
 	for _, u := range short {
-		if p.loads <= 0 {
+		if p.loadBudget <= 0 {
 			return
 		}
-		if e := p.place(u, p.largest); e != nil {
+		if e := p.place(u, p.largestMB); e != nil {
 			p.loadUnit(e, u, ReasonSpare, "")
 		}
 	}
@@ -172,19 +172,19 @@
 
 // Thresholds of demand, as shares of an endpoint's concurrency.
 const (
-	// busyShare is the load of an endpoint above which a unit gets another
+	// busyFraction is the load of an endpoint above which a unit gets another
 	// replica. It is far above idleShare, so that the two never alternate.
-	busyShare = 0.75
-	// idleShare is the load of an endpoint below which it may take one.
-	idleShare = 0.35
+	busyFraction = 0.75
+	// idleFraction is the load of an endpoint below which it may take one.
+	idleFraction = 0.35
 )
 
-// followDemand adds a replica where the endpoints of a unit are busy, others
+// scaleForDemand adds a replica where the endpoints of a unit are busy, others
 // are idle, and the requests that would gain outweigh the price of the load.
-func (p *planner) followDemand(specs []UnitSpec) {
+func (p *planner) scaleForDemand(specs []UnitSpec) {
 	busiest := make([]*UnitSpec, 0, len(specs))
 	for i := range specs {
-		if specs[i].Base == "" && p.crowded(&specs[i]) {
+		if specs[i].Base == "" && p.overloaded(&specs[i]) {
 			busiest = append(busiest, &specs[i])
 		}
 	}
@@ -192,7 +192,7 @@
 		return cmp.Or(cmp.Compare(b.Demand, a.Demand), cmp.Compare(a.Name, b.Name))
 	})
 	for _, u := range busiest {
-		e := p.placeIdle(u)
+		e := p.placeOnIdle(u)
 		if e == nil {
 			continue
 		}
@@ -200,16 +200,16 @@
 	}
 }
 
-// crowded tells whether every holder of a unit is busy, the unit itself is a
+// overloaded tells whether every holder of a unit is busy, the unit itself is a
 // reason for it, and the gain of a replica outweighs its price.
-func (p *planner) crowded(u *UnitSpec) bool {
+func (p *planner) overloaded(u *UnitSpec) bool {
 	holders := p.holders[u.Name]
 	if len(holders) == 0 {
 		return false
 	}
 	excess := 0.0
 	for _, e := range holders {
-		limit := busyShare * float64(e.Concurrency)
+		limit := busyFraction * float64(e.Concurrency)
 		if p.load[e.Name] < limit || e.Units[u.Name].State != Ready {
 			return false
 		}
@@ -219,17 +219,17 @@
 	return own >= 1 && min(excess, u.Demand) > u.LoadCost
 }
 
-func (p *planner) placeIdle(u *UnitSpec) *EndpointState {
-	return p.best(u, p.largest, func(e *EndpointState) bool {
-		return p.load[e.Name] < idleShare*float64(e.Concurrency)
+func (p *planner) placeOnIdle(u *UnitSpec) *EndpointState {
+	return p.bestEndpoint(u, p.largestMB, func(e *EndpointState) bool {
+		return p.load[e.Name] < idleFraction*float64(e.Concurrency)
 	})
 }
 
 func (p *planner) loadUnit(e *EndpointState, u *UnitSpec, why Reason, forUnit string) {
-	if p.loads <= 0 {
+	if p.loadBudget <= 0 {
 		return
 	}
-	p.loads--
+	p.loadBudget--
 	p.moves = append(p.moves, Move{
 		Op: OpLoad, Endpoint: e.Name, Unit: u.Name, Base: u.Base, MemoryMB: u.MemoryMB, Reason: why, For: forUnit,
 		Replicas: len(p.holders[u.Name]), Demand: u.Demand, FreeMB: e.FreeMB,
--- a/placement/room.go
+++ b/placement/room.go
@@ -11,14 +11,14 @@
 // one endpoint at a time for each unit: what was freed may not suffice until
 // the orders are confirmed, and the next plan sees that they are under way.
 func (p *planner) makeRoom(u *UnitSpec) {
-	if p.roomIsComing(u) {
+	if p.pendingUnloadsSuffice(u) {
 		return
 	}
 	var best *EndpointState
 	var bestEvictions []string
 	bestCost := 0.0
 	for _, e := range p.endpoints {
-		if !p.mayHold(u, e) {
+		if !p.couldHold(u, e) {
 			continue
 		}
 		evictions, cost, ok := p.evictionsFor(u, e)
@@ -38,8 +38,8 @@
 	}
 }
 
-// mayHold tells whether the unit could be at the endpoint if there were room.
-func (p *planner) mayHold(u *UnitSpec, e *EndpointState) bool {
+// couldHold tells whether the unit could be at the endpoint if there were room.
+func (p *planner) couldHold(u *UnitSpec, e *EndpointState) bool {
 	placed := e.Units[u.Name]
 	if !e.AcceptsLoads || p.evicting[e.Name] || placed.Blocked || u.MemoryMB > e.CapacityMB {
 		return false
@@ -47,8 +47,8 @@
 	return u.Base == "" || e.Units[u.Base].Stable
 }
 
-// roomIsComing tells whether unloads under way will let the unit in.
-func (p *planner) roomIsComing(u *UnitSpec) bool {
+// pendingUnloadsSuffice tells whether unloads under way will let the unit in.
+func (p *planner) pendingUnloadsSuffice(u *UnitSpec) bool {
 	for _, e := range p.endpoints {
 		if !e.AcceptsLoads || u.Base != "" && !e.Units[u.Base].Stable {
 			continue
@@ -71,7 +71,7 @@
 // before their base, and what it costs.
 func (p *planner) evictionsFor(u *UnitSpec, e *EndpointState) (names []string, cost float64, ok bool) {
 	free := e.FreeMB
-	for _, c := range p.spareable(u, e) {
+	for _, c := range p.evictable(u, e) {
 		if free >= u.MemoryMB {
 			break
 		}
@@ -89,13 +89,13 @@
 	cost     float64
 }
 
-// spareable returns what can be unloaded at e without making any unit
+// evictable returns what can be unloaded at e without making any unit
 // unreachable, the cheapest memory first.
-func (p *planner) spareable(u *UnitSpec, e *EndpointState) []eviction {
+func (p *planner) evictable(u *UnitSpec, e *EndpointState) []eviction {
 	var found []eviction
 	for _, name := range sortedKeys(e.Units) {
 		placed := e.Units[name]
-		if placed.Base != "" || name == u.Base || !p.canSpare(name, e) {
+		if placed.Base != "" || name == u.Base || !p.canEvict(name, e) {
 			continue
 		}
 		c := eviction{memoryMB: placed.MemoryMB, cost: p.evictionCost(name)}
@@ -105,7 +105,7 @@
 			if a.Base != name || a.State == Absent {
 				continue
 			}
-			ok = ok && p.canSpare(adapter, e)
+			ok = ok && p.canEvict(adapter, e)
 			c.names = append(c.names, adapter)
 			c.memoryMB += a.MemoryMB
 			c.cost += p.evictionCost(adapter)
@@ -121,8 +121,8 @@
 	return found
 }
 
-// canSpare tells whether the replica at e is ready and another is certain.
-func (p *planner) canSpare(unit string, e *EndpointState) bool {
+// canEvict tells whether the replica at e is ready and another is certain.
+func (p *planner) canEvict(unit string, e *EndpointState) bool {
 	if e.Units[unit].State != Ready {
 		return false
 	}
@@ -148,12 +148,12 @@
 // being spared, and reports whether there were any to load.
 func (p *planner) relocateAdapters(u *UnitSpec) bool {
 	for _, e := range p.endpoints {
-		if !p.mayHold(u, e) {
+		if !p.couldHold(u, e) {
 			continue
 		}
 		for _, base := range sortedKeys(e.Units) {
 			placed := e.Units[base]
-			if placed.Base != "" || base == u.Base || !p.canSpare(base, e) || e.FreeMB+placed.MemoryMB < u.MemoryMB {
+			if placed.Base != "" || base == u.Base || !p.canEvict(base, e) || e.FreeMB+placed.MemoryMB < u.MemoryMB {
 				continue
 			}
 			if p.loadAdaptersElsewhere(e, base, u.Name) {
@@ -186,7 +186,7 @@
 	var from, to *EndpointState
 	var moved *UnitSpec
 	for _, e := range p.endpoints {
-		if !p.mayHold(u, e) {
+		if !p.couldHold(u, e) {
 			continue
 		}
 		for _, name := range sortedKeys(e.Units) {
--- a/placement/sending.go
+++ b/placement/sending.go
@@ -15,90 +15,90 @@
 // sendHistory remembers when this process last sent an order for each pair. It
 // outlives the epochs of the process, as its own copies may.
 type sendHistory struct {
-	last map[pair]time.Time
-	// underWay counts the sendings that have not ended, also those of orders
+	lastEndedAt map[pair]time.Time
+	// inFlight counts the sendings that have not ended, also those of orders
 	// that have since been replaced.
-	underWay map[pair]int
-	sending  map[string]sending
-	// endedAt is when the last sending of each epoch ended.
-	endedAt map[int64]time.Time
-	// tookOver is the last takeover: whatever an earlier controller had sent
+	inFlight map[pair]int
+	byOrder  map[string]inFlightSend
+	// epochEndedAt is when the last sending of each epoch ended.
+	epochEndedAt map[int64]time.Time
+	// takenOverAt is the last takeover: whatever an earlier controller had sent
 	// and seen resolved was on its way before then.
-	tookOver time.Time
+	takenOverAt time.Time
 }
 
-// sending is one sending of an order that has not ended.
-type sending struct {
+// inFlightSend is one sending of an order that has not ended.
+type inFlightSend struct {
 	pair  pair
 	epoch int64
 }
 
 func newSendHistory() sendHistory {
 	return sendHistory{
-		last: map[pair]time.Time{}, underWay: map[pair]int{},
-		sending: map[string]sending{}, endedAt: map[int64]time.Time{},
+		lastEndedAt: map[pair]time.Time{}, inFlight: map[pair]int{},
+		byOrder: map[string]inFlightSend{}, epochEndedAt: map[int64]time.Time{},
 	}
 }
 
-func (h *sendHistory) takeover(now time.Time) { h.tookOver = now }
+func (h *sendHistory) recordTakeover(now time.Time) { h.takenOverAt = now }
 
 func (h *sendHistory) begin(epoch int64, order, endpoint, unit string) {
 	p := pair{endpoint, unit}
-	h.sending[order] = sending{pair: p, epoch: epoch}
-	h.underWay[p]++
+	h.byOrder[order] = inFlightSend{pair: p, epoch: epoch}
+	h.inFlight[p]++
 }
 
 func (h *sendHistory) end(now time.Time, order string) {
-	s, known := h.sending[order]
+	s, known := h.byOrder[order]
 	if !known {
 		return
 	}
-	delete(h.sending, order)
-	h.endedAt[s.epoch] = now
+	delete(h.byOrder, order)
+	h.epochEndedAt[s.epoch] = now
 	p := s.pair
-	h.last[p] = now
-	if h.underWay[p]--; h.underWay[p] == 0 {
-		delete(h.underWay, p)
+	h.lastEndedAt[p] = now
+	if h.inFlight[p]--; h.inFlight[p] == 0 {
+		delete(h.inFlight, p)
 	}
 }
 
 // idle tells whether no sending for the pair is under way.
-func (h *sendHistory) idle(endpoint, unit string) bool { return h.underWay[pair{endpoint, unit}] == 0 }
+func (h *sendHistory) idle(endpoint, unit string) bool { return h.inFlight[pair{endpoint, unit}] == 0 }
 
 // settledBefore tells whether nothing sent in an epoch below the given one can
 // still arrive.
 func (h *sendHistory) settledBefore(now time.Time, epoch int64, delay time.Duration) bool {
-	for _, s := range h.sending {
+	for _, s := range h.byOrder {
 		if s.epoch < epoch {
 			return false
 		}
 	}
-	for e, at := range h.endedAt {
+	for e, at := range h.epochEndedAt {
 		if e >= epoch {
 			continue
 		}
 		if now.Sub(at) < delay {
 			return false
 		}
-		delete(h.endedAt, e)
+		delete(h.epochEndedAt, e)
 	}
 	return true
 }
 
-// quiet tells whether every copy of a resolved order for the pair has had time
+// quiescent tells whether every copy of a resolved order for the pair has had time
 // to arrive.
-func (h *sendHistory) quiet(now time.Time, endpoint, unit string, delay time.Duration) bool {
-	if now.Sub(h.tookOver) < delay || !h.idle(endpoint, unit) {
+func (h *sendHistory) quiescent(now time.Time, endpoint, unit string, delay time.Duration) bool {
+	if now.Sub(h.takenOverAt) < delay || !h.idle(endpoint, unit) {
 		return false
 	}
-	last, sent := h.last[pair{endpoint, unit}]
+	last, sent := h.lastEndedAt[pair{endpoint, unit}]
 	return !sent || now.Sub(last) >= delay
 }
 
-// undone tells whether an inventory shows the opposite of what a taken order
+// effectMissing tells whether an inventory shows the opposite of what a taken order
 // leads to. A unit that is still loading, or still finishing requests before
 // it goes, is resident but not ready.
-func (o *openOrder) undone(resident, ready bool) bool {
+func (o *openOrder) effectMissing(resident, ready bool) bool {
 	if o.op == engine.OpLoad {
 		return !resident
 	}
@@ -109,8 +109,8 @@
 type fence struct {
 	inFlight bool
 	endedAt  time.Time
-	// takenAt is when the endpoint answered; zero until then.
-	takenAt time.Time
+	// acceptedAt is when the endpoint answered; zero until then.
+	acceptedAt time.Time
 	// adopted is set once an inventory asked for after takenAt was taken in.
 	adopted bool
 }
@@ -151,10 +151,10 @@
 	if e == nil || e.Units[o.unit] == nil || e.Units[o.unit].Order != id {
 		return false
 	}
-	if o.inFlight || o.taken || !c.known(o.endpoint) {
+	if o.inFlight || o.accepted || !c.recordUsable(o.endpoint) {
 		return false
 	}
-	return !o.sent || now.Sub(o.endedAt) >= c.cfg.ResendEvery
+	return !o.sent || now.Sub(o.endedAt) >= c.cfg.ResendInterval
 }
 
 func (c *Controller) sendFences(now time.Time) []Action {
@@ -168,7 +168,7 @@
 			f = &fence{}
 			c.fences[m.Name] = f
 		}
-		if f.inFlight || !f.takenAt.IsZero() || !f.endedAt.IsZero() && now.Sub(f.endedAt) < c.cfg.ResendEvery {
+		if f.inFlight || !f.acceptedAt.IsZero() || !f.endedAt.IsZero() && now.Sub(f.endedAt) < c.cfg.ResendInterval {
 			continue
 		}
 		f.inFlight = true
@@ -191,9 +191,9 @@
 	}
 	o.inFlight, o.endedAt = false, now
 	if e.Result == SendAccepted {
-		o.taken = true
+		o.accepted = true
 	}
-	return c.refused(e)
+	return c.stopIfRefused(e)
 }
 
 func (c *Controller) fenceEnded(now time.Time, e OrderEnded) []Action {
@@ -204,13 +204,13 @@
 	}
 	f.inFlight, f.endedAt = false, now
 	if e.Result == SendAccepted {
-		f.takenAt = now
+		f.acceptedAt = now
 	}
-	return c.refused(e)
+	return c.stopIfRefused(e)
 }
 
-// refused stops a controller that an endpoint knows to be superseded.
-func (c *Controller) refused(e OrderEnded) []Action {
+// stopIfRefused stops a controller that an endpoint knows to be superseded.
+func (c *Controller) stopIfRefused(e OrderEnded) []Action {
 	if e.Result != SendRefused || c.phase == phaseIdle {
 		return nil
 	}
@@ -218,10 +218,10 @@
 	return []Action{LogEvent{Event: "superseded", Detail: e.Order}}
 }
 
-// known tells whether the record of an endpoint may be acted on: an endpoint
+// recordUsable tells whether the record of an endpoint may be acted on: an endpoint
 // that checks fencing numbers must have been fenced and have given its
 // inventory in this epoch.
-func (c *Controller) known(endpoint string) bool {
+func (c *Controller) recordUsable(endpoint string) bool {
 	e := c.working.Endpoints[endpoint]
 	if e == nil {
 		return false
--- a/placement/settling.go
+++ b/placement/settling.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// settledEvery is the time between looks for the word of earlier holders.
-const settledEvery = 2 * time.Second
+// settledReadInterval is the time between looks for the word of earlier holders.
+const settledReadInterval = 2 * time.Second
 
-// settleEarlier forgets controllers of which nothing can arrive any more. Of
+// settlePredecessors forgets controllers of which nothing can arrive any more. Of
 // one whose instance is gone by the platform's list, that is so once the
 // longest delivery delay has passed since this controller saw that. One that
 // lives has to say so itself, as it may have been paused between deciding to
 // send and sending. What this very process sent in earlier epochs it knows.
-func (c *Controller) settleEarlier(now time.Time) []Action {
-	current := c.noteList()
+func (c *Controller) settlePredecessors(now time.Time) []Action {
+	current := c.recordListVersion()
 	var actions []Action
-	ask := now.Sub(c.settledReadAt) >= settledEvery
+	ask := now.Sub(c.settledReadAt) >= settledReadInterval
 	for _, holder := range c.working.LateHolders() {
 		switch {
 		case holder == c.cfg.Holder:
@@ -24,7 +24,7 @@
 				c.holderSettled(now, HolderSettled{Holder: holder, Epoch: c.epoch - 1})
 			}
 		case current && c.holderGone(holder):
-			c.settleGone(now, holder)
+			c.settleDeadHolder(now, holder)
 		case ask:
 			c.settledReadAt = now
 			actions = append(actions, ReadSettled{Holder: holder})
@@ -33,10 +33,10 @@
 	return actions
 }
 
-func (c *Controller) settleGone(now time.Time, holder string) {
-	since, known := c.goneAt[holder]
+func (c *Controller) settleDeadHolder(now time.Time, holder string) {
+	since, known := c.holderMissingSince[holder]
 	if !known {
-		c.goneAt[holder] = now
+		c.holderMissingSince[holder] = now
 		return
 	}
 	if now.Sub(since) >= c.settings.MaxOrderDelay {
@@ -49,14 +49,14 @@
 		return
 	}
 	gone := func(s Sender) bool { return s.Holder == e.Holder && s.Epoch <= e.Epoch }
-	if c.working.Settled(gone) {
-		c.dirty, c.settledAt = true, now
+	if c.working.RemoveSenders(gone) {
+		c.dirty, c.predecessorSettledAt = true, now
 	}
 }
 
-// settleSelf tells later controllers, once, when nothing that this one sent
+// announceSettled tells later controllers, once, when nothing that this one sent
 // can arrive any more.
-func (c *Controller) settleSelf(now time.Time) []Action {
+func (c *Controller) announceSettled(now time.Time) []Action {
 	if c.epoch == 0 || c.settledEpoch == c.epoch || !c.history.settledBefore(now, c.epoch+1, c.settings.MaxOrderDelay) {
 		return nil
 	}
--- a/placement/simulation_test.go
+++ b/placement/simulation_test.go
@@ -33,7 +33,7 @@
 // lost.
 func (d *device) address() string { return d.name + "/" + d.incarnation }
 
-func (s *sim) deliver(o SendOrder) SendResult {
+func (s *simulation) deliver(o SendOrder) SendResult {
 	d := s.device(o.Endpoint)
 	if d.address() != o.Address {
 		return SendUnknown
@@ -76,8 +76,8 @@
 	return r
 }
 
-// sim is the world that the adversary runs.
-type sim struct {
+// simulation is the world that the adversary runs.
+type simulation struct {
 	draw    func(n int) int
 	mutate  mutation
 	now     time.Time
@@ -117,20 +117,20 @@
 	// queue holds the actions that the process has not carried out yet.
 	queue []Action
 	// answers are inventories on their way back.
-	answers []Event
-	leads   bool
+	answers    []Event
+	holdsLease bool
 	// paused processes do nothing; what they were about to send stays queued.
 	paused bool
 }
 
 // mutation breaks one rule, to show that the judge notices.
 type mutation struct {
-	// orderFirst sends orders that are not committed yet.
-	orderFirst bool
-	// noLateOrders ignores what earlier controllers may still send.
-	noLateOrders bool
-	// trustTime frees memory without waiting for copies to arrive.
-	trustTime bool
+	// sendBeforeCommit sends orders that are not committed yet.
+	sendBeforeCommit bool
+	// ignoreLateOrders ignores what earlier controllers may still send.
+	ignoreLateOrders bool
+	// ignoreOrderDelay frees memory without waiting for copies to arrive.
+	ignoreOrderDelay bool
 	// countReadyOnly does not count units that are being unloaded.
 	countReadyOnly bool
 }
@@ -138,11 +138,11 @@
 const (
 	simDelay   = 10 * time.Second
 	simDevices = 3
-	simTurns   = 400
+	simSteps   = 400
 )
 
-func newSim(draw func(int) int, checks bool, m mutation) *sim {
-	s := &sim{draw: draw, mutate: m, now: time.Unix(1000, 0), listVersion: 1, lost: map[string]bool{}, reached: map[string]bool{}, wanted: map[string]bool{}, settled: map[string]int64{}}
+func newSim(draw func(int) int, checks bool, m mutation) *simulation {
+	s := &simulation{draw: draw, mutate: m, now: time.Unix(1000, 0), listVersion: 1, lost: map[string]bool{}, reached: map[string]bool{}, wanted: map[string]bool{}, settled: map[string]int64{}}
 	for i := range simDevices {
 		s.devices = append(s.devices, &device{name: fmt.Sprintf("e%d", i), incarnation: "0", checks: checks, units: map[string]*deviceUnit{}})
 	}
@@ -157,18 +157,18 @@
 	return s
 }
 
-func (s *sim) holder(n *simNode) string { return fmt.Sprintf("%s/%d", n.name, n.incarnation) }
+func (s *simulation) holder(n *simNode) string { return fmt.Sprintf("%s/%d", n.name, n.incarnation) }
 
-func (s *sim) start(n *simNode) {
+func (s *simulation) start(n *simNode) {
 	cfg := DefaultControllerConfig("c", s.holder(n))
-	n.controller, n.queue, n.answers, n.leads = NewController(cfg), nil, nil, false
+	n.controller, n.queue, n.answers, n.holdsLease = NewController(cfg), nil, nil, false
 	s.step(n, s.configured())
 	s.step(n, s.listed())
 }
 
-func (s *sim) configured() CellSettings {
+func (s *simulation) configured() CellSettings {
 	delay := simDelay
-	if s.mutate.trustTime {
+	if s.mutate.ignoreOrderDelay {
 		delay = 0
 	}
 	c := CellSettings{MaxOrderDelay: delay, CapacityMB: deviceMB, Concurrency: 4, ChecksFencing: s.devices[0].checks, LoadsPerSecond: 100, ConcurrentLoads: 10, Units: []UnitSpec{}}
@@ -180,7 +180,7 @@
 	return c
 }
 
-func (s *sim) listed() MemberList {
+func (s *simulation) listed() MemberList {
 	l := MemberList{Version: s.listVersion, Instances: map[string]string{}}
 	for _, d := range s.devices {
 		l.Endpoints = append(l.Endpoints, Member{Name: d.name, Address: d.address(), FailureDomain: d.name, Incarnation: d.incarnation})
@@ -191,11 +191,11 @@
 	return l
 }
 
-func (s *sim) step(n *simNode, e Event) {
+func (s *simulation) step(n *simNode, e Event) {
 	for _, a := range n.controller.Step(s.now, e) {
 		switch a := a.(type) {
 		case Commit:
-			if s.mutate.orderFirst {
+			if s.mutate.sendBeforeCommit {
 				// The broken variant takes its own intent for committed.
 				n.controller.committed = a.Ledger
 				n.queue = append(n.queue, n.controller.send(s.now)...)
@@ -205,8 +205,8 @@
 			n.queue = append(n.queue, a)
 		}
 	}
-	if s.mutate.noLateOrders && n.controller.working != nil {
-		n.controller.working.Settled(func(Sender) bool { return true })
+	if s.mutate.ignoreLateOrders && n.controller.working != nil {
+		n.controller.working.RemoveSenders(func(Sender) bool { return true })
 	}
 	if s.mutate.countReadyOnly && n.controller.working != nil {
 		for _, e := range n.controller.working.Endpoints {
@@ -219,8 +219,8 @@
 	}
 }
 
-// turn lets the adversary do one thing.
-func (s *sim) turn() {
+// adversaryStep lets the adversary do one thing.
+func (s *simulation) adversaryStep() {
 	n := s.nodes[s.draw(len(s.nodes))]
 	if n.paused {
 		n.paused = s.draw(30) > 0
@@ -231,7 +231,7 @@
 		s.now = s.now.Add(time.Duration(s.draw(400)) * time.Millisecond)
 		s.step(n, Tick{})
 	case 4, 5, 6, 7, 8, 9, 10, 11:
-		s.carryOut(n)
+		s.executeQueued(n)
 	case 12:
 		if len(n.answers) > 0 {
 			answer := n.answers[0]
@@ -272,25 +272,25 @@
 			s.replace(s.devices[s.draw(len(s.devices))])
 		}
 	case 22:
-		if n.leads && s.draw(3) == 0 {
-			s.calm(n, 10+s.draw(40))
+		if n.holdsLease && s.draw(3) == 0 {
+			s.runWithoutFaults(n, 10+s.draw(40))
 		}
 	default:
 		s.step(n, s.listed())
 	}
-	s.judge()
+	s.checkInvariants()
 }
 
-// calm lets a controller work without faults for a while, so that schedules
+// runWithoutFaults lets a controller work without faults for a while, so that schedules
 // reach far.
-func (s *sim) calm(n *simNode, rounds int) {
+func (s *simulation) runWithoutFaults(n *simNode, rounds int) {
 	for range rounds {
 		s.now = s.now.Add(500 * time.Millisecond)
 		s.step(n, s.listed())
 		for len(n.queue) > 0 {
 			a := n.queue[0]
 			n.queue = n.queue[1:]
-			s.faultless(n, a)
+			s.executeWithoutFaults(n, a)
 		}
 		for _, d := range s.devices {
 			for _, u := range d.units {
@@ -301,22 +301,22 @@
 }
 
 // elect gives the lease to n. The node that had it may not know for long.
-func (s *sim) elect(n *simNode) {
+func (s *simulation) elect(n *simNode) {
 	s.epoch++
 	for _, other := range s.nodes {
 		other.paused = other != n && s.draw(2) == 0
-		if other.leads && s.draw(2) == 0 {
+		if other.holdsLease && s.draw(2) == 0 {
 			s.step(other, LeaseLost{})
-			other.leads = false
+			other.holdsLease = false
 		}
 	}
-	n.leads = true
+	n.holdsLease = true
 	s.step(n, LeaseAcquired{Epoch: s.epoch})
 }
 
 // restart kills a process. What it had handed to the network may still arrive;
 // what it was about to send never does.
-func (s *sim) restart(n *simNode) {
+func (s *simulation) restart(n *simNode) {
 	n.incarnation++
 	s.listVersion++
 	s.start(n)
@@ -324,7 +324,7 @@
 
 // replace gives a device a new incarnation: it is empty, and orders to the old
 // one do not reach it.
-func (s *sim) replace(d *device) {
+func (s *simulation) replace(d *device) {
 	for name := range d.units {
 		s.lost[name] = true
 	}
@@ -333,9 +333,9 @@
 	d.incarnation, d.units, d.epoch = fmt.Sprint(s.incarnation), map[string]*deviceUnit{}, 0
 }
 
-// carryOut does one of the things that a process was about to do, in an order
+// executeQueued does one of the things that a process was about to do, in an order
 // that the adversary chooses: a process may be paused in any of them.
-func (s *sim) carryOut(n *simNode) {
+func (s *simulation) executeQueued(n *simNode) {
 	if len(n.queue) == 0 {
 		return
 	}
@@ -349,7 +349,7 @@
 			s.step(n, LedgerRead{Ledger: s.ledger, Version: s.versionText()})
 		}
 	case Commit:
-		s.carryOutCommit(n, a, fate)
+		s.executeCommit(n, a, fate)
 	case RequestInventory:
 		answer := InventoryReply{Endpoint: a.Endpoint, RequestedAt: s.now, Report: s.device(a.Endpoint).report()}
 		switch fate {
@@ -362,13 +362,13 @@
 			s.step(n, answer)
 		}
 	case SendOrder:
-		s.carryOutOrder(n, a, fate)
+		s.executeOrder(n, a, fate)
 	default:
-		s.carryOutOther(n, a)
+		s.executeOther(n, a)
 	}
 }
 
-func (s *sim) carryOutOther(n *simNode, a Action) {
+func (s *simulation) executeOther(n *simNode, a Action) {
 	switch a := a.(type) {
 	case WriteSettled:
 		s.settled[a.Holder] = a.Epoch
@@ -379,14 +379,14 @@
 	}
 }
 
-func (s *sim) versionText() string {
+func (s *simulation) versionText() string {
 	if s.version == 0 {
 		return ""
 	}
 	return fmt.Sprint(s.version)
 }
 
-func (s *sim) write(c Commit) (commit.Result, string) {
+func (s *simulation) write(c Commit) (commit.Result, string) {
 	if c.Version != s.versionText() {
 		return commit.Conflict, ""
 	}
@@ -395,7 +395,7 @@
 	return commit.Done, s.versionText()
 }
 
-func (s *sim) carryOutCommit(n *simNode, c Commit, fate int) {
+func (s *simulation) executeCommit(n *simNode, c Commit, fate int) {
 	switch fate {
 	case 0:
 		s.lateCommits = append(s.lateCommits, c)
@@ -409,7 +409,7 @@
 	}
 }
 
-func (s *sim) carryOutOrder(n *simNode, o SendOrder, fate int) {
+func (s *simulation) executeOrder(n *simNode, o SendOrder, fate int) {
 	switch fate {
 	case 0:
 		s.step(n, OrderEnded{Order: o.Order.ID, Result: SendUnknown})
@@ -429,7 +429,7 @@
 
 // deliverLate lets one late write or order arrive. The network holds an order
 // no longer than simDelay.
-func (s *sim) deliverLate() {
+func (s *simulation) deliverLate() {
 	s.lateOrders = slices.DeleteFunc(s.lateOrders, func(l lateOrder) bool { return s.now.Sub(l.sentAt) >= simDelay })
 	if len(s.lateCommits) > 0 && s.draw(2) == 0 {
 		s.write(s.lateCommits[0])
@@ -445,7 +445,7 @@
 	}
 }
 
-func (s *sim) device(name string) *device {
+func (s *simulation) device(name string) *device {
 	for _, d := range s.devices {
 		if d.name == name {
 			return d
@@ -454,8 +454,8 @@
 	return nil
 }
 
-// judge holds the devices to what must always be true.
-func (s *sim) judge() {
+// checkInvariants holds the devices to what must always be true.
+func (s *simulation) checkInvariants() {
 	reachable := map[string]bool{}
 	for _, d := range s.devices {
 		if d.used() > deviceMB && s.err == nil {
@@ -486,7 +486,7 @@
 
 // onRecord tells whether the stored ledger has a certain replica that is there,
 // and knows of every device that was lost.
-func (s *sim) onRecord(unit string) bool {
+func (s *simulation) onRecord(unit string) bool {
 	if s.ledger == nil || s.ledger.ListVersion < s.listVersion {
 		return false
 	}
@@ -503,7 +503,7 @@
 // unloadDecided tells whether a controller has decided to unload the replica,
 // as it may have while the settings did not name the unit. The decision may be
 // in its working ledger or in a commit that has yet to land.
-func (s *sim) unloadDecided(endpoint, unit string) bool {
+func (s *simulation) unloadDecided(endpoint, unit string) bool {
 	decided := func(l *Ledger) bool {
 		if l == nil {
 			return false
@@ -526,7 +526,7 @@
 
 // settle lets everything that is due happen without faults, and reports
 // whether every unit is reachable then.
-func (s *sim) settle() bool {
+func (s *simulation) settle() bool {
 	leader := s.nodes[0]
 	leader.paused = false
 	for _, u := range s.units {
@@ -542,7 +542,7 @@
 	for _, answer := range leader.answers {
 		s.step(leader, answer)
 	}
-	s.calm(leader, 200)
+	s.runWithoutFaults(leader, 200)
 	for _, u := range leader.controller.settings.Units {
 		if len(leader.controller.committed.Replicas(u.Name)) == 0 {
 			return false
@@ -551,7 +551,7 @@
 	return s.err == nil
 }
 
-func (s *sim) faultless(n *simNode, a Action) {
+func (s *simulation) executeWithoutFaults(n *simNode, a Action) {
 	switch a := a.(type) {
 	case ReadLedger:
 		s.step(n, LedgerRead{Ledger: s.ledger, Version: s.versionText()})
@@ -563,14 +563,14 @@
 	case SendOrder:
 		s.step(n, OrderEnded{Order: a.Order.ID, Result: s.deliver(a)})
 	default:
-		s.carryOutOther(n, a)
+		s.executeOther(n, a)
 	}
-	s.judge()
+	s.checkInvariants()
 }
 
-func (s *sim) run() error {
-	for range simTurns {
-		s.turn()
+func (s *simulation) run() error {
+	for range simSteps {
+		s.adversaryStep()
 		if s.err != nil {
 			return s.err
 		}
