--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -320,7 +320,7 @@
 // neither sent nor received anything. The first plan loads what has no replica and stays
 // within its bound on endpoint visits; later plans do the rest.
 func TestPlanForThousandsIsBounded(t *testing.T) {
-	const endpoints, models, parts = 3000, 196, 3
+	const endpoints, models, phases = 3000, 196, 3
 	c, now := benchController(endpoints, models, 0)
 	c.nextPlanAt = now.Add(time.Hour)
 	for i, e := range c.sortedEndpoints {
@@ -342,7 +342,7 @@
 	before := 0
 	for range 3 {
 		p := c.makePlan(now)
-		require.LessOrEqual(t, p.totalVisits, parts*(maxEndpointVisits+2*endpoints))
+		require.LessOrEqual(t, p.totalVisits, phases*(maxEndpointVisits+2*endpoints))
 		require.NotEmpty(t, p.moves)
 		if len(seen) == 0 {
 			require.Equal(t, "m195", p.moves[0].For, "room for the model without a replica")
@@ -409,8 +409,8 @@
 
 // TestOneRequestIsWorthNoReplica guards against replicas that single requests cause.
 // With 400 endpoints and a few requests per second for each of many models, each request
-// is many times an endpoint's even share of all demand. At 3,920 endpoints 2,127 loads of a quiet day
-// brought replicas that nobody needed.
+// is many times an endpoint's even share of all demand. At 3,920 endpoints 2,127 loads of
+// a quiet day brought replicas that nobody needed.
 func TestOneRequestIsWorthNoReplica(t *testing.T) {
 	const endpoints, models = 400, 40
 	held := map[string][]string{}
--- a/placement/counted/simulation_test.go
+++ b/placement/counted/simulation_test.go
@@ -107,9 +107,9 @@
 	return w.cfg.Units[i]
 }
 
-func (w *world) after(least, most time.Duration, open func()) {
+func (w *world) after(least, most time.Duration, arrive func()) {
 	d := least + time.Duration(w.rnd.Int64N(int64(most-least)+1))
-	w.inTransit = append(w.inTransit, message{at: w.now.Add(d), arrive: open})
+	w.inTransit = append(w.inTransit, message{at: w.now.Add(d), arrive: arrive})
 }
 
 // deliver delivers the messages that are due in the order of their time.
