--- a/lease/era_test.go
+++ b/lease/era_test.go
@@ -11,44 +11,44 @@
 	"github.com/eiderspring/eiderspring/commit"
 )
 
-// copiedStore is an object API with one lease object that comes back from copies of itself.
-// Its versions are numbers that are given out again.
-type copiedStore struct {
+// restoredStore is an object API with one lease object that is restored from copies of itself.
+// Its versions are numbers that are assigned again after a restore.
+type restoredStore struct {
 	era     int64
 	version int
 	record  Record
-	copy    *copiedStore
+	copy    *restoredStore
 }
 
-// eraWorld is several machines before such a store. They share a clock; their calls take
-// effect, and are answered, at any later time.
+// eraWorld simulates several machines that use such a store. They share a clock; their calls
+// take effect, and are answered, after any delay.
 type eraWorld struct {
 	random *rand.Rand
 	now    time.Time
-	store  copiedStore
+	store  restoredStore
 	nodes  []*eraNode
-	// epochs is who has acquired each epoch.
+	// epochs holds the node that acquired each epoch.
 	epochs map[int64]int
-	// blind machines are told no era, and compare versions across eras.
-	blind bool
+	// ignoresEras keeps eras from the machines, so that they compare versions across eras.
+	ignoresEras bool
 }
 
 type eraNode struct {
 	machine *Machine
 	era     int64
 	calls   []*eraCall
-	// handsOver is set from a write that hands the lease over.
-	handsOver bool
+	// releasing is set from the write that releases the lease on.
+	releasing bool
 }
 
-// eraCall is a call under way: first it takes effect, later its answer comes.
+// eraCall is a call in flight: it first takes effect, and is answered later.
 type eraCall struct {
 	action Action
-	// readIn is the era in which the condition of a write was read.
-	readIn int64
-	done   bool
-	era    int64
-	event  Event
+	// readIn is the era in which the version that conditions a write was read.
+	readIn  int64
+	applied bool
+	era     int64
+	event   Event
 }
 
 func newEraWorld(seed uint64) *eraWorld {
@@ -69,31 +69,31 @@
 				return fmt.Errorf("epoch %d acquired by nodes %d and %d", a.Epoch, owner, i)
 			}
 			w.epochs[a.Epoch] = i
-			n.handsOver = false
+			n.releasing = false
 		case Read, Write:
 			if write, ok := a.(Write); ok && write.Record.Holder == "" {
-				n.handsOver = true
+				n.releasing = true
 			}
 			n.calls = append(n.calls, &eraCall{action: a, readIn: n.era})
 		}
 	}
-	return w.oneHolds()
+	return w.checkSingleHolder()
 }
 
-// oneHolds tells whether two machines hold the lease now, or one that holds it has an epoch
-// below another's: endpoints obey it no more.
-func (w *eraWorld) oneHolds() error {
+// checkSingleHolder returns an error if two machines hold the lease now, or if one holds it
+// with an epoch below that of another, as endpoints then ignore it.
+func (w *eraWorld) checkSingleHolder() error {
 	holder := -1
 	for i, n := range w.nodes {
 		epoch, held := n.machine.Held(w.now)
-		if !held || n.handsOver {
-			// Who hands over may hold the lease until the answer comes: whoever takes it from
-			// there waits with its first order.
+		if !held || n.releasing {
+			// A releasing holder may hold the lease until the answer arrives: the next holder
+			// delays its first order.
 			continue
 		}
 		for other, owner := range w.epochs {
 			if owner != i && other > epoch {
-				return fmt.Errorf("node %d holds epoch %d behind %d", i, epoch, other)
+				return fmt.Errorf("node %d holds epoch %d while %d is taken", i, epoch, other)
 			}
 		}
 		if holder >= 0 {
@@ -104,10 +104,10 @@
 	return nil
 }
 
-// effect lets a call take effect at the store.
-func (w *eraWorld) effect(c *eraCall) {
+// takeEffect applies a call to the store.
+func (w *eraWorld) takeEffect(c *eraCall) {
 	s := &w.store
-	c.done, c.era = true, s.era
+	c.applied, c.era = true, s.era
 	write, isWrite := c.action.(Write)
 	switch {
 	case !isWrite && s.version == 0:
@@ -120,8 +120,8 @@
 		s.version++
 		s.record = write.Record
 		c.event = Wrote{Result: commit.Done, Version: w.versionOf(s.version), Revision: int64(s.version)}
-		if !w.blind && write.Version != "" && c.readIn != s.era {
-			// The client sees that it met another era than its condition.
+		if !w.ignoresEras && write.Version != "" && c.readIn != s.era {
+			// The client detects that the write reached another era than its condition.
 			c.event = Wrote{Result: commit.Unknown}
 		}
 	}
@@ -129,25 +129,25 @@
 
 func (w *eraWorld) versionOf(version int) string { return w.asRead(w.store.era, version) }
 
-// asRead is a version as it was told in an era. The store itself compares the number alone.
+// asRead returns a version as reported in an era. The store itself compares only the number.
 func (w *eraWorld) asRead(era int64, version int) string {
-	if w.blind {
+	if w.ignoresEras {
 		era = 0
 	}
 	return fmt.Sprintf("%d/%d", era, version)
 }
 
-// answer delivers what became of a call.
+// answer delivers the outcome of a call.
 func (w *eraWorld) answer(i int, c *eraCall) error {
 	n := w.nodes[i]
-	if w.random.IntN(6) == 0 || !w.blind && c.era < n.era {
-		// Lost, or of an earlier era than is known.
+	if w.random.IntN(6) == 0 || !w.ignoresEras && c.era < n.era {
+		// The answer is lost, or of an earlier era than the known one.
 		c.event = Tick{}
 		if _, wrote := c.action.(Write); wrote {
 			c.event = Wrote{Result: commit.Unknown}
 		}
 	}
-	if !w.blind && c.era > n.era {
+	if !w.ignoresEras && c.era > n.era {
 		n.era = c.era
 		if err := w.step(i, EraChanged{Era: c.era}); err != nil {
 			return err
@@ -156,8 +156,8 @@
 	return w.step(i, c.event)
 }
 
-// turn does one thing that may happen.
-func (w *eraWorld) turn() error {
+// randomStep makes one random change.
+func (w *eraWorld) randomStep() error {
 	i := w.random.IntN(len(w.nodes))
 	n := w.nodes[i]
 	switch w.random.IntN(10) {
@@ -166,13 +166,13 @@
 		return w.step(i, Campaign{Want: w.random.IntN(8) > 0})
 	case 3, 4, 5:
 		for _, c := range n.calls {
-			if !c.done {
-				w.effect(c)
+			if !c.applied {
+				w.takeEffect(c)
 				break
 			}
 		}
 	case 6, 7, 8:
-		if len(n.calls) > 0 && n.calls[0].done {
+		if len(n.calls) > 0 && n.calls[0].applied {
 			c := n.calls[0]
 			n.calls = n.calls[1:]
 			return w.answer(i, c)
@@ -194,15 +194,15 @@
 
 func (w *eraWorld) run(steps int) error {
 	for range steps {
-		if err := w.turn(); err != nil {
+		if err := w.randomStep(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// TestOneHoldsAcrossEras lets the store come back from copies at any moment, between any two
-// of the machines' calls.
+// TestOneHoldsAcrossEras restores the store from copies at any moment, between any two calls of
+// the machines.
 func TestOneHoldsAcrossEras(t *testing.T) {
 	acquired := 0
 	for seed := range uint64(3000) {
@@ -213,14 +213,14 @@
 	require.Greater(t, acquired, 3000, "the lease is taken")
 }
 
-// TestMachinesThatHearOfNoEraAreCaught shows that the judge above can fail.
-func TestMachinesThatHearOfNoEraAreCaught(t *testing.T) {
+// TestIgnoredErasAreDetected shows that the check of TestOneHoldsAcrossEras can fail.
+func TestIgnoredErasAreDetected(t *testing.T) {
 	for seed := range uint64(3000) {
 		w := newEraWorld(seed)
-		w.blind = true
+		w.ignoresEras = true
 		if w.run(400) != nil {
 			return
 		}
 	}
-	t.Fatal("no schedule catches it")
+	t.Fatal("no schedule detects it")
 }
--- a/lease/machine.go
+++ b/lease/machine.go
@@ -6,22 +6,24 @@
 	"github.com/eiderspring/eiderspring/commit"
 )
 
-// Machine is one instance's part in a lease.
+// Machine runs the lease protocol for one instance.
 //
-// Invariants: held implies that now is before validUntil at the last Step;
-// epochs that Acquired reports strictly grow.
+// Invariants: if held is set, the time of the last Step was before validUntil; the epochs that
+// Acquired reports strictly grow.
 type Machine struct {
-	cfg  Config
-	want bool
-	// look is set while the record is to be known.
-	look bool
+	cfg         Config
+	campaigning bool
+	// observing is set while the record must be kept up to date.
+	observing bool
 
-	// known is the newest record seen, at version and revision, last changed at changedAt.
-	known     Record
+	// record is the newest record read or written, stored with version and revision, and
+	// changedAt is when it was last seen to change. exists reports whether the store has a
+	// record, known whether that has been read at all.
+	record    Record
 	version   string
 	revision  int64
 	exists    bool
-	seen      bool
+	known     bool
 	changedAt time.Time
 
 	held       bool
@@ -29,69 +31,69 @@
 	validUntil time.Time
 	renewAt    time.Time
 
-	// lapsed tells that the last acquisition took a lease that had an owner.
-	lapsed bool
+	// expired reports that the last acquisition took over a lease that still had a holder.
+	expired bool
 
-	// writing is the write under way, sent at sentAt.
-	writing *Write
-	sentAt  time.Time
-	// abandoned is set for a write under way that was made for an earlier era.
-	abandoned bool
-	// doubtful is set after a write of unknown fate: only what is read next
-	// tells what is stored. doubtSince is when the first such write was sent;
-	// what is read may be its effect and no later one's.
-	doubtful   bool
-	doubtSince time.Time
-	// lateWrite is set while a write of unknown fate may still land.
+	// inFlight is the write in flight, sent at sentAt.
+	inFlight *Write
+	sentAt   time.Time
+	// inFlightStale is set if the write in flight was issued for an earlier era.
+	inFlightStale bool
+	// uncertain is set after a write whose outcome is unknown: only the next read shows what is
+	// stored. uncertainSince is when the first such write was sent; what is read may be the
+	// effect of that write and of no later one.
+	uncertain      bool
+	uncertainSince time.Time
+	// lateWrite is set while a write whose outcome is unknown may still take effect.
 	lateWrite bool
 	readAt    time.Time
 
-	// era is that of the store. Until settledAt another instance may hold the lease by what
-	// the store acknowledged in the era before.
-	era       int64
-	settledAt time.Time
+	// era is the era of the store. Before availableFrom, another instance may still hold the
+	// lease by a write that the store acknowledged in the previous era.
+	era           int64
+	availableFrom time.Time
 }
 
-// readEvery is the time between reads while the record is not known. A
-// challenger that knows it reads as often as the holder renews.
-const readEvery = 500 * time.Millisecond
+// readInterval is the time between reads while the record is not known. A challenger that knows
+// the record reads as often as the holder renews.
+const readInterval = 500 * time.Millisecond
 
 // NewMachine returns a machine that does not campaign.
 func NewMachine(cfg Config) *Machine { return &Machine{cfg: cfg} }
 
-// Held tells whether the lease is held at now, and with which epoch.
+// Held reports whether the lease is held at now, and with which epoch.
 func (m *Machine) Held(now time.Time) (epoch int64, held bool) {
 	return m.epoch, m.held && now.Before(m.validUntil)
 }
 
-// Known returns the newest record seen.
-func (m *Machine) Known() Record { return m.known }
+// Known returns the newest record read or written.
+func (m *Machine) Known() Record { return m.record }
 
 // Step applies an event and returns what to do.
 func (m *Machine) Step(now time.Time, e Event) []Action {
 	var actions []Action
 	switch e := e.(type) {
 	case Campaign:
-		m.want, m.look = e.Want, e.Want || e.Observe
+		m.campaigning, m.observing = e.Want, e.Want || e.Observe
 	case Seen:
 		actions = m.observe(now, e)
 	case Missing:
-		m.exists, m.seen = false, true
-		m.lateWrite = m.lateWrite || m.doubtful
-		m.doubtful = false
+		m.exists, m.known = false, true
+		m.lateWrite = m.lateWrite || m.uncertain
+		m.uncertain = false
 	case Wrote:
 		actions = m.wrote(now, e)
 	case EraChanged:
-		actions = m.eraIs(now, e.Era)
+		actions = m.changeEra(now, e.Era)
 	}
-	actions = append(actions, m.lapse(now)...)
-	return append(actions, m.act(now)...)
+	actions = append(actions, m.expire(now)...)
+	return append(actions, m.nextAction(now)...)
 }
 
-// eraIs notes the store's era. In a new one nothing holds that the store acknowledged
-// before: the lease is lost, and taken again only when whoever holds it by what was
-// acknowledged then can hold it no more.
-func (m *Machine) eraIs(now time.Time, era int64) []Action {
+// changeEra records the store's era. Nothing that the store acknowledged in an earlier era
+// counts in a new one: the lease is lost, and may only be acquired again once a holder by such
+// a write can no longer hold it.
+func (m *Machine) changeEra(now time.Time, era int64) []Action {
 	if era <= m.era {
 		return nil
 	}
@@ -99,110 +101,110 @@
 	if era <= firstEra {
 		return nil
 	}
-	m.settledAt = now.Add(m.cfg.Duration + m.cfg.ClockDrift)
-	m.exists, m.seen, m.doubtful, m.lateWrite, m.revision = false, false, false, false, 0
+	m.availableFrom = now.Add(m.cfg.Duration + m.cfg.ClockDrift)
+	m.exists, m.known, m.uncertain, m.lateWrite, m.revision = false, false, false, false, 0
 	m.readAt = time.Time{}
-	if m.writing != nil {
-		// Whichever era it meets, it shows as what is read.
-		m.abandoned = true
+	if m.inFlight != nil {
+		// The next read shows its effect, whichever era it reached.
+		m.inFlightStale = true
 	}
-	return m.lose()
+	return m.loseLease()
 }
 
-// firstEra is that of a store which has never come back from a copy.
+// firstEra is the era of a store that has never been restored from a copy.
 const firstEra = 1
 
-// eraEpochs is how many epochs an era has: those of a later one are above all that endpoints
-// have seen in earlier ones, also where the copy shows a lower one.
-const eraEpochs = 1 << 32
+// epochsPerEra is the number of epochs in an era. All epochs of an era are above those that
+// endpoints have seen in earlier eras, even if the restored copy holds a lower epoch.
+const epochsPerEra = 1 << 32
 
-// nextEpoch is the epoch of the next acquisition. Behind the first era it also grows with the
-// record's revision: a write of an earlier era may land late, where its revision is given
-// out again, and set the epoch back.
+// nextEpoch returns the epoch of the next acquisition. After the first era it also grows with
+// the record's revision: a late write of an earlier era may take effect at a revision that is
+// assigned a second time, and set the epoch back.
 func (m *Machine) nextEpoch() int64 {
 	if m.era <= firstEra {
-		return m.known.Epoch + 1
+		return m.record.Epoch + 1
 	}
-	return max(m.known.Epoch, m.eraBase()+m.revision) + 1
+	return max(m.record.Epoch, m.eraBase()+m.revision) + 1
 }
 
-// eraBase is below all epochs of the era, and not below those of the eras before: a record of
-// our own with one of these is a write of an earlier era that has landed late.
-func (m *Machine) eraBase() int64 { return max(m.era-firstEra, 0) * eraEpochs }
+// eraBase is below all epochs of the era, and not below those of earlier eras: a record with
+// this instance as holder and an epoch up to eraBase is a late write of an earlier era.
+func (m *Machine) eraBase() int64 { return max(m.era-firstEra, 0) * epochsPerEra }
 
-// observe takes a record that was read. A record that changed restarts the
-// wait of a challenger. After a write of unknown fate it tells whether the
-// write took effect, and the validity counts from when the write was sent.
+// observe applies a record that was read. A changed record restarts the wait of a challenger.
+// After a write whose outcome is unknown, the record shows whether the write took effect; the
+// validity then counts from when that write was sent.
 func (m *Machine) observe(now time.Time, s Seen) []Action {
-	changed := !m.seen || !m.exists || s.Version != m.version
+	changed := !m.known || !m.exists || s.Version != m.version
 	if changed {
 		m.changedAt = now
 		defer func() { m.lateWrite = false }()
 	}
-	m.known, m.version, m.revision, m.exists, m.seen, m.readAt = s.Record, s.Version, s.Revision, true, true, now
-	if m.writing != nil {
+	m.record, m.version, m.revision, m.exists, m.known, m.readAt = s.Record, s.Version, s.Revision, true, true, now
+	if m.inFlight != nil {
 		return nil
 	}
-	wasDoubtful := m.doubtful
-	m.doubtful = false
-	if !changed && wasDoubtful {
-		// The write may still be on its way. What is written next is
-		// conditional on the same version, so at most one of the two lands.
+	wasUncertain := m.uncertain
+	m.uncertain = false
+	if !changed && wasUncertain {
+		// The write may still take effect. The next write is conditional on the same version,
+		// so at most one of the two succeeds.
 		m.lateWrite = true
 	}
 	mine := s.Record.Holder == m.cfg.Holder
 	switch {
 	case m.held && (!mine || s.Record.Epoch != m.epoch):
-		return m.lose()
-	case mine && wasDoubtful && changed && s.Record.Epoch > m.eraBase():
-		return m.hold(s.Record.Epoch, m.doubtSince)
+		return m.loseLease()
+	case mine && wasUncertain && changed && s.Record.Epoch > m.eraBase():
+		return m.acquire(s.Record.Epoch, m.uncertainSince)
 	default:
 		return nil
 	}
 }
 
 func (m *Machine) wrote(now time.Time, w Wrote) []Action {
-	sent := m.writing
-	m.writing = nil
+	sent := m.inFlight
+	m.inFlight = nil
 	if sent == nil {
 		return nil
 	}
-	if m.abandoned {
-		m.abandoned = false
+	if m.inFlightStale {
+		m.inFlightStale = false
 		return nil
 	}
 	switch w.Result {
 	case commit.Done:
-		m.known, m.version, m.revision, m.exists, m.seen, m.changedAt = sent.Record, w.Version, w.Revision, true, true, now
-		m.doubtful, m.lateWrite = false, false
+		m.record, m.version, m.revision, m.exists, m.known, m.changedAt = sent.Record, w.Version, w.Revision, true, true, now
+		m.uncertain, m.lateWrite = false, false
 		if sent.Record.Holder == "" {
-			return m.lose()
+			return m.loseLease()
 		}
-		return m.hold(sent.Record.Epoch, m.sentAt)
+		return m.acquire(sent.Record.Epoch, m.sentAt)
 	default:
-		// A conflict may be with an earlier write of our own that was late, so
-		// it too is settled by reading; until then the old validity counts.
+		// A conflict may be caused by a late write of this instance itself, so it too is
+		// resolved by reading; until then the previous validity stands.
 		if !m.lateWrite {
-			m.doubtSince = m.sentAt
+			m.uncertainSince = m.sentAt
 		}
-		m.doubtful = true
+		m.uncertain = true
 		return nil
 	}
 }
 
-// hold notes that a write sent at sentAt made this instance the holder.
-func (m *Machine) hold(epoch int64, sentAt time.Time) []Action {
-	was := m.held && m.epoch == epoch
+// acquire records that a write sent at sentAt made this instance the holder.
+func (m *Machine) acquire(epoch int64, sentAt time.Time) []Action {
+	alreadyHeld := m.held && m.epoch == epoch
 	m.held, m.epoch = true, epoch
 	m.validUntil = sentAt.Add(m.cfg.Duration - m.cfg.ClockDrift)
 	m.renewAt = sentAt.Add(m.cfg.RenewEvery)
-	if was {
+	if alreadyHeld {
 		return nil
 	}
-	return []Action{Acquired{Epoch: epoch, Expired: m.lapsed}}
+	return []Action{Acquired{Epoch: epoch, Expired: m.expired}}
 }
 
-func (m *Machine) lose() []Action {
+func (m *Machine) loseLease() []Action {
 	if !m.held {
 		return nil
 	}
@@ -210,43 +212,43 @@
 	return []Action{Lost{Epoch: m.epoch}}
 }
 
-func (m *Machine) lapse(now time.Time) []Action {
+func (m *Machine) expire(now time.Time) []Action {
 	if m.held && !now.Before(m.validUntil) {
-		return m.lose()
+		return m.loseLease()
 	}
 	return nil
 }
 
-// act starts the next read or write, if one is due.
-func (m *Machine) act(now time.Time) []Action {
+// nextAction returns the next read or write, if one is due.
+func (m *Machine) nextAction(now time.Time) []Action {
 	switch {
-	case m.writing != nil:
+	case m.inFlight != nil:
 		return nil
-	case !m.seen && !m.look:
-		// What it read now would be old when it wants the lease.
+	case !m.known && !m.observing:
+		// The record would be out of date by the time the instance campaigns.
 		return nil
-	case !m.seen || m.doubtful:
-		return m.read(now, readEvery)
-	case m.held && !m.want:
-		return m.write(now, Record{Epoch: m.epoch, Renewals: m.known.Renewals + 1})
+	case !m.known || m.uncertain:
+		return m.read(now, readInterval)
+	case m.held && !m.campaigning:
+		return m.write(now, Record{Epoch: m.epoch, Renewals: m.record.Renewals + 1})
 	case m.held && !now.Before(m.renewAt):
-		return m.write(now, Record{Holder: m.cfg.Holder, Epoch: m.epoch, Renewals: m.known.Renewals + 1})
-	case m.want && !m.held && m.free(now) && now.Sub(m.readAt) < m.cfg.RenewEvery:
-		m.lapsed = m.exists && m.known.Holder != ""
+		return m.write(now, Record{Holder: m.cfg.Holder, Epoch: m.epoch, Renewals: m.record.Renewals + 1})
+	case m.campaigning && !m.held && m.available(now) && now.Sub(m.readAt) < m.cfg.RenewEvery:
+		m.expired = m.exists && m.record.Holder != ""
 		return m.write(now, Record{Holder: m.cfg.Holder, Epoch: m.nextEpoch()})
-	case m.want && !m.held:
+	case m.campaigning && !m.held:
 		return m.read(now, m.cfg.RenewEvery)
 	default:
 		return nil
 	}
 }
 
-// free tells whether the lease may be taken.
-func (m *Machine) free(now time.Time) bool {
-	if now.Before(m.settledAt) {
+// available reports whether the lease may be acquired.
+func (m *Machine) available(now time.Time) bool {
+	if now.Before(m.availableFrom) {
 		return false
 	}
-	if !m.exists || m.known.Holder == "" {
+	if !m.exists || m.record.Holder == "" {
 		return true
 	}
 	return now.Sub(m.changedAt) >= m.cfg.Duration+m.cfg.ClockDrift
@@ -265,6 +267,6 @@
 	if m.exists {
 		w.Version = m.version
 	}
-	m.writing, m.sentAt = &w, now
+	m.inFlight, m.sentAt = &w, now
 	return []Action{w}
 }
--- a/lease/machine_test.go
+++ b/lease/machine_test.go
@@ -13,11 +13,11 @@
 	_ "github.com/eiderspring/eiderspring/internal/seeded"
 )
 
-// simStore is the object API with one lease object, as an adversary runs it.
+// simStore is an object API with one lease object, controlled by the simulated adversary.
 type simStore struct {
 	record  Record
 	version int
-	// late are writes that were given up on but have not taken effect yet.
+	// late are writes that the client gave up on and that have not taken effect yet.
 	late []Write
 }
 
@@ -37,7 +37,7 @@
 // anyVersion makes a write unconditional, for broken variants.
 const anyVersion = "any"
 
-// simNode is an instance whose calls to the store the adversary delays.
+// simNode is an instance whose store calls are delayed by the adversary.
 type simNode struct {
 	machine *Machine
 	clock   time.Time
@@ -45,15 +45,15 @@
 	pending []Action
 }
 
-// simulation is a schedule of pauses, delays, lost answers and late writes.
+// simulation is a random schedule of pauses, delays, lost answers and late writes.
 type simulation struct {
-	draw   func(n int) int
-	mutate func(Write) Write
-	store  simStore
-	nodes  []*simNode
-	// owner is the node that acquired each epoch.
-	owner map[int64]int
-	fault error
+	draw        func(n int) int
+	mutateWrite func(Write) Write
+	store       simStore
+	nodes       []*simNode
+	// owner holds the node that acquired each epoch.
+	owner     map[int64]int
+	violation error
 }
 
 const (
@@ -64,16 +64,16 @@
 // simulate returns the first violation: an epoch acquired twice, or one that
 // is not above all before it. An endpoint that checks fencing numbers then
 // obeys one holder only, whatever the pauses between check and order.
-func simulate(draw func(n int) int, mutate func(Write) Write) error {
-	s := &simulation{draw: draw, mutate: mutate, owner: map[int64]int{}}
+func simulate(draw func(n int) int, mutateWrite func(Write) Write) error {
+	s := &simulation{draw: draw, mutateWrite: mutateWrite, owner: map[int64]int{}}
 	for i := range simNodes {
 		s.nodes = append(s.nodes, &simNode{machine: NewMachine(NewConfig(fmt.Sprintf("node-%d", i))), clock: time.Unix(1000, 0)})
 		s.step(i, Campaign{Want: true})
 	}
 	for range simSteps {
-		s.turn()
+		s.randomStep()
 	}
-	return s.fault
+	return s.violation
 }
 
 func (s *simulation) step(i int, e Event) {
@@ -82,18 +82,18 @@
 		switch a := a.(type) {
 		case Acquired:
 			if owner, taken := s.owner[a.Epoch]; taken && owner != i {
-				s.fault = fmt.Errorf("epoch %d acquired by nodes %d and %d", a.Epoch, owner, i)
+				s.violation = fmt.Errorf("epoch %d acquired by nodes %d and %d", a.Epoch, owner, i)
 			}
 			s.owner[a.Epoch] = i
 		case Read:
 			n.pending = append(n.pending, a)
 		case Write:
-			n.pending = append(n.pending, s.mutate(a))
+			n.pending = append(n.pending, s.mutateWrite(a))
 		}
 	}
 }
 
-func (s *simulation) turn() {
+func (s *simulation) randomStep() {
 	i := s.draw(len(s.nodes))
 	n := s.nodes[i]
 	switch s.draw(8) {
@@ -141,24 +141,24 @@
 	}
 }
 
-func asDesigned(w Write) Write { return w }
+func unmodified(w Write) Write { return w }
 
 func TestEpochsAreAcquiredOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }
-		require.NoError(t, simulate(draw, asDesigned))
+		require.NoError(t, simulate(draw, unmodified))
 	})
 }
 
 func TestEpochsAreAcquiredOnceInManySchedules(t *testing.T) {
 	for seed := range uint64(5000) {
-		require.NoError(t, simulate(rand.New(rand.NewPCG(seed, 0)).IntN, asDesigned), "seed %d", seed)
+		require.NoError(t, simulate(rand.New(rand.NewPCG(seed, 0)).IntN, unmodified), "seed %d", seed)
 	}
 }
 
-// TestBrokenVariantsAreCaught shows that the judge above can fail.
-func TestBrokenVariantsAreCaught(t *testing.T) {
-	for name, mutate := range map[string]func(Write) Write{
+// TestBrokenVariantsAreDetected shows that simulate detects broken variants.
+func TestBrokenVariantsAreDetected(t *testing.T) {
+	for name, mutateWrite := range map[string]func(Write) Write{
 		"epoch does not grow": func(w Write) Write {
 			w.Record.Epoch = 1
 			return w
@@ -170,11 +170,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(5000) {
-				if simulate(rand.New(rand.NewPCG(seed, 0)).IntN, mutate) != nil {
+				if simulate(rand.New(rand.NewPCG(seed, 0)).IntN, mutateWrite) != nil {
 					return
 				}
 			}
-			t.Fatal("no schedule catches this variant")
+			t.Fatal("no schedule detects this variant")
 		})
 	}
 }
@@ -191,7 +191,7 @@
 	b.Step(now, Campaign{Want: true})
 	require.Empty(t, b.Step(now, Seen{Record: first.Record, Version: "1"}))
 	almost := now.Add(DefaultDuration)
-	require.Equal(t, []Action{Read{}}, b.Step(almost, Tick{}), "the challenger waits for the drift too")
+	require.Equal(t, []Action{Read{}}, b.Step(almost, Tick{}), "the challenger also waits for the clock drift")
 	_, held := a.Held(almost)
 	require.False(t, held, "the holder's own lease ends first")
 	takeover := b.Step(now.Add(DefaultDuration+DefaultClockDrift), Tick{})
@@ -216,7 +216,7 @@
 	require.False(t, held)
 }
 
-func TestHandOverFreesTheLeaseAtOnce(t *testing.T) {
+func TestReleaseFreesTheLeaseAtOnce(t *testing.T) {
 	now := time.Unix(0, 0)
 	a := NewMachine(NewConfig("a"))
 	a.Step(now, Campaign{Want: true})
@@ -231,9 +231,9 @@
 		b.Step(now, Seen{Record: release[0].(Write).Record, Version: "2"}))
 }
 
-// TestLookCountsTowardsTheWait follows a lease that its holder has left before it is wanted:
-// once it is, it is taken as soon as it has not been renewed for its duration, and not before.
-func TestLookCountsTowardsTheWait(t *testing.T) {
+// TestObservationCountsTowardsTheWait observes a lease whose holder is gone before campaigning:
+// the lease is acquired as soon as it has not been renewed for its duration, and not before.
+func TestObservationCountsTowardsTheWait(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cfg := Config{Holder: "b", Duration: 1800 * time.Millisecond, RenewEvery: 500 * time.Millisecond, ClockDrift: 200 * time.Millisecond}
 	m := NewMachine(cfg)
@@ -241,14 +241,14 @@
 	seen := Seen{Record: Record{Holder: "a", Epoch: 4}, Version: "7", Revision: 7}
 	require.Empty(t, m.Step(now, seen))
 	now = now.Add(1900 * time.Millisecond)
-	require.Empty(t, m.Step(now, Campaign{Observe: true}), "one read is enough")
+	require.Empty(t, m.Step(now, Campaign{Observe: true}), "a known record is not read again")
 	require.Equal(t, []Action{Read{}}, m.Step(now, Campaign{Want: true}))
 	require.Empty(t, m.Step(now, seen), "not for its whole duration yet")
 	now = now.Add(100 * time.Millisecond)
 	actions := m.Step(now, Campaign{Want: true})
 	require.Equal(t, []Action{Write{Record: Record{Holder: "b", Epoch: 5}, Version: "7"}}, actions)
-	looking := NewMachine(cfg)
-	looking.Step(now, Campaign{Observe: true})
-	looking.Step(now, Missing{})
-	require.Empty(t, looking.Step(now, Campaign{Observe: true}), "who only looks takes nothing")
+	observer := NewMachine(cfg)
+	observer.Step(now, Campaign{Observe: true})
+	observer.Step(now, Missing{})
+	require.Empty(t, observer.Step(now, Campaign{Observe: true}), "an observer does not acquire the lease")
 }
--- a/lease/record.go
+++ b/lease/record.go
@@ -6,26 +6,26 @@
 	"github.com/eiderspring/eiderspring/commit"
 )
 
-// Record is what is stored of a lease.
+// Record is the stored state of a lease.
 type Record struct {
-	// Holder is the instance and its incarnation; empty means released.
+	// Holder is the instance and its incarnation; empty means that the lease is released.
 	Holder string `json:"holder"`
 	// Epoch is the fencing number. It grows with every acquisition.
 	Epoch int64 `json:"epoch"`
-	// Renewals makes every renewal a change.
+	// Renewals counts renewals, so that each one changes the record.
 	Renewals int64 `json:"renewals"`
 }
 
 // Config sets up a Machine.
 type Config struct {
-	// Holder names this instance and its incarnation.
+	// Holder identifies this instance and its incarnation.
 	Holder string
 	// Duration is how long the lease lasts without a renewal.
 	Duration time.Duration
 	// RenewEvery is the time between renewals.
 	RenewEvery time.Duration
-	// ClockDrift is what a challenger waits longer, and a holder stops earlier, for
-	// clocks that do not run at the same rate.
+	// ClockDrift is the extra time that a challenger waits, and that a holder stops earlier, to
+	// allow for clocks that run at different rates.
 	ClockDrift time.Duration
 }
 
@@ -44,7 +44,7 @@
 // Event is an input of a Machine.
 type Event interface{ isEvent() }
 
-// Seen is the record as read or watched, with its resource version.
+// Seen reports the record as read or watched, with its resource version.
 type Seen struct {
 	Record  Record
 	Version string
@@ -53,10 +53,10 @@
 	Revision int64
 }
 
-// Missing says that there is no record.
+// Missing reports that there is no record.
 type Missing struct{}
 
-// Wrote is the end of a Write.
+// Wrote reports the outcome of a Write.
 type Wrote struct {
 	Result commit.Result
 	// Version is the new resource version if the write took effect, Revision as in Seen.
@@ -64,19 +64,20 @@
 	Revision int64
 }
 
-// EraChanged tells the era of the store, before what is read or written in it. Each begins when
-// the store comes back from a copy some seconds old: what it acknowledged since is gone.
+// EraChanged reports the era of the store, before any read or write made in it. An era begins
+// when the store is restored from a copy that is some seconds old: writes that it acknowledged
+// after the copy was made are lost.
 type EraChanged struct{ Era int64 }
 
-// Tick lets time pass.
+// Tick reports only that time has passed.
 type Tick struct{}
 
-// Campaign turns the wish to hold the lease on or off. Turning it off while
-// holding releases the lease.
+// Campaign starts or stops the campaign for the lease. Stopping while holding the lease
+// releases it.
 type Campaign struct {
 	Want bool
-	// Observe asks to follow the lease without the wish to hold it, for one who is about to want
-	// it: how long it has not been renewed counts from when it was first read.
+	// Observe follows the lease without campaigning, for an instance that is about to campaign:
+	// the time without a renewal then counts from the first read.
 	Observe bool
 }
 
@@ -90,24 +91,24 @@
 // Action is an output of a Machine.
 type Action interface{ isAction() }
 
-// Read asks for the record.
+// Read requests the record.
 type Read struct{}
 
-// Write asks for a conditional write; an empty Version means a create.
+// Write requests a conditional write; an empty Version means a create.
 type Write struct {
 	Record  Record
 	Version string
 }
 
-// Acquired says that the lease is held with this epoch.
+// Acquired reports that the lease is held with this epoch.
 type Acquired struct {
 	Epoch int64
-	// Expired tells that the lease was taken because it had not been renewed, not
+	// Expired reports that the lease was taken over because it had not been renewed, not
 	// because it was free.
 	Expired bool
 }
 
-// Lost says that the lease is no longer held.
+// Lost reports that the lease is no longer held.
 type Lost struct{ Epoch int64 }
 
 func (Read) isAction()     {}
--- a/lease/runner.go
+++ b/lease/runner.go
@@ -10,26 +10,26 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// Runner carries out a Machine's actions on a lease object.
+// Runner executes the actions of a Machine against a lease object.
 type Runner struct {
 	name    string
 	machine *Machine
 	client  store.Client
 	now     func() time.Time
-	// changed gets Acquired and Lost.
+	// changed receives Acquired and Lost.
 	changed func(Action)
-	// campaign tells at each tick whether this instance wants the lease.
+	// campaign reports, at each tick, whether this instance wants the lease.
 	campaign func() bool
-	// look tells whether it is about to want it.
-	look func() bool
-	tick time.Duration
-	hold atomic.Pointer[Hold]
-	// era returns the store's era, which the machine knows as toldEra.
-	era     func() int64
-	toldEra int64
+	// observe reports whether it is about to want it.
+	observe func() bool
+	tick    time.Duration
+	hold    atomic.Pointer[Hold]
+	// era returns the store's era; machineEra is the era that the machine was last given.
+	era        func() int64
+	machineEra int64
 }
 
-// Hold is a lease that is held until a moment of this instance's clock.
+// Hold is a held lease. Until is a time of this instance's clock.
 type Hold struct {
 	Epoch int64
 	Until time.Time
@@ -42,13 +42,13 @@
 	Lease  Config
 	Client store.Client
 	Now    func() time.Time
-	// Changed gets Acquired and Lost, on the runner's goroutine.
+	// Changed receives Acquired and Lost, on the runner's goroutine.
 	Changed func(Action)
-	// Campaign tells whether this instance wants the lease now.
+	// Campaign reports whether this instance wants the lease now.
 	Campaign func() bool
-	// Observe tells whether it is about to; nil means never.
+	// Observe reports whether the instance is about to want the lease; nil means never.
 	Observe func() bool
-	// Tick is the time between looks at the lease; 0 means the default.
+	// Tick is the time between steps of the machine; 0 means the default.
 	Tick time.Duration
 	// Era returns the store's newest era; nil for a store that has none.
 	Era func() int64
@@ -57,7 +57,7 @@
 // NewRunner returns a runner; Run starts it.
 func NewRunner(cfg RunnerConfig) *Runner {
 	if cfg.Tick == 0 {
-		cfg.Tick = tickEvery
+		cfg.Tick = defaultTick
 	}
 	if cfg.Observe == nil {
 		cfg.Observe = func() bool { return false }
@@ -68,17 +68,17 @@
 	return &Runner{
 		tick: cfg.Tick, era: cfg.Era,
 		name: cfg.Name, machine: NewMachine(cfg.Lease), client: cfg.Client,
-		now: cfg.Now, changed: cfg.Changed, campaign: cfg.Campaign, look: cfg.Observe,
+		now: cfg.Now, changed: cfg.Changed, campaign: cfg.Campaign, observe: cfg.Observe,
 	}
 }
 
-// tickEvery is the time between ticks of the machine.
-const tickEvery = 400 * time.Millisecond
+// defaultTick is the default of RunnerConfig.Tick.
+const defaultTick = 400 * time.Millisecond
 
-// releaseTimeout bounds the hand-over at the end of Run.
+// releaseTimeout bounds the release of the lease at the end of Run.
 const releaseTimeout = 2 * time.Second
 
-// Run campaigns until ctx ends, then hands the lease over if it is held.
+// Run campaigns until ctx ends, then releases the lease if it is held.
 func (r *Runner) Run(ctx context.Context) {
 	ticker := time.NewTicker(r.tick)
 	defer ticker.Stop()
@@ -88,7 +88,7 @@
 			r.release()
 			return
 		case <-ticker.C:
-			r.step(ctx, Campaign{Want: r.campaign(), Observe: r.look()})
+			r.step(ctx, Campaign{Want: r.campaign(), Observe: r.observe()})
 		}
 	}
 }
@@ -99,8 +99,7 @@
 	r.step(ctx, Campaign{Want: false})
 }
 
-// Hold returns the lease as it is held; false if it is not. It may be called
-// from any goroutine.
+// Hold returns the lease that is held, or false if none is. It is safe for concurrent use.
 func (r *Runner) Hold() (Hold, bool) {
 	if h := r.hold.Load(); h != nil {
 		return *h, true
@@ -108,8 +107,8 @@
 	return Hold{}, false
 }
 
-// note keeps what Hold returns.
-func (r *Runner) note() {
+// publishHold updates what Hold returns.
+func (r *Runner) publishHold() {
 	if !r.machine.held {
 		r.hold.Store(nil)
 		return
@@ -117,23 +116,23 @@
 	r.hold.Store(&Hold{Epoch: r.machine.epoch, Until: r.machine.validUntil})
 }
 
-// step runs an event and all that follows from it.
+// step applies an event and all events that follow from it.
 func (r *Runner) step(ctx context.Context, e Event) {
-	if era := r.era(); era != r.toldEra {
-		// What was read or written may be of the era before.
-		r.toldEra = era
-		r.carryOut(ctx, EraChanged{Era: era})
+	if era := r.era(); era != r.machineEra {
+		// The event may report a read or write of the previous era.
+		r.machineEra = era
+		r.apply(ctx, EraChanged{Era: era})
 		switch e.(type) {
 		case Seen, Missing:
 			return
 		}
 	}
-	r.carryOut(ctx, e)
+	r.apply(ctx, e)
 }
 
-func (r *Runner) carryOut(ctx context.Context, e Event) {
+func (r *Runner) apply(ctx context.Context, e Event) {
 	actions := r.machine.Step(r.now(), e)
-	r.note()
+	r.publishHold()
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Read:
@@ -160,7 +159,7 @@
 	return Seen{Record: record, Version: o.Metadata.ResourceVersion, Revision: store.RevisionOf(o.Metadata.ResourceVersion)}
 }
 
-// write does not resolve a lost answer itself: the machine reads again.
+// write does not resolve an unknown outcome itself: the machine reads the record again.
 func (r *Runner) write(ctx context.Context, w Write) Event {
 	o, err := store.NewObject(store.KindLease, r.name, w.Record)
 	if err != nil {
--- a/lease/suspended_test.go
+++ b/lease/suspended_test.go
@@ -11,35 +11,35 @@
 	"github.com/eiderspring/eiderspring/commit"
 )
 
-// A machine that is suspended does not see its steady clock go on. A holder that judged
-// its lease by that clock held it for as long again when it woke, beside the one who had
-// taken it meanwhile.
+// The monotonic clock stands still while a machine is suspended. A holder that checked its
+// lease against that clock still considered it valid after waking up, beside the instance that
+// had acquired it meanwhile.
 
-// Times of the schedule.
+// Parameters of the simulation.
 const (
 	suspendStep = 50 * time.Millisecond
 	suspendRuns = 2000
 )
 
-// stored is the lease's object.
+// stored is the stored lease object.
 type stored struct {
 	record  Record
 	version int
 	exists  bool
 }
 
-// instance is a machine with clocks of its own.
+// instance is a machine with its own clocks.
 type instance struct {
 	machine      *Machine
 	steady, boot time.Duration
-	// counts is false in the variant that judges by the steady clock.
-	counts bool
-	clock  *clock.Clock
-	asleep time.Duration
+	// countsSuspension is false in the variant that uses the monotonic clock alone.
+	countsSuspension bool
+	clock            *clock.Clock
+	suspendedFor     time.Duration
 }
 
-func newInstance(name string, counts bool) *instance {
-	i := &instance{counts: counts, machine: NewMachine(Config{
+func newInstance(name string, countsSuspension bool) *instance {
+	i := &instance{countsSuspension: countsSuspension, machine: NewMachine(Config{
 		Holder: name, Duration: 1800 * time.Millisecond, RenewEvery: 500 * time.Millisecond, ClockDrift: 200 * time.Millisecond,
 	})}
 	start := time.Unix(1_000, 0)
@@ -52,13 +52,13 @@
 }
 
 func (i *instance) now() time.Time {
-	if i.counts {
+	if i.countsSuspension {
 		return i.clock.NowExact()
 	}
 	return time.Unix(1_000, 0).Add(i.steady)
 }
 
-// step gives the machine an event and carries out what follows from it.
+// step applies an event and executes the actions that follow from it.
 func (i *instance) step(s *stored, e Event) {
 	for _, a := range i.machine.Step(i.now(), e) {
 		switch a := a.(type) {
@@ -82,55 +82,56 @@
 
 func versionText(v int) string { return time.Duration(v).String() }
 
-// held tells whether an order would be sent now: the time is read again right before.
+// held reports whether an order would be sent now: the time is read again right before.
 func (i *instance) held() bool {
 	_, held := i.machine.Held(i.now())
 	return held
 }
 
-// playSuspensions suspends instances at random, also twice in a row and together, and
-// counts the moments in which two of those awake hold the lease.
-func playSuspensions(seed uint64, counts bool) int {
+// simulateSuspensions suspends instances at random, also twice in a row and together, and
+// counts the steps in which two running instances hold the lease.
+func simulateSuspensions(seed uint64, countsSuspension bool) int {
 	random := rand.New(rand.NewPCG(seed, 5))
 	s := &stored{}
-	all := []*instance{newInstance("a", counts), newInstance("b", counts), newInstance("c", counts)}
-	both := 0
+	all := []*instance{newInstance("a", countsSuspension), newInstance("b", countsSuspension), newInstance("c", countsSuspension)}
+	conflicts := 0
 	for range suspendRuns {
 		holders := 0
 		for _, i := range all {
 			i.boot += suspendStep
-			if i.asleep > 0 {
-				i.asleep -= suspendStep
+			if i.suspendedFor > 0 {
+				i.suspendedFor -= suspendStep
 				continue
 			}
 			i.steady += suspendStep
-			// Right behind a wake an order may go out before any tick.
+			// Right after waking up an order may be sent before any tick.
 			if i.held() {
 				holders++
 			}
 			i.step(s, Campaign{Want: true})
 			if random.IntN(200) == 0 {
-				i.asleep = time.Duration(1+random.IntN(200)) * suspendStep
+				i.suspendedFor = time.Duration(1+random.IntN(200)) * suspendStep
 			}
 		}
 		if holders > 1 {
-			both++
+			conflicts++
 		}
 	}
-	return both
+	return conflicts
 }
 
-func TestSuspendedHolderHoldsNothingWhenItWakes(t *testing.T) {
+func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	for seed := range uint64(200) {
-		require.Zero(t, playSuspensions(seed, true), "seed %d", seed)
+		require.Zero(t, simulateSuspensions(seed, true), "seed %d", seed)
 	}
 }
 
-// TestSteadyClockIsCaught is the variant that judges by the steady clock.
-func TestSteadyClockIsCaught(t *testing.T) {
-	caught := 0
+// TestMonotonicClockWithoutSuspensionIsDetected shows that the simulation detects holders that
+// ignore suspensions.
+func TestMonotonicClockWithoutSuspensionIsDetected(t *testing.T) {
+	detected := 0
 	for seed := range uint64(20) {
-		caught += playSuspensions(seed, false)
+		detected += simulateSuspensions(seed, false)
 	}
-	require.NotZero(t, caught)
+	require.NotZero(t, detected)
 }
