--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -22,7 +22,7 @@
 
 const testHorizon = time.Hour
 
-// schedules is how many seeds the simulation runs.
+// schedules is the number of seeds that the simulation runs.
 var schedules = flag.Int("schedules", 600, "seeds of the claim simulation")
 
 func TestDecide(t *testing.T) {
@@ -44,46 +44,46 @@
 	}
 }
 
-// claimSim runs several instances of one shard against an adversary that loses
-// answers, lets writes land late, pauses shards and kills requesters.
+// claimSim runs several instances of one shard against an adversary that loses answers, delays
+// writes, pauses shards and kills requesters.
 type claimSim struct {
 	draw   func(int) int
-	mutate claimMutation
+	broken brokenRules
 	now    time.Time
 	slots  map[int64]StoredSlot
-	// late are writes that were given up on but may still land.
-	late   []Write
-	shards []*simShard
-	asks   map[int64]*simAsk
-	nextID int64
-	runs   map[string]int
-	err    error
+	// late are writes that the client gave up on and that may still take effect.
+	late     []Write
+	shards   []*simShard
+	attempts map[int64]*simAttempt
+	nextID   int64
+	runs     map[string]int
+	err      error
 }
 
-// claimMutation breaks one rule, to show that the judge notices.
-type claimMutation struct{ unconditional, grantEarly, unknownIsDone bool }
+// brokenRules breaks one rule, to show that the simulation detects it.
+type brokenRules struct{ unconditional, grantEarly, unknownIsDone bool }
 
 type simShard struct {
 	machine *Shard
 	queue   []Action
 }
 
-// simAsk is a requester's attempt.
-type simAsk struct {
+// simAttempt is a requester's attempt.
+type simAttempt struct {
 	op      Op
 	granted bool
-	// over is set once the requester has dispatched, cancelled or died.
-	over bool
+	// ended is set once the requester has dispatched, cancelled or died.
+	ended bool
 }
 
 const (
 	simShards = 2
 	simKeys   = 3
-	simTurns  = 300
+	simSteps  = 300
 )
 
-func newClaimSim(draw func(int) int, m claimMutation) *claimSim {
-	s := &claimSim{draw: draw, mutate: m, now: time.Unix(1000, 0), slots: map[int64]StoredSlot{}, asks: map[int64]*simAsk{}, runs: map[string]int{}}
+func newClaimSim(draw func(int) int, m brokenRules) *claimSim {
+	s := &claimSim{draw: draw, broken: m, now: time.Unix(1000, 0), slots: map[int64]StoredSlot{}, attempts: map[int64]*simAttempt{}, runs: map[string]int{}}
 	for range simShards {
 		s.shards = append(s.shards, &simShard{})
 		s.restart(s.shards[len(s.shards)-1])
@@ -93,7 +93,7 @@
 
 func (s *claimSim) restart(n *simShard) {
 	cfg := NewShardConfig(testHorizon)
-	// Small slots, so that sealing and the ring are reached.
+	// Small slots exercise sealing and reuse of slots.
 	cfg.SlotBytes, cfg.Slots = 600, 1000
 	n.machine, n.queue = NewShard(cfg), nil
 }
@@ -104,7 +104,7 @@
 			s.answered(answered)
 			continue
 		}
-		if w, ok := a.(Write); ok && s.mutate.grantEarly {
+		if w, ok := a.(Write); ok && s.broken.grantEarly {
 			for _, op := range w.Slot.Ops {
 				s.grant(op)
 			}
@@ -114,22 +114,22 @@
 }
 
 func (s *claimSim) answered(a Replied) {
-	if ask := s.asks[a.ID]; ask != nil && a.Verdict == Granted {
-		ask.granted = true
+	if attempt := s.attempts[a.ID]; attempt != nil && a.Verdict == Granted {
+		attempt.granted = true
 	}
 }
 
 func (s *claimSim) grant(op Op) {
-	for _, ask := range s.asks {
-		if op.Kind == OpClaim && ask.op.Attempt == op.Attempt {
-			ask.granted = true
+	for _, attempt := range s.attempts {
+		if op.Kind == OpClaim && attempt.op.Attempt == op.Attempt {
+			attempt.granted = true
 		}
 	}
 }
 
 func (s *claimSim) run() error {
-	for range simTurns {
-		s.turn()
+	for range simSteps {
+		s.randomStep()
 		if s.err != nil {
 			return s.err
 		}
@@ -137,7 +137,7 @@
 	return nil
 }
 
-func (s *claimSim) turn() {
+func (s *claimSim) randomStep() {
 	n := s.shards[s.draw(len(s.shards))]
 	switch s.draw(12) {
 	case 0, 1:
@@ -146,18 +146,18 @@
 	case 2, 3:
 		s.nextID++
 		op := Op{Kind: OpClaim, Key: fmt.Sprint(s.draw(simKeys)), Attempt: fmt.Sprint(s.nextID), Fingerprint: "f", At: s.now}
-		s.asks[s.nextID] = &simAsk{op: op}
+		s.attempts[s.nextID] = &simAttempt{op: op}
 		s.step(n, Submitted{ID: s.nextID, Op: op})
 	case 4:
-		// A requester asks again, maybe another instance.
-		if ask := s.pick(func(a *simAsk) bool { return !a.over }); ask != nil {
+		// A requester submits its entry again, possibly to another instance.
+		if attempt := s.pick(func(a *simAttempt) bool { return !a.ended }); attempt != nil {
 			s.nextID++
-			s.asks[s.nextID] = ask
-			s.step(n, Submitted{ID: s.nextID, Op: ask.op})
+			s.attempts[s.nextID] = attempt
+			s.step(n, Submitted{ID: s.nextID, Op: attempt.op})
 		}
 	case 5:
-		if ask := s.pick(func(a *simAsk) bool { return a.granted && !a.over }); ask != nil {
-			s.end(n, ask)
+		if attempt := s.pick(func(a *simAttempt) bool { return a.granted && !a.ended }); attempt != nil {
+			s.end(n, attempt)
 		}
 	case 6:
 		if len(s.late) > 0 {
@@ -169,15 +169,15 @@
 			s.restart(n)
 		}
 	default:
-		s.carryOut(n)
+		s.execute(n)
 	}
 }
 
-func (s *claimSim) pick(which func(*simAsk) bool) *simAsk {
-	var found []*simAsk
+func (s *claimSim) pick(which func(*simAttempt) bool) *simAttempt {
+	var found []*simAttempt
 	for id := range s.nextID {
-		if ask := s.asks[id+1]; ask != nil && which(ask) {
-			found = append(found, ask)
+		if attempt := s.attempts[id+1]; attempt != nil && which(attempt) {
+			found = append(found, attempt)
 		}
 	}
 	if len(found) == 0 {
@@ -186,10 +186,10 @@
 	return found[s.draw(len(found))]
 }
 
-// end lets a granted requester dispatch, cancel, or die. Each happens once.
-func (s *claimSim) end(n *simShard, ask *simAsk) {
-	ask.over = true
-	op := ask.op
+// end makes a granted requester dispatch, cancel or die. Each happens once.
+func (s *claimSim) end(n *simShard, attempt *simAttempt) {
+	attempt.ended = true
+	op := attempt.op
 	switch s.draw(4) {
 	case 0:
 		return
@@ -205,28 +205,28 @@
 	s.step(n, Submitted{ID: s.nextID, Op: op})
 }
 
-func (s *claimSim) carryOut(n *simShard) {
+func (s *claimSim) execute(n *simShard) {
 	if len(n.queue) == 0 {
 		return
 	}
 	a := n.queue[0]
 	n.queue = n.queue[1:]
-	fate := s.draw(8)
+	failure := s.draw(8)
 	switch a := a.(type) {
 	case Load:
-		if fate == 0 {
+		if failure == 0 {
 			s.step(n, Loaded{Failed: true})
 			return
 		}
 		s.step(n, s.load())
 	case Write:
-		if fate == 0 {
+		if failure == 0 {
 			s.late = append(s.late, a)
 			s.step(n, s.unknown())
 			return
 		}
 		result, version := s.write(a)
-		if fate == 1 {
+		if failure == 1 {
 			s.step(n, s.unknown())
 			return
 		}
@@ -235,7 +235,7 @@
 }
 
 func (s *claimSim) unknown() Event {
-	if s.mutate.unknownIsDone {
+	if s.broken.unknownIsDone {
 		return Wrote{Result: commit.Done, Version: "?"}
 	}
 	return Wrote{Result: commit.Unknown}
@@ -252,7 +252,7 @@
 
 func (s *claimSim) write(w Write) (commit.Result, string) {
 	object := w.Slot.Index % 1000
-	if s.slots[object].Version != w.Version && !s.mutate.unconditional {
+	if s.slots[object].Version != w.Version && !s.broken.unconditional {
 		return commit.Conflict, ""
 	}
 	s.nextID++
@@ -265,7 +265,7 @@
 func TestKeysRunAtMostOnce(t *testing.T) {
 	ran := 0
 	for seed := range uint64(*schedules) {
-		s := newClaimSim(seeded(seed), claimMutation{})
+		s := newClaimSim(seeded(seed), brokenRules{})
 		require.NoError(t, s.run(), "seed %d", seed)
 		ran += len(s.runs)
 	}
@@ -275,16 +275,16 @@
 func TestKeysRunAtMostOnceRapid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }
-		require.NoError(t, newClaimSim(draw, claimMutation{}).run())
+		require.NoError(t, newClaimSim(draw, brokenRules{}).run())
 	})
 }
 
-// TestBrokenRulesAreCaught shows for each rule that without it a key runs twice.
-func TestBrokenRulesAreCaught(t *testing.T) {
-	for name, m := range map[string]claimMutation{
-		"write is not conditional":     {unconditional: true},
-		"granted before it is written": {grantEarly: true},
-		"no answer taken for done":     {unknownIsDone: true},
+// TestBrokenRulesAreDetected shows for each rule that a key runs twice without it.
+func TestBrokenRulesAreDetected(t *testing.T) {
+	for name, m := range map[string]brokenRules{
+		"write is not conditional":       {unconditional: true},
+		"granted before it is written":   {grantEarly: true},
+		"unknown outcome taken for done": {unknownIsDone: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3000) {
@@ -292,41 +292,41 @@
 					return
 				}
 			}
-			t.Fatal("no schedule catches this variant")
+			t.Fatal("no schedule detects this variant")
 		})
 	}
 }
 
-// newKeepers returns keepers of which each runs shards of its own, so that all
-// write to the same shards.
-func newKeepers(t *testing.T, n int) (*standin.ObjectAPI, []*Claimer) {
+// newClaimers returns claimers that each run their own shards, so that all write to the same
+// slots.
+func newClaimers(t *testing.T, n int) (*standin.ObjectAPI, []*Claimer) {
 	t.Helper()
 	api := standin.NewObjectAPI()
 	s := httptest.NewServer(api)
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
-	keepers := make([]*Claimer, n)
-	for i := range keepers {
+	claimers := make([]*Claimer, n)
+	for i := range claimers {
 		owner := NewOwner(ctx, store.NewHTTPClient(store.Config{URL: s.URL}), time.Now, func() ShardConfig { return NewShardConfig(testHorizon) })
-		keepers[i] = NewClaimer(func(ctx context.Context, shard, _ int, op Op) (Reply, error) { return owner.Submit(ctx, shard, op) }, time.Now)
+		claimers[i] = NewClaimer(func(ctx context.Context, shard, _ int, op Op) (Reply, error) { return owner.Submit(ctx, shard, op) }, time.Now)
 	}
-	return api, keepers
+	return api, claimers
 }
 
 var testKey = Key{Caller: "c", Service: "s", Key: "k"}
 
-// TestOneOfManyRuns sends one key through several instances at once while the
-// store loses answers.
+// TestOneOfManyRuns claims one key through several instances at once while the store loses
+// answers.
 func TestOneOfManyRuns(t *testing.T) {
-	api, keepers := newKeepers(t, 6)
+	api, claimers := newClaimers(t, 6)
 	api.SetMode(standin.StoreLostAnswers)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	var mu sync.Mutex
 	runs, replays := 0, 0
 	var all sync.WaitGroup
-	for _, k := range keepers {
+	for _, k := range claimers {
 		all.Go(func() {
 			c, result, err := k.Begin(ctx, testKey, "f")
 			mu.Lock()
@@ -348,37 +348,37 @@
 }
 
 func TestCancelledKeyIsFreeAgain(t *testing.T) {
-	_, keepers := newKeepers(t, 2)
+	_, claimers := newClaimers(t, 2)
 	ctx := context.Background()
-	c, _, err := keepers[0].Begin(ctx, testKey, "f")
+	c, _, err := claimers[0].Begin(ctx, testKey, "f")
 	require.NoError(t, err)
 	require.NoError(t, c.Cancel(ctx))
-	again, _, err := keepers[1].Begin(ctx, testKey, "f")
+	again, _, err := claimers[1].Begin(ctx, testKey, "f")
 	require.NoError(t, err)
 	require.NotNil(t, again)
-	require.ErrorIs(t, c.Finish(ctx, Result{}), ErrUnknown, "the first holder has no say any more")
+	require.ErrorIs(t, c.Finish(ctx, Result{}), ErrUnknown, "the first holder's claim has ended")
 }
 
-func TestHeldKeyIsUnknownInTheEnd(t *testing.T) {
-	_, keepers := newKeepers(t, 2)
-	_, _, err := keepers[0].Begin(context.Background(), testKey, "f")
+func TestHeldKeyEndsAsUnknown(t *testing.T) {
+	_, claimers := newClaimers(t, 2)
+	_, _, err := claimers[0].Begin(context.Background(), testKey, "f")
 	require.NoError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	_, _, err = keepers[1].Begin(ctx, testKey, "f")
+	_, _, err = claimers[1].Begin(ctx, testKey, "f")
 	require.ErrorIs(t, err, ErrUnknown)
-	_, _, err = keepers[1].Begin(context.Background(), testKey, "other")
+	_, _, err = claimers[1].Begin(context.Background(), testKey, "other")
 	require.ErrorIs(t, err, ErrMismatch)
 }
 
-// TestManyClaimsAreWrittenTogether counts the writes of many keys at once.
+// TestManyClaimsAreWrittenTogether counts the writes for many keys claimed at once.
 func TestManyClaimsAreWrittenTogether(t *testing.T) {
-	api, keepers := newKeepers(t, 1)
+	api, claimers := newClaimers(t, 1)
 	var all sync.WaitGroup
 	const keys = 400
 	for i := range keys {
 		all.Go(func() {
-			c, _, err := keepers[0].Begin(context.Background(), Key{Key: fmt.Sprint(i)}, "f")
+			c, _, err := claimers[0].Begin(context.Background(), Key{Key: fmt.Sprint(i)}, "f")
 			if err == nil {
 				_ = c.Finish(context.Background(), Result{Status: 200})
 			}
--- a/claim/keeper.go
+++ b/claim/claimer.go
@@ -13,24 +13,24 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// Errors of a Keeper.
+// Errors of a Claimer.
 var (
-	// ErrUnknown means that the key may have run, or may yet.
+	// ErrUnknown means that the request with the key may have run, or may still run.
 	ErrUnknown = errors.New("the outcome of the idempotency key is not known")
 	// ErrMismatch means that the key was used with other content.
 	ErrMismatch = errors.New("the idempotency key was used with another request")
 )
 
-// Shards is the number of shards. It is part of the stored form: instances
-// that disagree on it would claim a key in two places.
+// Shards is the number of shards. It is part of the storage format: instances that disagree on
+// it would claim a key in two places.
 const Shards = 16
 
-// Key identifies a request that may not be repeated.
+// Key identifies a request that must not be repeated.
 type Key struct {
 	Caller, Service, Key string
 }
 
-// hash is the key as it is stored: keys may hold any character.
+// hash returns the form in which the key is stored: keys may hold any character.
 func (k Key) hash() string {
 	sum := sha256.Sum256([]byte(k.Caller + "\x00" + k.Service + "\x00" + k.Key))
 	return hex.EncodeToString(sum[:16])
@@ -47,47 +47,49 @@
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// SubmitFunc asks the n-th choice among the instances that run a shard; it fails
+// SubmitFunc submits an entry to the n-th choice among the instances that run a shard; it fails
 // with ErrNoOwner if there is none.
 type SubmitFunc func(ctx context.Context, shard, n int, op Op) (Reply, error)
 
-// Claimer claims keys for one instance.
+// Claimer claims keys on behalf of one instance.
 type Claimer struct {
-	ask SubmitFunc
-	now func() time.Time
+	submit SubmitFunc
+	now    func() time.Time
 }
 
-// NewClaimer returns a keeper.
-func NewClaimer(ask SubmitFunc, now func() time.Time) *Claimer { return &Claimer{ask: ask, now: now} }
+// NewClaimer returns a claimer that submits entries with submit.
+func NewClaimer(submit SubmitFunc, now func() time.Time) *Claimer {
+	return &Claimer{submit: submit, now: now}
+}
 
-// Claim is a key that this instance holds.
+// Claim is a key held by this instance.
 type Claim struct {
-	keeper *Claimer
-	op     Op
+	claimer *Claimer
+	op      Op
 }
 
-// Pauses between looks at a key that another attempt holds.
+// Bounds of the pause between polls of a key that another attempt holds.
 const (
-	waitMin = 25 * time.Millisecond
-	waitMax = 400 * time.Millisecond
+	minPollPause = 25 * time.Millisecond
+	maxPollPause = 400 * time.Millisecond
 )
 
-// Begin claims the key, or returns the recorded result of an earlier attempt.
-// It waits for an attempt under way until ctx ends. ErrUnknown is returned
-// whenever it cannot be shown that the key has not run and will not.
-func (k *Claimer) Begin(ctx context.Context, key Key, fingerprint string) (*Claim, *Result, error) {
-	op := Op{Kind: OpClaim, Key: key.hash(), Attempt: rand.Text(), Fingerprint: fingerprint, At: k.now()}
-	pause := waitMin
+// Begin claims the key, or returns the recorded result of an earlier attempt. It waits for an
+// attempt in flight until ctx ends. ErrUnknown is returned whenever it cannot be shown that the
+// request has not run and will not run.
+func (c *Claimer) Begin(ctx context.Context, key Key, fingerprint string) (*Claim, *Result, error) {
+	op := Op{Kind: OpClaim, Key: key.hash(), Attempt: rand.Text(), Fingerprint: fingerprint, At: c.now()}
+	pause := minPollPause
 	for {
-		a, err := k.send(ctx, op)
+		reply, err := c.send(ctx, op)
 		if err != nil {
 			return nil, nil, ErrUnknown
 		}
-		switch a.Verdict {
+		switch reply.Verdict {
 		case Granted:
-			return &Claim{keeper: k, op: op}, nil, nil
+			return &Claim{claimer: c, op: op}, nil, nil
 		case Replay:
-			return nil, a.Result, nil
+			return nil, reply.Result, nil
 		case Mismatch:
 			return nil, nil, ErrMismatch
 		case Unknown:
@@ -96,21 +98,21 @@
 		if !wait.For(ctx, pause) {
 			return nil, nil, ErrUnknown
 		}
-		pause = min(2*pause, waitMax)
+		pause = min(2*pause, maxPollPause)
 	}
 }
 
-// askTries is how many instances are asked in turn. An entry may be sent
+// submitAttempts is the number of instances that are tried in turn. An entry may be submitted
 // again, also to another instance: its attempt makes it idempotent.
-const askTries = 3
+const submitAttempts = 3
 
-func (k *Claimer) send(ctx context.Context, op Op) (Reply, error) {
+func (c *Claimer) send(ctx context.Context, op Op) (Reply, error) {
 	var err error
-	for n := range askTries {
-		var a Reply
-		a, err = k.ask(ctx, shardOf(op.Key), n, op)
+	for n := range submitAttempts {
+		var reply Reply
+		reply, err = c.submit(ctx, shardOf(op.Key), n, op)
 		if err == nil {
-			return a, nil
+			return reply, nil
 		}
 		if ctx.Err() != nil {
 			break
@@ -119,14 +121,13 @@
 	return Reply{}, err
 }
 
-// Cancel frees the key before dispatch. The holder must not dispatch after
-// calling it, whatever it returns: as only the holder could, the key has then
-// not run and will not. An error only means that the key stays claimed, so
-// that later requests with it are told that the outcome is unknown.
+// Cancel frees the key before dispatch. The holder must not dispatch after calling it, whatever
+// it returns: as only the holder could, the request has then not run and will not run. An error
+// only means that the key stays claimed, so that later requests with it get an unknown outcome.
 func (c *Claim) Cancel(ctx context.Context) error { return c.end(ctx, OpCancel, nil) }
 
-// Finish records the result. An error leaves the key claimed, so that a later
-// request with it is told that the outcome is unknown.
+// Finish records the result. An error leaves the key claimed, so that later requests with it
+// get an unknown outcome.
 func (c *Claim) Finish(ctx context.Context, result Result) error {
 	if len(result.Body) > MaxRecordedBody {
 		result.Body, result.Truncated = nil, true
@@ -137,11 +138,11 @@
 func (c *Claim) end(ctx context.Context, kind OpKind, result *Result) error {
 	op := c.op
 	op.Kind, op.Result = kind, result
-	a, err := c.keeper.send(ctx, op)
+	reply, err := c.claimer.send(ctx, op)
 	if err != nil {
 		return err
 	}
-	if a.Verdict != Ended {
+	if reply.Verdict != Ended {
 		return ErrUnknown
 	}
 	return nil
--- a/claim/log.go
+++ b/claim/log.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// OpKind is what an entry of a shard's log does.
+// OpKind is the kind of an entry of a shard's log.
 type OpKind string
 
-// Kinds of entry.
+// Kinds of log entries.
 const (
 	OpClaim  OpKind = "claim"
 	OpCancel OpKind = "cancel"
@@ -22,15 +22,15 @@
 	Result      *Result   `json:"result,omitempty" cbor:"6,keyasint,omitempty"`
 }
 
-// Log is the state of a shard that its entries lead to. Applying the same
-// entries in the same order gives the same state everywhere, whoever wrote
-// them: an entry that comes too late for its record changes nothing.
+// Log is the state that results from the entries of a shard. Applying the same entries in the
+// same order gives the same state on every instance, whoever wrote them: an entry that arrives
+// too late for its record has no effect.
 type Log struct {
 	horizon time.Duration
 	records map[string]*Record
 }
 
-// NewLog returns an empty log whose records count for the horizon.
+// NewLog returns an empty log that ignores records older than horizon.
 func NewLog(horizon time.Duration) *Log { return &Log{horizon: horizon, records: map[string]*Record{}} }
 
 // Apply applies one entry.
@@ -52,8 +52,8 @@
 	}
 }
 
-// Verdict returns what the log says of an entry: whether a claim is free,
-// granted or taken, or whether an end is recorded.
+// Verdict returns the state of an entry according to the log: whether a claim is free, granted
+// or held, or whether the end of a claim is recorded.
 func (l *Log) Verdict(op Op) (Verdict, *Result) {
 	r := l.records[op.Key]
 	if op.Kind == OpClaim {
@@ -75,7 +75,7 @@
 	}
 }
 
-// prune drops records that no longer count.
+// prune deletes records that are older than the horizon.
 func (l *Log) prune(now time.Time) {
 	for key, r := range l.records {
 		if now.Sub(r.At) >= l.horizon {
--- a/claim/owner.go
+++ b/claim/owner.go
@@ -14,20 +14,19 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// shardLabel marks the slots of a shard.
+// shardLabel is the label of the slots of a shard.
 const shardLabel = "eiderspring.dev/claim-shard"
 
 const (
-	// ownerEvents bounds the events that wait for a shard.
-	ownerEvents = 1024
-	// ownerTick is the time between ticks of a shard that has work.
-	ownerTick = 10 * time.Millisecond
-	// askTimeout bounds one answer of a shard.
-	askTimeout = 2 * time.Second
+	// eventCapacity bounds the queued events of a shard.
+	eventCapacity = 1024
+	// tickInterval is the time between ticks of a shard that has work.
+	tickInterval = 10 * time.Millisecond
+	// submitTimeout bounds the wait for the reply of a shard.
+	submitTimeout = 2 * time.Second
 )
 
-// Owner runs shards for whoever asks. A shard is loaded when it is first asked
-// for.
+// Owner runs shards on behalf of all instances. A shard is loaded on its first request.
 type Owner struct {
 	ctx    context.Context
 	client store.Client
@@ -36,105 +35,105 @@
 	nextID atomic.Int64
 
 	mu     sync.Mutex
-	shards map[int]*shardDuty
+	shards map[int]*shardRunner
 }
 
-// NewOwner returns an owner whose shards end with ctx. cfg is asked for when a
-// shard is first used.
+// NewOwner returns an owner whose shards end with ctx. cfg is called when a shard is first
+// used.
 func NewOwner(ctx context.Context, c store.Client, now func() time.Time, cfg func() ShardConfig) *Owner {
-	return &Owner{ctx: ctx, client: c, now: now, cfg: cfg, shards: map[int]*shardDuty{}}
+	return &Owner{ctx: ctx, client: c, now: now, cfg: cfg, shards: map[int]*shardRunner{}}
 }
 
-// Reply is a shard's answer to an entry.
+// Reply is a shard's reply to a submitted entry.
 type Reply struct {
 	Verdict Verdict `cbor:"1,keyasint"`
 	Result  *Result `cbor:"2,keyasint,omitempty"`
 }
 
-// Submit asks a shard about an entry. An error means the same as Unknown.
+// Submit submits an entry to a shard and returns its reply. An error means the same as Unknown.
 func (o *Owner) Submit(ctx context.Context, shard int, op Op) (Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	d := o.shard(shard)
+	r := o.shard(shard)
 	id := o.nextID.Add(1)
-	answer := make(chan Reply, 1)
-	d.answers.Store(id, answer)
-	defer d.answers.Delete(id)
-	if err := d.events.Put(ctx, Submitted{ID: id, Op: op}); err != nil {
+	reply := make(chan Reply, 1)
+	r.replies.Store(id, reply)
+	defer r.replies.Delete(id)
+	if err := r.events.Put(ctx, Submitted{ID: id, Op: op}); err != nil {
 		return Reply{}, err
 	}
 	select {
-	case a := <-answer:
+	case a := <-reply:
 		return a, nil
 	case <-ctx.Done():
-		_ = d.events.Put(o.ctx, Abandoned{ID: id})
+		_ = r.events.Put(o.ctx, Abandoned{ID: id})
 		return Reply{}, ctx.Err()
 	}
 }
 
-func (o *Owner) shard(number int) *shardDuty {
+func (o *Owner) shard(number int) *shardRunner {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	d := o.shards[number]
-	if d == nil {
-		d = &shardDuty{
-			number: number, client: o.client, now: o.now, cfg: o.cfg(), events: ring.New[Event](ownerEvents, ring.Block),
+	r := o.shards[number]
+	if r == nil {
+		r = &shardRunner{
+			number: number, client: o.client, now: o.now, cfg: o.cfg(), events: ring.New[Event](eventCapacity, ring.Block),
 		}
-		d.machine = NewShard(d.cfg)
-		o.shards[number] = d
-		go d.run(o.ctx)
+		r.machine = NewShard(r.cfg)
+		o.shards[number] = r
+		go r.run(o.ctx)
 	}
-	return d
+	return r
 }
 
-// shardDuty feeds one shard and carries its actions out.
-type shardDuty struct {
+// shardRunner passes events to one shard and executes its actions.
+type shardRunner struct {
 	number  int
 	client  store.Client
 	now     func() time.Time
 	cfg     ShardConfig
 	machine *Shard
 	events  *ring.Ring[Event]
-	answers sync.Map
-	// ticking is set while a tick is on its way.
+	replies sync.Map
+	// ticking is set while a tick is scheduled.
 	ticking atomic.Bool
 }
 
-func (d *shardDuty) run(ctx context.Context) {
+func (r *shardRunner) run(ctx context.Context) {
 	for {
-		e, err := d.events.Take(ctx)
+		e, err := r.events.Take(ctx)
 		if err != nil {
 			return
 		}
-		for _, a := range d.machine.Step(d.now(), e) {
-			d.carryOut(ctx, a)
+		for _, a := range r.machine.Step(r.now(), e) {
+			r.execute(ctx, a)
 		}
-		if d.machine.Busy() && d.ticking.CompareAndSwap(false, true) {
-			time.AfterFunc(ownerTick, func() {
-				d.ticking.Store(false)
-				_ = d.events.Put(ctx, Tick{})
+		if r.machine.Busy() && r.ticking.CompareAndSwap(false, true) {
+			time.AfterFunc(tickInterval, func() {
+				r.ticking.Store(false)
+				_ = r.events.Put(ctx, Tick{})
 			})
 		}
 	}
 }
 
-func (d *shardDuty) carryOut(ctx context.Context, a Action) {
+func (r *shardRunner) execute(ctx context.Context, a Action) {
 	switch a := a.(type) {
 	case Replied:
-		if c, waits := d.answers.Load(a.ID); waits {
+		if c, waits := r.replies.Load(a.ID); waits {
 			c.(chan Reply) <- Reply{Verdict: a.Verdict, Result: a.Result}
 		}
 	case Load:
-		go func() { _ = d.events.Put(ctx, d.load(ctx)) }()
+		go func() { _ = r.events.Put(ctx, r.load(ctx)) }()
 	case Write:
-		go func() { _ = d.events.Put(ctx, d.write(ctx, a)) }()
+		go func() { _ = r.events.Put(ctx, r.write(ctx, a)) }()
 	}
 }
 
-func (d *shardDuty) label() string { return fmt.Sprintf("%03d", d.number) }
+func (r *shardRunner) label() string { return fmt.Sprintf("%03d", r.number) }
 
-func (d *shardDuty) load(ctx context.Context) Event {
-	list, err := d.client.ListLabelled(ctx, store.KindClaim, shardLabel, d.label())
+func (r *shardRunner) load(ctx context.Context) Event {
+	list, err := r.client.ListLabelled(ctx, store.KindClaim, shardLabel, r.label())
 	if err != nil {
 		return Loaded{Failed: true}
 	}
@@ -149,18 +148,18 @@
 	return loaded
 }
 
-// write does not resolve a lost answer itself: the shard loads again.
-func (d *shardDuty) write(ctx context.Context, w Write) Event {
-	name := fmt.Sprintf("shard-%s-%04d", d.label(), w.Slot.Index%d.cfg.Slots)
+// write does not resolve an unknown outcome itself: the shard loads again.
+func (r *shardRunner) write(ctx context.Context, w Write) Event {
+	name := fmt.Sprintf("shard-%s-%04d", r.label(), w.Slot.Index%r.cfg.Slots)
 	o, err := store.NewObject(store.KindClaim, name, w.Slot)
 	if err != nil {
 		return Wrote{Result: commit.Conflict}
 	}
-	o.Metadata.Labels = map[string]string{shardLabel: d.label()}
+	o.Metadata.Labels = map[string]string{shardLabel: r.label()}
 	o.Metadata.ResourceVersion = w.Version
-	version, result := store.Put(ctx, d.client, o)
+	version, result := store.Put(ctx, r.client, o)
 	return Wrote{Result: result, Version: version}
 }
 
-// ErrNoOwner means that no instance answers for the shard.
+// ErrNoOwner means that no instance replies for the shard.
 var ErrNoOwner = errors.New("no instance answers for the key's shard")
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -7,12 +7,11 @@
 	"github.com/eiderspring/eiderspring/commit"
 )
 
-// Slot is an object that holds a run of a shard's entries. The entries of a
-// shard are those of its slots in the order of their index; only the last slot
-// is not sealed. Slots are used again in a ring, when all they hold is older
-// than the horizon.
+// Slot is an object that holds consecutive entries of a shard. The entries of a shard are those
+// of its slots in the order of their index; only the last slot is not sealed. Slot objects are
+// reused in a ring, once all entries of a slot are older than the horizon.
 type Slot struct {
-	// Index grows by one from slot to slot, also when an object is used again.
+	// Index grows by one from slot to slot, also when an object is reused.
 	Index  int64 `json:"index"`
 	Sealed bool  `json:"sealed,omitempty"`
 	Ops    []Op  `json:"ops"`
@@ -24,20 +23,20 @@
 	Version string
 }
 
-// ShardConfig sets up a Shard.
+// ShardConfig configures a Shard.
 type ShardConfig struct {
 	// Slots is the number of slot objects.
 	Slots int64
-	// SlotBytes is the size at which a slot is sealed, as estimated.
+	// SlotBytes is the estimated size in bytes at which a slot is sealed.
 	SlotBytes int
-	// Horizon is for how long a key is remembered.
+	// Horizon is how long a key is remembered.
 	Horizon time.Duration
-	// Interval is the least time between two writes: entries that come in
-	// between are written together.
+	// Interval is the minimum time between two writes: entries that arrive in between are
+	// written together.
 	Interval time.Duration
-	// RetryEvery is the pause after a write or read that failed.
+	// RetryEvery is the pause after a failed write or read.
 	RetryEvery time.Duration
-	// MaxWait is for how long a request waits while the store fails.
+	// MaxWait is how long a request waits while the store fails.
 	MaxWait time.Duration
 }
 
@@ -49,35 +48,35 @@
 // Event is an input of a Shard.
 type Event interface{ isEvent() }
 
-// Submitted is a request to claim a key, or to end a claim. Asking again with the
-// same attempt is harmless.
+// Submitted is a request to claim a key, or to end a claim. Submitting the same attempt again
+// has no further effect.
 type Submitted struct {
 	ID int64
 	Op Op
 
 	arrived time.Time
-	// reloaded is set once the state was loaded anew for it.
+	// reloaded is set once the state has been reloaded for this request.
 	reloaded bool
 }
 
-// Abandoned says that nobody waits for the answer any more.
+// Abandoned reports that nobody waits for the reply any more.
 type Abandoned struct{ ID int64 }
 
-// Loaded is the answer to Load.
+// Loaded is the result of a Load.
 type Loaded struct {
 	Slots []StoredSlot
-	// Failed is set when the store did not answer.
+	// Failed is set if the store did not answer.
 	Failed bool
 }
 
-// Wrote is the end of a Write.
+// Wrote reports the outcome of a Write.
 type Wrote struct {
 	Result commit.Result
 	// Version is the slot's new resource version if the write took effect.
 	Version string
 }
 
-// Tick lets time pass.
+// Tick reports only that time has passed.
 type Tick struct{}
 
 func (Submitted) isEvent() {}
@@ -89,17 +88,17 @@
 // Action is an output of a Shard.
 type Action interface{ isAction() }
 
-// Load asks for all slots of the shard.
+// Load requests all slots of the shard.
 type Load struct{}
 
-// Write asks to write a slot, conditional on the version of the object at
+// Write requests a write of a slot, conditional on the version of the object whose number is
 // Index modulo the number of slots; an empty Version means a create.
 type Write struct {
 	Slot    Slot
 	Version string
 }
 
-// Replied is the answer to an Asked.
+// Replied is the reply to a Submitted.
 type Replied struct {
 	ID      int64
 	Verdict Verdict
@@ -110,30 +109,28 @@
 func (Write) isAction()   {}
 func (Replied) isAction() {}
 
-// Shard decides on the keys of one shard. Any number of instances may run the
-// same shard at once: what counts is only the order of the entries in the
-// store, and every write is conditional on the last one seen. Normally one
-// instance does, so that entries are written together.
+// Shard decides on the keys of one shard. Any number of instances may run the same shard at
+// once: only the order of the entries in the store counts, and every write is conditional on
+// the last version read. Normally one instance runs it, so that entries are batched.
 //
-// Invariants: state holds the entries of all slots up to current; an answer
-// other than Held, Replay or Mismatch is given only from entries that are
-// known to be in the store.
+// Invariants: state holds the entries of all slots up to current; a verdict other than Held,
+// Replay or Mismatch is replied only from entries that are known to be in the store.
 type Shard struct {
 	cfg    ShardConfig
 	state  *Log
 	loaded bool
 	// versions holds the version of each slot object, by object number.
 	versions map[int64]string
-	// newest holds when the newest entry of each slot object was made.
-	newest  map[int64]time.Time
-	current Slot
-	bytes   int
+	// newestEntry holds the time of the newest entry of each slot object.
+	newestEntry map[int64]time.Time
+	current     Slot
+	bytes       int
 
 	waiting []Submitted
-	// writing is the slot under way, with the requests that it carries.
-	writing *Slot
-	carried []Submitted
-	loading bool
+	// writing is the slot whose write is in flight, and inFlight are the requests in it.
+	writing  *Slot
+	inFlight []Submitted
+	loading  bool
 	// failing is set while the store does not answer.
 	failing bool
 	retryAt time.Time
@@ -151,21 +148,21 @@
 		e.arrived = now
 		s.waiting = append(s.waiting, e)
 	case Abandoned:
-		gone := func(a Submitted) bool { return a.ID == e.ID }
-		s.waiting = slices.DeleteFunc(s.waiting, gone)
-		s.carried = slices.DeleteFunc(s.carried, gone)
+		abandoned := func(a Submitted) bool { return a.ID == e.ID }
+		s.waiting = slices.DeleteFunc(s.waiting, abandoned)
+		s.inFlight = slices.DeleteFunc(s.inFlight, abandoned)
 	case Loaded:
 		s.loading = false
 		s.load(now, e)
 	case Wrote:
 		s.wrote(now, e)
 	}
-	actions = append(actions, s.answer()...)
-	actions = append(actions, s.giveUp(now)...)
-	return append(actions, s.advance(now)...)
+	actions = append(actions, s.answerDecided()...)
+	actions = append(actions, s.answerTimedOut(now)...)
+	return append(actions, s.nextAction(now)...)
 }
 
-// load replaces the state by what the store has.
+// load replaces the state with the contents of the store.
 func (s *Shard) load(now time.Time, e Loaded) {
 	if e.Failed {
 		s.fail(now)
@@ -173,14 +170,14 @@
 	}
 	s.failing = false
 	slices.SortFunc(e.Slots, func(a, b StoredSlot) int { return int(a.Slot.Index - b.Slot.Index) })
-	s.state, s.versions, s.newest = NewLog(s.cfg.Horizon), map[int64]string{}, map[int64]time.Time{}
+	s.state, s.versions, s.newestEntry = NewLog(s.cfg.Horizon), map[int64]string{}, map[int64]time.Time{}
 	s.current, s.bytes = Slot{}, 0
 	for _, stored := range e.Slots {
 		object := s.object(stored.Slot.Index)
 		s.versions[object] = stored.Version
 		for _, op := range stored.Slot.Ops {
 			s.state.Apply(op)
-			s.note(object, op)
+			s.noteEntry(object, op)
 		}
 		s.current = stored.Slot
 	}
@@ -191,18 +188,18 @@
 	s.loaded = true
 }
 
-func (s *Shard) note(object int64, op Op) {
-	if op.At.After(s.newest[object]) {
-		s.newest[object] = op.At
+func (s *Shard) noteEntry(object int64, op Op) {
+	if op.At.After(s.newestEntry[object]) {
+		s.newestEntry[object] = op.At
 	}
 }
 
 func (s *Shard) object(index int64) int64 { return index % s.cfg.Slots }
 
-// wrote ends a write. Only a known effect is taken in; anything else is
-// settled by loading, which shows what the store has. A write of unknown fate
-// may land after the load: it then changes the version that the next write is
-// conditional on, which so ends in a conflict and another load.
+// wrote applies the outcome of a write. Only a confirmed write changes the state; any other
+// outcome is resolved by loading, which shows what is stored. A write whose outcome is unknown
+// may take effect after the load: it then changes the version that the next write is
+// conditional on, so that write ends in a conflict and another load.
 func (s *Shard) wrote(now time.Time, e Wrote) {
 	if s.writing == nil {
 		return
@@ -211,8 +208,8 @@
 	s.writing, s.wroteAt = nil, now
 	if e.Result != commit.Done {
 		s.loaded = false
-		s.waiting = append(s.carried, s.waiting...)
-		s.carried = nil
+		s.waiting = append(s.inFlight, s.waiting...)
+		s.inFlight = nil
 		if e.Result == commit.Unknown {
 			s.fail(now)
 		}
@@ -223,7 +220,7 @@
 	s.versions[object] = e.Version
 	if written.Index != s.current.Index {
 		s.bytes = 0
-		delete(s.newest, object)
+		delete(s.newestEntry, object)
 	}
 	from := 0
 	if written.Index == s.current.Index {
@@ -231,21 +228,21 @@
 	}
 	for _, op := range written.Ops[from:] {
 		s.state.Apply(op)
-		s.note(object, op)
+		s.noteEntry(object, op)
 		s.bytes += op.size()
 	}
 	s.current = *written
-	s.waiting = append(s.carried, s.waiting...)
-	s.carried = nil
+	s.waiting = append(s.inFlight, s.waiting...)
+	s.inFlight = nil
 }
 
 func (s *Shard) fail(now time.Time) {
 	s.failing, s.retryAt = true, now.Add(s.cfg.RetryEvery)
 }
 
-// giveUp tells those that have waited long enough for a store that fails that
-// nothing is known. Holding them longer would only hide it from them.
-func (s *Shard) giveUp(now time.Time) []Action {
+// answerTimedOut replies Unknown to requests that have waited MaxWait for a failing store.
+// Holding them longer would only hide the failure from their callers.
+func (s *Shard) answerTimedOut(now time.Time) []Action {
 	if !s.failing {
 		return nil
 	}
@@ -260,16 +257,16 @@
 	return actions
 }
 
-// answer answers all whose verdict is known from the state.
-func (s *Shard) answer() []Action {
+// answerDecided replies to all requests whose verdict follows from the state.
+func (s *Shard) answerDecided() []Action {
 	if !s.loaded {
 		return nil
 	}
 	var actions []Action
 	stale := false
 	for i := range s.waiting {
-		// A claim that the state does not know may be of another instance that
-		// runs the shard.
+		// A claim that is not in the state may have been written by another instance that runs
+		// the shard.
 		if v, _ := s.state.Verdict(s.waiting[i].Op); v == Unknown && !s.waiting[i].reloaded {
 			s.waiting[i].reloaded, stale = true, true
 		}
@@ -289,8 +286,8 @@
 	return actions
 }
 
-// advance starts the next load or write, if one is due.
-func (s *Shard) advance(now time.Time) []Action {
+// nextAction returns the next load or write, if one is due.
+func (s *Shard) nextAction(now time.Time) []Action {
 	switch {
 	case s.writing != nil || s.loading || now.Before(s.retryAt) || len(s.waiting) == 0:
 		return nil
@@ -312,13 +309,13 @@
 		size += op.size()
 	}
 	next.Sealed = size >= s.cfg.SlotBytes
-	s.writing, s.carried, s.waiting = &next, s.waiting, nil
+	s.writing, s.inFlight, s.waiting = &next, s.waiting, nil
 	return []Action{Write{Slot: next, Version: s.versions[s.object(next.Index)]}}
 }
 
-// nextSlot returns the slot to write: the current one, or the one behind it if
-// that is sealed. A slot whose entries still count is not used again: the
-// shard is full then, and requests wait until they give up.
+// nextSlot returns the slot to write: the current one, or the one after it if that is sealed. A
+// slot that still holds entries within the horizon is not reused: the shard is then full, and
+// requests wait until they time out.
 func (s *Shard) nextSlot(now time.Time) (Slot, bool) {
 	if !s.current.Sealed {
 		next := s.current
@@ -326,13 +323,13 @@
 		return next, true
 	}
 	next := Slot{Index: s.current.Index + 1}
-	if newest, used := s.newest[s.object(next.Index)]; used && now.Sub(newest) < s.cfg.Horizon {
+	if newest, used := s.newestEntry[s.object(next.Index)]; used && now.Sub(newest) < s.cfg.Horizon {
 		return next, false
 	}
 	return next, true
 }
 
-// opOverhead is about what an entry takes in a slot besides its texts.
+// opOverhead is the approximate size in bytes of an entry besides its texts.
 const opOverhead = 120
 
 func (op Op) size() int {
@@ -343,5 +340,5 @@
 	return n
 }
 
-// Busy tells whether the shard needs ticks.
-func (s *Shard) Busy() bool { return len(s.waiting) > 0 || len(s.carried) > 0 }
+// Busy reports whether the shard needs ticks.
+func (s *Shard) Busy() bool { return len(s.waiting) > 0 || len(s.inFlight) > 0 }
