--- a/membership/entries.go
+++ b/membership/entries.go
@@ -5,33 +5,33 @@
 // EntryEvent is an input of Entries.
 type EntryEvent interface{ isEntryEvent() }
 
-// EntriesListed is the whole list of entries.
+// EntriesListed reports the complete list of entries.
 type EntriesListed struct{ Members []Member }
 
-// EntriesChanged is the changes that one answer of the store brings, in order.
-// Only what they come to counts: an entry that lapsed and came back before the
-// answer was never missing for those who hear of both at once.
+// EntriesChanged reports the changes in one response of the store, in order. Only their
+// combined effect counts: an entry that lapsed and came back before the response was never
+// missing for an instance that receives both changes at once.
 type EntriesChanged struct{ Changes []EntryChange }
 
-// EntryChange is one change of an entry.
+// EntryChange is a change of one entry.
 type EntryChange struct {
 	Name string
-	// Member is what the entry says now; nil if it has gone from the store.
+	// Member is the new content of the entry; nil if the entry was deleted from the store.
 	Member *Member
 }
 
-// StoreUnreachable says that the store gave no answer.
+// StoreUnreachable reports that the store did not answer.
 type StoreUnreachable struct{}
 
-// StoreAnswered says that it gave one, and since when it has answered this instance
-// without a break, on whatever connection; zero means since this answer.
+// StoreAnswered reports that the store answered. Since is the time from which it has answered
+// this instance without interruption, on any connection; zero means from this answer on.
 type StoreAnswered struct{ Since time.Time }
 
-// StoreRestored says that the store has come back from a copy some seconds old: entries are
+// StoreRestored reports that the store was restored from a copy some seconds old: entries are
 // as they were then until their members write them again.
 type StoreRestored struct{}
 
-// EntriesTick lets time pass.
+// EntriesTick reports only that time has passed.
 type EntriesTick struct{}
 
 func (EntriesListed) isEntryEvent()    {}
@@ -41,64 +41,64 @@
 func (StoreRestored) isEntryEvent()    {}
 func (EntriesTick) isEntryEvent()      {}
 
-// StoreReturnGrace is how long after the store's return an entry that lapsed while
-// it was away may take to come back here: its member renews it within about two
-// seconds, and changes gather for half a second before they are asked for.
+// StoreReturnGrace is how long after the store's return an entry that lapsed while the store
+// was unreachable may take to reappear here: its member renews it within about two seconds, and
+// changes are collected for half a second before they are fetched.
 const StoreReturnGrace = 2500 * time.Millisecond
 
-// Entries is the members by their entries in a store, where an entry lapses
-// unless its member renews it.
+// Entries holds the members according to their entries in a store, where an entry lapses unless
+// its member renews it.
 //
-// An entry that goes while the store answers says that its member is gone. One
-// that lapsed while members could not reach the store says nothing: it is kept
-// until ReturnGrace after the store's return.
+// An entry that is deleted while the store answers means that its member is gone. An entry that
+// lapsed while members could not reach the store has no such meaning: it is kept until
+// StoreReturnGrace after the store's return.
 //
-// Invariants: each key of missing is one of members; a member never goes back to a
-// former start.
+// Invariants: each key of missing is one of members; a member never returns to a previous
+// incarnation.
 type Entries struct {
 	version int64
 	members map[string]Member
-	// missing holds when each kept entry was first seen to be missing.
-	missing map[string]time.Time
-	lost    bool
-	// returnedAt is when the store was last back after it was lost.
+	// missing holds the time at which each kept entry was first found missing.
+	missing     map[string]time.Time
+	unreachable bool
+	// returnedAt is when the store last became reachable again.
 	returnedAt time.Time
-	// dropped holds when members have gone lately, and ended what is known to have ended, or
-	// to leave, although a copy of the store may show it as live.
+	// dropped holds the times at which members were recently removed. ended holds the members
+	// that are known to be gone or leaving, although a copy of the store may show them as live.
 	dropped map[string]time.Time
 	ended   map[string]ending
 }
 
-// ending is the end of a member's start that is known.
+// ending is the known end of a member's incarnation.
 type ending struct {
 	incarnation string
 	state       State
 	at          time.Time
 }
 
-// endedTime is for how long the end of a member counts against what a copy of the store
-// shows: some seconds until the copy was made, and until entries lapse that nobody writes.
-const endedTime = 30 * time.Second
+// endedRetention is how long the known end of a member overrides a restored copy of the store:
+// the copy may be some seconds old, and entries that nobody renews take some seconds to lapse.
+const endedRetention = 30 * time.Second
 
-// NewEntries returns an empty set.
+// NewEntries returns an empty set of entries.
 func NewEntries() *Entries {
 	return &Entries{members: map[string]Member{}, missing: map[string]time.Time{}, dropped: map[string]time.Time{}, ended: map[string]ending{}}
 }
 
-// Step applies an event. It returns the list and whether it has changed.
+// Step applies an event. It returns the listing, and whether it has changed.
 func (s *Entries) Step(now time.Time, e EntryEvent) (Listing, bool) {
 	changed := false
 	switch e := e.(type) {
 	case EntriesListed:
-		changed = s.listed(now, e.Members)
+		changed = s.applyList(now, e.Members)
 	case EntriesChanged:
-		changed = s.changedTo(now, e.Changes)
+		changed = s.applyChanges(now, e.Changes)
 	case StoreUnreachable:
-		s.lost = true
+		s.unreachable = true
 	case StoreAnswered:
-		s.heard(now, e.Since)
+		s.storeAnswered(now, e.Since)
 	case StoreRestored:
-		s.copied(now)
+		s.storeRestored(now)
 	}
 	changed = s.expire(now) || changed
 	if !changed {
@@ -108,42 +108,43 @@
 	return s.listing(), true
 }
 
-// heard ends an outage. Entries have ReturnGrace from the store's return, not from
-// when the watch on them heard of it: one that goes later than that has left.
-func (s *Entries) heard(now, since time.Time) {
-	if !s.lost {
+// storeAnswered ends an outage. StoreReturnGrace counts from the store's return, not from when
+// the watch on the entries was answered: an entry that is deleted later than that belongs to a
+// member that has left.
+func (s *Entries) storeAnswered(now, since time.Time) {
+	if !s.unreachable {
 		return
 	}
-	s.lost, s.returnedAt = false, now
+	s.unreachable, s.returnedAt = false, now
 	if !since.IsZero() {
 		s.returnedAt = since
 	}
 }
 
-// copied notes what is known to have ended, and leaves members the time to write again what
-// the copy lacks.
-func (s *Entries) copied(now time.Time) {
-	s.lost, s.returnedAt = false, now
+// storeRestored records which members have ended, and gives members time to write again the
+// entries that the copy lacks.
+func (s *Entries) storeRestored(now time.Time) {
+	s.unreachable, s.returnedAt = false, now
 	for name, m := range s.members {
 		if m.State == Leaving {
 			s.ended[name] = ending{incarnation: m.Incarnation, state: Leaving, at: now}
 		}
 	}
 	for name, at := range s.dropped {
-		if now.Sub(at) < endedTime {
+		if now.Sub(at) < endedRetention {
 			s.ended[name] = ending{state: Gone, at: now}
 		}
 	}
 }
 
-// corrected is an entry less what a copy of the store shows although it has ended. It
-// reports false for an entry that says nothing.
-func (s *Entries) corrected(now time.Time, m Member) (Member, bool) {
+// correct returns an entry without what a copy of the store shows although it has ended. It
+// reports false for an entry to be ignored.
+func (s *Entries) correct(now time.Time, m Member) (Member, bool) {
 	e, known := s.ended[m.Name]
 	switch {
 	case !known || m.State != Live:
 		return m, true
-	case now.Sub(e.at) >= endedTime, e.state == Leaving && e.incarnation != m.Incarnation:
+	case now.Sub(e.at) >= endedRetention, e.state == Leaving && e.incarnation != m.Incarnation:
 		delete(s.ended, m.Name)
 		return m, true
 	case e.state == Gone:
@@ -154,12 +155,12 @@
 	}
 }
 
-// HasMissing tells whether entries are missing that may come back.
+// HasMissing reports whether entries are missing that may reappear.
 func (s *Entries) HasMissing() bool { return len(s.missing) > 0 }
 
-func (s *Entries) listed(now time.Time, members []Member) bool {
+func (s *Entries) applyList(now time.Time, members []Member) bool {
 	present := make(map[string]bool, len(members))
-	// The first list is one also when it is empty.
+	// The first list counts as a change even if it is empty.
 	changed := s.version == 0
 	for _, m := range members {
 		present[m.Name] = true
@@ -173,18 +174,18 @@
 	return changed
 }
 
-// changedTo applies what the changes come to: of each name the last, and before it
-// the word of a member that it leaves, which is final.
-func (s *Entries) changedTo(now time.Time, changes []EntryChange) bool {
+// applyChanges applies the combined effect of changes: the last change of each name, and before
+// it any report of the member that it is leaving, which is final.
+func (s *Entries) applyChanges(now time.Time, changes []EntryChange) bool {
 	last := make(map[string]int, len(changes))
 	for i, c := range changes {
 		last[c.Name] = i
 	}
 	changed := false
 	for i, c := range changes {
-		leaves := c.Member != nil && c.Member.State == Leaving
+		leaving := c.Member != nil && c.Member.State == Leaving
 		switch {
-		case last[c.Name] != i && !leaves:
+		case last[c.Name] != i && !leaving:
 		case c.Member == nil:
 			changed = s.remove(now, c.Name) || changed
 		default:
@@ -194,16 +195,16 @@
 	return changed
 }
 
-// put takes an entry. One that a former start of the member wrote comes late, and
-// says nothing; one that does not tell its start is of the one that is known.
+// put applies an entry. An entry written by a previous incarnation of the member is late and
+// ignored; an entry without a start time belongs to the known incarnation.
 func (s *Entries) put(now time.Time, m Member) bool {
-	m, says := s.corrected(now, m)
-	if !says {
+	m, valid := s.correct(now, m)
+	if !valid {
 		return false
 	}
 	delete(s.dropped, m.Name)
 	known, listed := s.members[m.Name]
-	if listed && known.outdates(m) {
+	if listed && known.supersedes(m) {
 		return false
 	}
 	if listed && m.StartedAtMS == 0 && known.StartedAtMS != 0 {
@@ -222,7 +223,7 @@
 	if !known {
 		return false
 	}
-	if m.State == Live && s.lapses(now) {
+	if m.State == Live && s.mayHaveLapsed(now) {
 		if _, missed := s.missing[name]; !missed {
 			s.missing[name] = now
 		}
@@ -232,15 +233,15 @@
 	return true
 }
 
-// lapses tells whether an entry that is missing now may have lapsed only
-// because the store was away.
-func (s *Entries) lapses(now time.Time) bool {
-	return s.lost || !s.returnedAt.IsZero() && now.Sub(s.returnedAt) < StoreReturnGrace
+// mayHaveLapsed reports whether an entry that is missing now may have lapsed only because the
+// store was unreachable.
+func (s *Entries) mayHaveLapsed(now time.Time) bool {
+	return s.unreachable || !s.returnedAt.IsZero() && now.Sub(s.returnedAt) < StoreReturnGrace
 }
 
 func (s *Entries) drop(now time.Time, name string) {
 	for dropped, at := range s.dropped {
-		if now.Sub(at) >= endedTime {
+		if now.Sub(at) >= endedRetention {
 			delete(s.dropped, dropped)
 		}
 	}
@@ -249,9 +250,9 @@
 	delete(s.missing, name)
 }
 
-// expire drops what is still missing when the grace has passed.
+// expire drops the entries that are still missing when the grace period ends.
 func (s *Entries) expire(now time.Time) bool {
-	if s.lapses(now) {
+	if s.mayHaveLapsed(now) {
 		return false
 	}
 	changed := false
@@ -262,10 +263,10 @@
 	return changed
 }
 
-// Listing returns the members, those included whose entries are missing and may come back.
+// Listing returns the members, including those whose entries are missing but may reappear.
 func (s *Entries) Listing() Listing { return s.listing() }
 
-// Version grows with each change; 0 means that nothing is known.
+// Version grows with each change; 0 means that no list has been received.
 func (s *Entries) Version() int64 { return s.version }
 
 func (s *Entries) listing() Listing {
--- a/membership/entries_test.go
+++ b/membership/entries_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEntriesGolden runs the sessions in testdata/entries: times are
-// milliseconds since the start.
+// TestEntriesGolden runs the sessions in testdata/entries. Times are in milliseconds since the
+// start.
 func TestEntriesGolden(t *testing.T) {
 	datadriven.Walk(t, "testdata/entries", func(t *testing.T, path string) {
 		s := NewEntries()
@@ -40,9 +40,9 @@
 		d.ScanArgs(t, "name", &name)
 		changes := append([]EntryChange{{Name: name}}, entryChanges(entryMembers(d))...)
 		return EntriesChanged{Changes: changes}
-	case "lost":
+	case "unreachable":
 		return StoreUnreachable{}
-	case "heard":
+	case "answered":
 		var since int
 		d.MaybeScanArgs(t, "since", &since)
 		if since == 0 {
@@ -54,7 +54,7 @@
 	}
 }
 
-// entryChanges returns the changes that bring members.
+// entryChanges returns the changes that add or update members.
 func entryChanges(members []Member) []EntryChange {
 	var changes []EntryChange
 	for _, m := range members {
@@ -63,8 +63,8 @@
 	return changes
 }
 
-// entryMembers reads a member a line: NAME STATE [UNIT ...], NAME being NAME@START where
-// the entry tells when its member was started, and NAME#N for an incarnation without that.
+// entryMembers parses one member a line: NAME STATE [UNIT ...]. NAME is NAME@START if the entry
+// has the start time of its member, and NAME#N for an incarnation without it.
 func entryMembers(d *datadriven.TestData) []Member {
 	var members []Member
 	for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
@@ -73,9 +73,9 @@
 			continue
 		}
 		m := Member{Incarnation: fields[0], State: State(fields[1]), Resident: fields[2:]}
-		name, start, told := strings.Cut(fields[0], "@")
+		name, start, hasStart := strings.Cut(fields[0], "@")
 		m.Name, _, _ = strings.Cut(name, "#")
-		if told {
+		if hasStart {
 			at, err := strconv.ParseInt(start, 10, 64)
 			if err != nil {
 				d.Fatalf(nil, "start: %v", err)
@@ -97,10 +97,10 @@
 	return b.String()
 }
 
-// Behind an outage one answer brought that a member leaves and that its entry went. As
-// only the last of these counted, the entry seemed to have lapsed, and the member was
-// kept for the time that such an entry has to come back.
-func TestMemberThatLeavesAndGoesInOneAnswerIsGone(t *testing.T) {
+// After an outage, one response reported both that a member leaves and that its entry was
+// deleted. As only the last of these counted, the entry seemed to have lapsed, and the member
+// was kept for the grace period.
+func TestMemberThatLeavesAndGoesInOneResponseIsGone(t *testing.T) {
 	s := NewEntries()
 	live, leaving := Member{Name: "a", State: Live}, Member{Name: "a", State: Leaving}
 	s.Step(time.UnixMilli(0), EntriesListed{Members: []Member{live}})
--- a/membership/list.go
+++ b/membership/list.go
@@ -11,12 +11,11 @@
 // Event is an input of List.
 type Event interface{ isEvent() }
 
-// Listed is a new answer of the platform's list.
+// Listed reports a new response of the platform's list.
 type Listed struct{ Listing Listing }
 
-// Observed is a member's own word about its state, which may come before the
-// platform's: an instance that drains says so to its peers, an engine in its
-// load report.
+// Observed is a member's own report of its state, which may arrive before the platform's: a
+// draining instance reports it to its peers, an engine in its load report.
 type Observed struct {
 	Name        string
 	Incarnation string
@@ -26,24 +25,24 @@
 func (Listed) isEvent()   {}
 func (Observed) isEvent() {}
 
-// List is the known members.
+// List holds the known members.
 //
-// Invariants: a listing older than the newest seen changes nothing; a member
-// observed to leave does not become live again in the same incarnation.
+// Invariants: a listing older than the newest one received has no effect; a member observed to
+// be leaving does not become live again in the same incarnation.
 type List struct {
 	version int64
 	members map[string]Member
-	// sorted is what Members returns; nil if it is to be made.
+	// sorted caches the result of Members; nil if it must be rebuilt.
 	sorted []Member
 	// evacuated holds the failure domains that are evacuated.
 	evacuated map[string]bool
-	// left holds the incarnation in which each member was seen leaving.
-	left map[string]string
+	// leaving holds the incarnation in which each member was observed to be leaving.
+	leaving map[string]string
 }
 
 // NewList returns an empty list.
 func NewList() *List {
-	return &List{members: map[string]Member{}, left: map[string]string{}}
+	return &List{members: map[string]Member{}, leaving: map[string]string{}}
 }
 
 // Step applies an event and returns what changed, ordered by name.
@@ -51,15 +50,15 @@
 	l.sorted = nil
 	switch e := e.(type) {
 	case Listed:
-		return l.listed(now, e.Listing)
+		return l.applyListing(now, e.Listing)
 	case Observed:
-		return l.observed(now, e)
+		return l.applyObserved(now, e)
 	default:
 		return nil
 	}
 }
 
-func (l *List) listed(now time.Time, listing Listing) []Change {
+func (l *List) applyListing(now time.Time, listing Listing) []Change {
 	if listing.Version < l.version {
 		return nil
 	}
@@ -69,9 +68,9 @@
 	for _, m := range listing.Members {
 		present[m.Name] = true
 		if m.State == Leaving {
-			l.left[m.Name] = m.Incarnation
+			l.leaving[m.Name] = m.Incarnation
 		}
-		if l.left[m.Name] == m.Incarnation {
+		if l.leaving[m.Name] == m.Incarnation {
 			m.State = Leaving
 		}
 		if known, listed := l.members[m.Name]; !listed || !known.equal(m) {
@@ -84,32 +83,32 @@
 			continue
 		}
 		delete(l.members, name)
-		delete(l.left, name)
+		delete(l.leaving, name)
 		m.State = Gone
 		changes = append(changes, Change{Member: m, At: now})
 	}
 	return ordered(changes)
 }
 
-func (l *List) observed(now time.Time, o Observed) []Change {
+func (l *List) applyObserved(now time.Time, o Observed) []Change {
 	m, known := l.members[o.Name]
 	if !known || o.State != Leaving || m.Incarnation != o.Incarnation || m.State == Leaving {
 		return nil
 	}
-	l.left[o.Name] = o.Incarnation
+	l.leaving[o.Name] = o.Incarnation
 	m.State = Leaving
 	l.members[o.Name] = m
 	return []Change{{Member: m, At: now}}
 }
 
-// SetEvacuated replaces the failure domains that are evacuated.
+// SetEvacuated replaces the set of evacuated failure domains.
 func (l *List) SetEvacuated(domains map[string]bool) {
 	l.sorted = nil
 	l.evacuated = domains
 }
 
-// seen is a member as others are to see it.
-func (l *List) seen(m Member) Member {
+// withEvacuation returns a member with Evacuated set.
+func (l *List) withEvacuation(m Member) Member {
 	m.Evacuated = m.Pool != InstancePool && l.evacuated[m.FailureDomain]
 	return m
 }
@@ -119,17 +118,17 @@
 	var members []Member
 	for _, m := range l.members {
 		if m.Pool == pool {
-			members = append(members, l.seen(m))
+			members = append(members, l.withEvacuation(m))
 		}
 	}
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	return members
 }
 
-// Member returns the member of that name.
+// Member returns the member with a name.
 func (l *List) Member(name string) (Member, bool) {
 	m, known := l.members[name]
-	return l.seen(m), known
+	return l.withEvacuation(m), known
 }
 
 // Members returns all members, ordered by name. The result must not be changed.
@@ -139,16 +138,16 @@
 	}
 	members := make([]Member, 0, len(l.members))
 	for _, m := range l.members {
-		members = append(members, l.seen(m))
+		members = append(members, l.withEvacuation(m))
 	}
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	l.sorted = members
 	return members
 }
 
-// Digest stands for who the members of all pools are, and in what state, cold or not: two lists of the
-// same come to the same number, whatever their versions. It says nothing of the units
-// that they hold. 0 stands for no list.
+// Digest returns a hash of the members of all pools with their state, and of whether they are
+// cold: lists with the same members have the same digest, whatever their versions. It does not
+// cover the units that members hold. 0 stands for an empty list.
 func (l *List) Digest() uint64 {
 	if len(l.members) == 0 {
 		return 0
--- a/membership/member.go
+++ b/membership/member.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// State is where a member is in its life.
+// State is the state of a member.
 type State string
 
 // States of a member.
@@ -15,7 +15,7 @@
 	Gone    State = "gone"
 )
 
-// InstancePool is the pool name under which the platform lists instances.
+// InstancePool is the name of the pool in which the platform lists instances.
 const InstancePool = "instances"
 
 // Member is one instance or endpoint.
@@ -24,42 +24,41 @@
 	Pool          string `json:"pool"`
 	Address       string `json:"address"`
 	FailureDomain string `json:"failureDomain"`
-	// PeerPort and StreamPort are where an instance's peers reach it, at the IP
-	// number of Address; 0 for endpoints.
+	// PeerPort and StreamPort are the ports at which peers reach an instance, on the IP address
+	// of Address; 0 for endpoints.
 	PeerPort   int `json:"peerPort,omitempty"`
 	StreamPort int `json:"streamPort,omitempty"`
-	// Incarnation changes whenever the member is started anew.
+	// Incarnation changes whenever the member is restarted.
 	Incarnation string `json:"incarnation"`
-	// StartedAtMS is when the member was started, in Unix milliseconds of its own
-	// clock, where it tells: one that starts again under its name tells a later time.
-	// 0 means that it does not tell.
+	// StartedAtMS is when the member was started, in Unix milliseconds of its own clock: after
+	// a restart under the same name it is later. 0 means that it is not reported.
 	StartedAtMS int64 `json:"startedAtMS,omitempty"`
 	State       State `json:"state"`
-	// Slots is how many requests an endpoint runs at once; 0 means that only
-	// the settings tell.
+	// Slots is how many requests an endpoint runs at once; 0 means that only the settings
+	// define it.
 	Slots int `json:"slots,omitempty"`
-	// Resident holds the units that an endpoint has ready, where the list tells
-	// them, in order; nil means that it does not.
+	// Resident holds the units that an endpoint has ready, in order, if the list reports them;
+	// nil means that it does not.
 	Resident []string `json:"resident,omitempty" cbor:"resident"`
-	// ColdMS is how much longer an endpoint stays cold, as it said last, in milliseconds.
+	// ColdMS is how much longer an endpoint stays cold, as it last reported, in milliseconds.
 	ColdMS int64 `json:"coldMS,omitempty"`
-	// Evacuated tells that the member's failure domain is evacuated. List sets it.
+	// Evacuated reports whether the member's failure domain is evacuated. List sets it.
 	Evacuated bool `json:"-"`
-	// LeavesInMS is how long a leaving endpoint still runs, in milliseconds, as
-	// it said when it began to leave; 0 means that it did not say.
+	// LeavesInMS is how long a leaving endpoint still runs, in milliseconds, as it reported
+	// when it began to leave; 0 means that it did not report it.
 	LeavesInMS int64 `json:"leavesInMS,omitempty"`
 }
 
-// AcceptsWork tells whether the member takes new work.
+// AcceptsWork reports whether the member accepts new work.
 func (m Member) AcceptsWork() bool { return m.State == Live && !m.Evacuated }
 
-// equal tells whether nothing differs.
+// equal reports whether m and o are equal in all fields.
 func (m Member) equal(o Member) bool { return reflect.DeepEqual(m, o) }
 
-// outdates tells whether m comes from a later start of the member than o.
-func (m Member) outdates(o Member) bool { return o.StartedAtMS != 0 && m.StartedAtMS > o.StartedAtMS }
+// supersedes reports whether m is a later incarnation of the member than o.
+func (m Member) supersedes(o Member) bool { return o.StartedAtMS != 0 && m.StartedAtMS > o.StartedAtMS }
 
-// Listing is one answer of the platform's list.
+// Listing is one response of the platform's list.
 type Listing struct {
 	Version int64    `json:"version"`
 	Members []Member `json:"members"`
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestGolden runs the sessions in testdata. A member is NAME:INCARNATION:STATE.
+// TestGolden runs the sessions in testdata/list. A member is NAME:INCARNATION:STATE.
 func TestGolden(t *testing.T) {
 	datadriven.Walk(t, "testdata/list", func(t *testing.T, path string) {
 		l := NewList()
--- a/membership/copied_test.go
+++ b/membership/restored_test.go
@@ -17,9 +17,9 @@
 	return names
 }
 
-// TestCopyDoesNotBringBackWhatHasEnded lists a copy of the store in which members are live
-// that have left or gone since, and lacks one that came.
-func TestCopyDoesNotBringBackWhatHasEnded(t *testing.T) {
+// TestRestoredCopyDoesNotBringBackEndedMembers lists a restored copy of the store that shows
+// members as live that have since left or gone, and lacks one that has since joined.
+func TestRestoredCopyDoesNotBringBackEndedMembers(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(100, 0).Add(time.Duration(s * float64(time.Second))) }
 	member := func(name string) Member { return Member{Name: name, State: Live, Incarnation: name} }
 	s := NewEntries()
@@ -39,8 +39,9 @@
 	require.ElementsMatch(t, []string{"stays", "newer"}, liveNames(l))
 }
 
-// TestWhatACopyLacksMustComeBackInTime does not see a member again.
-func TestWhatACopyLacksMustComeBackInTime(t *testing.T) {
+// TestMemberMissingFromTheCopyMustReappearInTime covers a member that does not write its entry
+// again.
+func TestMemberMissingFromTheCopyMustReappearInTime(t *testing.T) {
 	now := time.Unix(100, 0)
 	s := NewEntries()
 	s.Step(now, EntriesListed{[]Member{{Name: "a", State: Live}}})
--- a/membership/source.go
+++ b/membership/source.go
@@ -19,39 +19,40 @@
 	client *http.Client
 
 	mu sync.Mutex
-	// giveUp ends the call whose answer has not begun; nil if there is none.
-	giveUp context.CancelCauseFunc
+	// cancelPoll cancels the call whose response has not begun; nil if there is none.
+	cancelPoll context.CancelCauseFunc
 }
 
-// maxListingBytes bounds one answer of the list.
+// maxListingBytes bounds one response of the list.
 const maxListingBytes = 4 << 20
 
 const (
-	// platformHold is how long the platform holds an unchanged list, by its interface.
-	platformHold = 10 * time.Second
-	// pollSlack is what a call may take besides, as long as any call to the platform
-	// (store.DefaultCallTimeout).
+	// platformPollHold is how long the platform holds a request while the list is unchanged, as
+	// defined by its interface.
+	platformPollHold = 10 * time.Second
+	// pollSlack is the additional time that a call may take, the same as for any call to the
+	// platform (store.DefaultCallTimeout).
 	pollSlack = 2 * time.Second
-	// pollTimeout bounds a call that nobody answers.
-	pollTimeout = platformHold + pollSlack
+	// pollTimeout bounds a call that is not answered.
+	pollTimeout = platformPollHold + pollSlack
 )
 
-// PollCancelledError is the error of a call that was given up by GiveUp.
+// PollCancelledError is the error of a call that was cancelled by CancelPoll.
 type PollCancelledError struct {
-	// Waited is how long the call had no answer.
+	// Waited is how long the call had waited for a response.
 	Waited time.Duration
 }
 
-// Error says so.
+// Error gives the time that the call waited.
 func (e *PollCancelledError) Error() string {
-	return fmt.Sprintf("poll of the platform's list was given up after %v", e.Waited)
+	return fmt.Sprintf("poll of the platform's list was cancelled after %v", e.Waited)
 }
 
-// errGivenUp is the cause that ends such a call.
-var errGivenUp = errors.New("given up")
+// errPollCancelled is the cause with which CancelPoll cancels a call.
+var errPollCancelled = errors.New("poll cancelled")
 
-// NewSource returns a source that asks the list at url. A nil transport means
-// net/http's default.
+// NewSource returns a source that polls the list at url. A nil transport means the default of
+// net/http.
 func NewSource(url string, transport http.RoundTripper) *Source {
 	return &Source{url: strings.TrimSuffix(url, "/") + "/members", client: &http.Client{Transport: transport}}
 }
@@ -75,52 +76,53 @@
 	}
 }
 
-// CancelPoll gives up a call whose answer has not begun, and its connection: Next returns
-// a GivenUpError. An answer that has begun is on its way and is left to come.
+// CancelPoll cancels a call whose response has not begun, and closes its connection: Next
+// returns a PollCancelledError. A response that has begun is left to complete.
 func (s *Source) CancelPoll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.giveUp != nil {
-		s.giveUp(errGivenUp)
+	if s.cancelPoll != nil {
+		s.cancelPoll(errPollCancelled)
 	}
 }
 
-// waits records how a call that waits is given up; nil says that none waits.
-func (s *Source) waits(giveUp context.CancelCauseFunc) {
+// setCancel sets how a call that waits for its response is cancelled; nil means that none
+// waits.
+func (s *Source) setCancel(cancelPoll context.CancelCauseFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.giveUp = giveUp
+	s.cancelPoll = cancelPoll
 }
 
-// poll asks once; the platform holds the request while the list is unchanged,
-// and tells so in the end.
+// poll makes one request; the platform holds it while the list is unchanged, and answers 304 at
+// the end of that time.
 func (s *Source) poll(ctx context.Context, after int64) (l Listing, unchanged bool, err error) {
 	bounded, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	bounded, giveUp := context.WithCancelCause(bounded)
-	defer giveUp(nil)
+	bounded, cancelPoll := context.WithCancelCause(bounded)
+	defer cancelPoll(nil)
 	began := time.Now()
-	l, unchanged, err = s.ask(bounded, giveUp, after)
+	l, unchanged, err = s.request(bounded, cancelPoll, after)
 	if err == nil || bounded.Err() == nil || ctx.Err() != nil {
 		return l, unchanged, err
 	}
-	// Whatever silenced this connection may have silenced those that rest.
+	// Idle connections may have stalled for the same reason as this one.
 	s.client.CloseIdleConnections()
-	if errors.Is(context.Cause(bounded), errGivenUp) {
+	if errors.Is(context.Cause(bounded), errPollCancelled) {
 		err = &PollCancelledError{Waited: time.Since(began)}
 	}
 	return l, false, err
 }
 
-// ask makes the call of poll.
-func (s *Source) ask(ctx context.Context, giveUp context.CancelCauseFunc, after int64) (l Listing, unchanged bool, err error) {
+// request makes the call of poll.
+func (s *Source) request(ctx context.Context, cancelPoll context.CancelCauseFunc, after int64) (l Listing, unchanged bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.url+"?after="+strconv.FormatInt(after, 10), nil)
 	if err != nil {
 		return l, false, &SourceError{Err: err}
 	}
-	s.waits(giveUp)
+	s.setCancel(cancelPoll)
 	resp, err := s.client.Do(req)
-	s.waits(nil)
+	s.setCancel(nil)
 	if err != nil {
 		return l, false, &SourceError{Err: err}
 	}
--- a/membership/source_test.go
+++ b/membership/source_test.go
@@ -12,11 +12,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slowAnswer begins its answer at once and ends it when it may, as a large list does on
-// a slow way.
-type slowAnswer struct{ rest chan struct{} }
+// slowResponse starts its response at once and completes it when rest is closed, like a large
+// list on a slow link.
+type slowResponse struct{ rest chan struct{} }
 
-func (s slowAnswer) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s slowResponse) RoundTrip(r *http.Request) (*http.Response, error) {
 	body, w := io.Pipe()
 	go func() {
 		fmt.Fprint(w, `{"version": 7, `)
@@ -31,17 +31,17 @@
 	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: body, Request: r}, nil
 }
 
-// TestAnswerThatHasBegunIsNotGivenUp asks to give up while an answer is on its way:
-// asking again would only have it sent twice.
-func TestAnswerThatHasBegunIsNotGivenUp(t *testing.T) {
+// TestStartedResponseIsNotCancelled cancels while a response is being received: another request
+// would only transfer it twice.
+func TestStartedResponseIsNotCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		answer := slowAnswer{rest: make(chan struct{})}
-		s := NewSource("http://platform", answer)
+		response := slowResponse{rest: make(chan struct{})}
+		s := NewSource("http://platform", response)
 		go func() {
 			time.Sleep(time.Second)
 			s.CancelPoll()
 			time.Sleep(time.Second)
-			close(answer.rest)
+			close(response.rest)
 		}()
 		l, err := s.Next(t.Context(), 0)
 		require.NoError(t, err)
@@ -49,15 +49,15 @@
 	})
 }
 
-// neverAnswers hangs until the caller gives up.
-type neverAnswers struct{}
+// noResponse waits until the client cancels.
+type noResponse struct{}
 
-func (neverAnswers) RoundTrip(r *http.Request) (*http.Response, error) {
+func (noResponse) RoundTrip(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
 
-// TestHungCallEnds goes through the ways in which a call that nobody answers ends.
+// TestHungCallEnds covers the ways in which a call without a response ends.
 func TestHungCallEnds(t *testing.T) {
 	cases := []struct {
 		name string
@@ -65,16 +65,16 @@
 		want any
 		at   time.Duration
 	}{
-		{"given up", func(s *Source, _ context.CancelFunc) { s.CancelPoll() }, new(*PollCancelledError), time.Second},
+		{"cancelled", func(s *Source, _ context.CancelFunc) { s.CancelPoll() }, new(*PollCancelledError), time.Second},
 		{"the instance stops", func(_ *Source, stop context.CancelFunc) { stop() }, new(*SourceError), time.Second},
-		{"behind the platform's hold", func(*Source, context.CancelFunc) {}, new(*SourceError), pollTimeout},
+		{"past the platform's hold time", func(*Source, context.CancelFunc) {}, new(*SourceError), pollTimeout},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
-				s := NewSource("http://platform", neverAnswers{})
+				s := NewSource("http://platform", noResponse{})
 				s.CancelPoll()
 				go func() {
 					time.Sleep(time.Second)
