--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,11 +1,12 @@
-// Package relay decides which instances of a large fleet read the list of endpoints from the
-// platform's store, and which ask those, and encodes what they are told.
+// Package relay selects the instances of a large fleet that read the list of endpoints from the
+// platform's store, assigns the other instances to them, and encodes what these relays send.
 //
-// The list grows with the endpoints, and each instance needs all of it: read from the store
-// by each, what the store sends grows with instances times endpoints. So a few instances of
-// each failure domain, the strongest, read it there, and the others ask one of them. Whoever
-// was told goes on with a watch of its own from the version of the store that it was told,
-// so that what the store says still wins.
+// The list grows with the endpoints, and each instance needs all of it: if every instance read
+// it from the store, the store's traffic would grow with the number of instances times the
+// number of endpoints. So a few instances of each failure domain, those with the most processor
+// time, read it from the store as relays, and the others follow one of them. A follower
+// continues with its own watch from the version of the store that it was sent, so that the
+// store's state takes precedence.
 //
 // Nothing here has a goroutine, clock, random source or I/O.
 package relay
--- a/relay/feed.go
+++ b/relay/feed.go
@@ -6,21 +6,21 @@
 	"github.com/eiderspring/eiderspring/membership"
 )
 
-// Feed is the members as an instance tells them to others: whole, or what has changed since
-// it told them last. It numbers changes for the life of its process.
+// Feed holds the members as an instance reports them to others: completely, or as the changes
+// since its last report. Changes are numbered for the lifetime of the process.
 type Feed struct {
 	process string
-	// seq is the number of the last change, whole the version that was taken last.
-	seq   int64
-	taken int64
-	// members holds each member and the number of its last change, removed those that have
-	// gone, in order; what was removed up to forgotten is not known any more.
-	members   map[string]told
-	removed   []removal
-	forgotten int64
+	// seq is the number of the last change, listingVersion the version of the last listing.
+	seq            int64
+	listingVersion int64
+	// members holds each member and the number of its last change, removed those that are gone,
+	// in order; removals up to discardedSeq have been discarded.
+	members      map[string]versionedMember
+	removed      []removal
+	discardedSeq int64
 }
 
-type told struct {
+type versionedMember struct {
 	member membership.Member
 	seq    int64
 }
@@ -30,24 +30,27 @@
 	seq  int64
 }
 
-// maxRemoved bounds the removals that are known: who has missed more is told the whole.
+// maxRemoved bounds the removals that are kept: a follower that has missed more gets all
+// members.
 const maxRemoved = 4096
 
-// NewFeed returns a feed that knows nothing, of a process.
-func NewFeed(process string) *Feed { return &Feed{process: process, members: map[string]told{}} }
+// NewFeed returns an empty feed of a process.
+func NewFeed(process string) *Feed {
+	return &Feed{process: process, members: map[string]versionedMember{}}
+}
 
-// ListingVersion is the version of the listing that was taken last; 0 for none.
-func (f *Feed) ListingVersion() int64 { return f.taken }
+// ListingVersion returns the version of the last listing; 0 for none.
+func (f *Feed) ListingVersion() int64 { return f.listingVersion }
 
-// Update takes a listing.
+// Update replaces the members with those of a listing.
 func (f *Feed) Update(l membership.Listing) {
-	f.taken = l.Version
+	f.listingVersion = l.Version
 	present := make(map[string]bool, len(l.Members))
 	for _, m := range l.Members {
 		present[m.Name] = true
 		if known, listed := f.members[m.Name]; !listed || !reflect.DeepEqual(known.member, m) {
 			f.seq++
-			f.members[m.Name] = told{member: m, seq: f.seq}
+			f.members[m.Name] = versionedMember{member: m, seq: f.seq}
 		}
 	}
 	for name := range f.members {
@@ -58,70 +61,72 @@
 		}
 	}
 	if over := len(f.removed) - maxRemoved; over > 0 {
-		f.forgotten = f.removed[over-1].seq
+		f.discardedSeq = f.removed[over-1].seq
 		f.removed = append([]removal(nil), f.removed[over:]...)
 	}
 }
 
-// Delta is what has changed, for who knows up to a change of a process.
+// Delta holds what has changed for a receiver that knows a process's changes up to a number.
 type Delta struct {
-	// Process and Seq tell how far the news goes. Whole is set where Members are all.
+	// Process and Seq identify the last change included. Full is set if Members holds all
+	// members.
 	Process string              `cbor:"1,keyasint"`
 	Seq     int64               `cbor:"2,keyasint"`
 	Full    bool                `cbor:"3,keyasint,omitempty"`
 	Members []membership.Member `cbor:"4,keyasint,omitempty"`
 	Removed []string            `cbor:"5,keyasint,omitempty"`
 
-	// Current tells that the teller knows of newer settings, leaving endpoints and evacuated
-	// failure domains in time; Revision is that of its settings.
+	// Current reports that the sender learns of newer settings, leaving endpoints and evacuated
+	// failure domains in time; Revision is the revision of its settings.
 	Current  bool  `cbor:"6,keyasint,omitempty"`
 	Revision int64 `cbor:"7,keyasint,omitempty"`
-	// Evacuated are the failure domains that are evacuated, as in peer.Packet.
+	// Evacuated holds the evacuated failure domains, as in peer.Packet.
 	Evacuated         []string `cbor:"8,keyasint,omitempty"`
 	EvacuatedEra      int64    `cbor:"9,keyasint,omitempty"`
 	EvacuatedRevision int64    `cbor:"10,keyasint,omitempty"`
-	// StoreEra and StoreRevision are the version of the store as of which the teller knows the
-	// members, zero where it does not tell.
+	// StoreEra and StoreRevision are the version of the store that the sender's members
+	// correspond to; zero if it does not report one.
 	StoreEra      int64 `cbor:"11,keyasint,omitempty"`
 	StoreRevision int64 `cbor:"12,keyasint,omitempty"`
-	// FollowsStore tells that the teller follows the store closely, or the word of one that does,
-	// also where it does not vouch yet.
+	// FollowsStore reports that the sender follows the store closely, or relies on an instance
+	// that does, even if it does not attest that yet.
 	FollowsStore bool `cbor:"13,keyasint,omitempty"`
 }
 
-// Empty tells whether there is nothing new among the members.
-func (n Delta) Empty() bool { return !n.Full && len(n.Members) == 0 && len(n.Removed) == 0 }
+// Empty reports whether there are no changes to the members.
+func (d Delta) Empty() bool { return !d.Full && len(d.Members) == 0 && len(d.Removed) == 0 }
 
-// Since returns the news for who was told up to a change; the zero values ask for the whole.
+// Since returns the changes for a receiver that knows a process's changes up to seq; the zero
+// values request all members.
 func (f *Feed) Since(process string, seq int64) Delta {
-	n := Delta{Process: f.process, Seq: f.seq}
-	n.Full = process != f.process || seq < f.forgotten || seq > f.seq
-	if !n.Full && seq == f.seq {
-		return n
+	d := Delta{Process: f.process, Seq: f.seq}
+	d.Full = process != f.process || seq < f.discardedSeq || seq > f.seq
+	if !d.Full && seq == f.seq {
+		return d
 	}
 	for _, m := range f.members {
-		if n.Full || m.seq > seq {
-			n.Members = append(n.Members, m.member)
+		if d.Full || m.seq > seq {
+			d.Members = append(d.Members, m.member)
 		}
 	}
 	for _, r := range f.removed {
-		if _, back := f.members[r.name]; !n.Full && r.seq > seq && !back {
-			n.Removed = append(n.Removed, r.name)
+		if _, back := f.members[r.name]; !d.Full && r.seq > seq && !back {
+			d.Removed = append(d.Removed, r.name)
 		}
 	}
-	return n
+	return d
 }
 
-// Event returns what the news says to Entries.
-func (n Delta) Event() membership.EntryEvent {
-	if n.Full {
-		return membership.EntriesListed{Members: n.Members}
+// Event returns the delta as an event for membership.Entries.
+func (d Delta) Event() membership.EntryEvent {
+	if d.Full {
+		return membership.EntriesListed{Members: d.Members}
 	}
 	var changes []membership.EntryChange
-	for i := range n.Members {
-		changes = append(changes, membership.EntryChange{Name: n.Members[i].Name, Member: &n.Members[i]})
+	for i := range d.Members {
+		changes = append(changes, membership.EntryChange{Name: d.Members[i].Name, Member: &d.Members[i]})
 	}
-	for _, name := range n.Removed {
+	for _, name := range d.Removed {
 		changes = append(changes, membership.EntryChange{Name: name})
 	}
 	return membership.EntriesChanged{Changes: changes}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -14,8 +14,9 @@
 	"github.com/eiderspring/eiderspring/membership"
 )
 
-// fleetOf is a fleet in five failure domains, of which one instance in twenty is strong.
-func fleetOf(n int) []Instance {
+// testFleet returns a fleet in five failure domains, in which one instance in twenty has more
+// cores.
+func testFleet(n int) []Instance {
 	var fleet []Instance
 	for i := range n {
 		cores := 0.2
@@ -27,9 +28,9 @@
 	return fleet
 }
 
-// TestRelaysAreStrongAndAgreedOn shuffles what instances know.
-func TestRelaysAreStrongAndAgreedOn(t *testing.T) {
-	fleet := fleetOf(984)
+// TestRelaysHaveTheMostCoresAndAreAgreedOn shuffles the order in which instances know the fleet.
+func TestRelaysHaveTheMostCoresAndAreAgreedOn(t *testing.T) {
+	fleet := testFleet(984)
 	relays := Select("z1", fleet)
 	require.Len(t, relays, RelaysPerDomain)
 	random := rand.New(rand.NewPCG(1, 2))
@@ -43,14 +44,14 @@
 			require.Equal(t, 0.8, i.Cores)
 		}
 	}
-	require.Empty(t, Select("z1", fleetOf(MaxDirectReaders)), "in a small fleet all read the store")
+	require.Empty(t, Select("z1", testFleet(MaxDirectReaders)), "in a small fleet all instances read from the store")
 }
 
-// TestRelaysShareTheirAskers counts who is asked first.
-func TestRelaysShareTheirAskers(t *testing.T) {
-	fleet := fleetOf(984)
+// TestRelaysShareTheirFollowers counts for how many instances each relay comes first.
+func TestRelaysShareTheirFollowers(t *testing.T) {
+	fleet := testFleet(984)
 	relays := Select("z0", fleet)
-	first, askers := map[string]int{}, 0
+	first, followers := map[string]int{}, 0
 	for _, i := range fleet {
 		if i.FailureDomain != "z0" || slices.Contains(relays, i.Name) {
 			continue
@@ -58,15 +59,15 @@
 		order := Rank(i.Name, relays)
 		require.ElementsMatch(t, relays, order)
 		first[order[0]]++
-		askers++
+		followers++
 	}
 	for _, r := range relays {
-		require.InDelta(t, askers/RelaysPerDomain, first[r], float64(askers)/8)
+		require.InDelta(t, followers/RelaysPerDomain, first[r], float64(followers)/8)
 		require.Nil(t, Rank(r, relays))
 	}
 }
 
-// entry is a member as the platform's workers enter themselves.
+// entry returns a member as the platform's workers register it.
 func entry(i int) membership.Member {
 	return membership.Member{
 		Name: fmt.Sprintf("i-%010x", i*7919), Pool: "lohu930", Address: fmt.Sprintf("10.%d.%d.%d:8128", 128+i%5, i/250, i%250),
@@ -75,26 +76,26 @@
 	}
 }
 
-func TestNewsIsReadAsItWas(t *testing.T) {
+func TestDeltaSurvivesEncoding(t *testing.T) {
 	for _, members := range []int{0, 1, 40} {
-		n := Delta{Process: "p", Seq: 9, Current: true, Revision: 4, Removed: []string{"gone"}}
+		d := Delta{Process: "p", Seq: 9, Current: true, Revision: 4, Removed: []string{"gone"}}
 		for i := range members {
-			n.Members = append(n.Members, entry(i))
+			d.Members = append(d.Members, entry(i))
 		}
-		packed, err := Encode(n)
+		encoded, err := Encode(d)
 		require.NoError(t, err)
-		got, err := Decode(packed)
+		got, err := Decode(encoded)
 		require.NoError(t, err)
-		require.Equal(t, n, got)
-		_, err = Decode(packed[:len(packed)/2])
+		require.Equal(t, d, got)
+		_, err = Decode(encoded[:len(encoded)/2])
 		require.Error(t, err)
 	}
 	_, err := Decode([]byte{9})
 	require.ErrorIs(t, err, ErrUnknownFormat)
 }
 
-// TestFollowersEndWithTheSameMembers changes members at random, and lets two instances follow,
-// at times after many changes, at times from another process of the teller.
+// TestFollowersEndWithTheSameMembers changes members at random while two instances follow, at
+// times after many changes, at times after a restart of the sender.
 func TestFollowersEndWithTheSameMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		feed := NewFeed("p0")
@@ -116,11 +117,11 @@
 			feed.Update(l)
 		}
 		follow := func(f *follower) {
-			n := feed.Since(f.process, f.seq)
-			if !n.Empty() {
-				f.entries.Step(now, n.Event())
+			d := feed.Since(f.process, f.seq)
+			if !d.Empty() {
+				f.entries.Step(now, d.Event())
 			}
-			f.process, f.seq = n.Process, n.Seq
+			f.process, f.seq = d.Process, d.Seq
 		}
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			name := fmt.Sprint("e", rapid.IntRange(0, 5).Draw(t, "member"))
@@ -147,39 +148,40 @@
 	})
 }
 
-// storeBytes is what an entry takes in the store's list, about.
+// storeBytes is the approximate size in bytes of an entry in the store's list.
 const storeBytes = 420
 
-// TestCommonStartLeavesTheStoresLinkFree counts what the store and the busiest relay send while
-// all instances start at once, each before four endpoints: with every instance at the store that
-// grew with the square of the fleet, and took a link of 1,000 Mbit/s 13 s at 984.
-func TestCommonStartLeavesTheStoresLinkFree(t *testing.T) {
+// TestSimultaneousStartDoesNotSaturateTheStoresLink computes what the store and the busiest
+// relay send while all instances start at once, each in front of four endpoints. With every
+// instance reading from the store, this grew with the square of the fleet and took 13 s of a
+// link of 1,000 Mbit/s at 984 instances.
+func TestSimultaneousStartDoesNotSaturateTheStoresLink(t *testing.T) {
 	const link = 125e6
 	for _, size := range []int{6, 90, 301, 984, 1968} {
-		fleet := fleetOf(size)
+		fleet := testFleet(size)
 		endpoints := 4 * size
-		n := Delta{Full: true}
+		d := Delta{Full: true}
 		for i := range endpoints {
-			n.Members = append(n.Members, entry(i))
+			d.Members = append(d.Members, entry(i))
 		}
-		packed, err := Encode(n)
+		encoded, err := Encode(d)
 		require.NoError(t, err)
-		readers, askers := 0, map[string]int{}
+		readers, followers := 0, map[string]int{}
 		for _, i := range fleet {
 			order := Rank(i.Name, Select(i.FailureDomain, fleet))
 			if len(order) == 0 {
 				readers++
 				continue
 			}
-			askers[order[0]]++
+			followers[order[0]]++
 		}
-		busiest := 0
-		for _, n := range askers {
-			busiest = max(busiest, n)
+		maxFollowers := 0
+		for _, n := range followers {
+			maxFollowers = max(maxFollowers, n)
 		}
 		store := float64(readers*endpoints*storeBytes) / link
-		relay := float64(busiest*len(packed)) / link
-		t.Logf("%d instances, %d endpoints: %d read the store (%.2f s of its link), one tells %d (%d KB, %.2f s)", size, endpoints, readers, store, busiest, len(packed)/1000, relay)
+		relay := float64(maxFollowers*len(encoded)) / link
+		t.Logf("%d instances, %d endpoints: %d read the store (%.2f s of its link), one serves %d (%d KB, %.2f s)", size, endpoints, readers, store, maxFollowers, len(encoded)/1000, relay)
 		require.Less(t, store, 0.6)
 		require.Less(t, relay, 0.6)
 	}
--- a/relay/choice.go
+++ b/relay/selection.go
@@ -8,23 +8,25 @@
 )
 
 const (
-	// RelaysPerDomain is how many instances of a failure domain read the list: one may be gone and
-	// one stand still.
+	// RelaysPerDomain is how many instances of a failure domain read the list from the store,
+	// so that one may be down and another one paused.
 	RelaysPerDomain = 3
-	// MaxDirectReaders is above how many instances the others ask them: up to here the lists of
-	// all instances together take the store's link for less than half a second.
+	// MaxDirectReaders is the largest fleet in which every instance reads the list from the
+	// store: up to this size, sending it to all instances together takes less than half a
+	// second of the store's link.
 	MaxDirectReaders = 100
 )
 
-// Instance is an instance as it is listed.
+// Instance is an instance of the fleet.
 type Instance struct {
 	Name, FailureDomain string
-	// Cores is the processor time that it has.
+	// Cores is the processor time available to it, in cores.
 	Cores float64
 }
 
-// Select returns the instances of a failure domain that read the list, the first one first. All
-// that know the same instances agree on them.
+// Select returns the relays of a failure domain, which read the list from the store, in order
+// of preference; nil if the fleet has no more than MaxDirectReaders instances. All instances
+// that know the same fleet select the same relays.
 func Select(domain string, fleet []Instance) []string {
 	if len(fleet) <= MaxDirectReaders {
 		return nil
@@ -45,8 +47,8 @@
 	return names
 }
 
-// Rank returns in which order an instance asks relays, so that each is asked first by as
-// many; nil if it is one of them.
+// Rank returns the order in which an instance tries relays, chosen such that each relay comes
+// first for about the same number of instances; nil if the instance itself is a relay.
 func Rank(self string, relays []string) []string {
 	if slices.Contains(relays, self) {
 		return nil
