--- a/broadcast/budget.go
+++ b/broadcast/budget.go
@@ -4,26 +4,26 @@
 
 // Budget is a token bucket of the bytes that may be sent to each instance.
 type Budget struct {
-	// perSecond is what is added, in bytes a second, and most what it holds.
-	perSecond, most float64
-	level           float64
-	at              time.Time
+	// perSecond is the refill rate in bytes a second, capacity the size of the bucket.
+	perSecond, capacity float64
+	level               float64
+	at                  time.Time
 }
 
-// SetRate sets the bytes a second, and for how long unused ones are kept.
-func (b *Budget) SetRate(perSecond float64, kept time.Duration) {
-	b.perSecond, b.most = perSecond, perSecond*kept.Seconds()
+// SetRate sets the rate in bytes a second, and for how long unused bytes accumulate.
+func (b *Budget) SetRate(perSecond float64, burst time.Duration) {
+	b.perSecond, b.capacity = perSecond, perSecond*burst.Seconds()
 }
 
-// Available is what may be sent at now, below 0 where more was sent.
+// Available returns the bytes that may be sent at now; negative if more were sent.
 func (b *Budget) Available(now time.Time) float64 {
 	if b.at.IsZero() {
-		b.level, b.at = b.most, now
+		b.level, b.at = b.capacity, now
 	}
 	since := max(now.Sub(b.at), 0).Seconds()
-	b.level, b.at = min(b.level+b.perSecond*since, b.most), now
+	b.level, b.at = min(b.level+b.perSecond*since, b.capacity), now
 	return b.level
 }
 
-// Spend counts what was sent.
+// Spend removes bytes that were sent.
 func (b *Budget) Spend(bytes int) { b.level -= float64(bytes) }
--- a/broadcast/doc.go
+++ b/broadcast/doc.go
@@ -1,12 +1,12 @@
-// Package broadcast chooses what one instance tells all others with the bytes that its link
-// has for that.
+// Package broadcast selects what one instance sends to all others within the bandwidth of its
+// link.
 //
-// In a large fleet the instance that places units tells all others what all have under way
-// at each endpoint (Sums), and what each endpoint holds (Residency). Both grow with the
-// endpoints, and each is sent once for every instance, so that together they may take more
-// than any link carries. What does not fit is told later: changes before repeats, and of the
-// sums those first by which the others would go wrong most.
+// In a large fleet the coordinator sends to all instances the total load of each endpoint
+// (Totals), and which units each endpoint holds (Residency). Both grow with the number of
+// endpoints, and each is sent once to every instance, so that together they may exceed the
+// capacity of any link. What does not fit is sent later: changes before repeats, and first the
+// totals by which the receivers deviate most.
 //
-// All are state machines without goroutine, clock, random source or I/O. One goroutine uses
-// each at a time.
+// All types are state machines without goroutine, clock, random source or I/O. Each is used by
+// one goroutine at a time.
 package broadcast
--- a/broadcast/residency.go
+++ b/broadcast/residency.go
@@ -6,74 +6,75 @@
 	"github.com/eiderspring/eiderspring/peer"
 )
 
-// Urgency is how soon the others need to know what an endpoint holds.
+// Urgency is how soon the receivers need to know the residency of an endpoint.
 type Urgency int
 
-// Urgencies, the least first.
+// Urgencies, in increasing order.
 const (
-	// Refresh: they know it, unless they have missed it.
+	// Refresh: the receivers know it, unless they missed a message.
 	Refresh Urgency = iota
-	// Changed: they would go on without a replica.
+	// Changed: the receivers would not use a replica that is there.
 	Changed
-	// Withdrawn: requests that go on there would be turned away.
+	// Withdrawn: requests that are still routed to a removed replica would be rejected.
 	Withdrawn
 	urgencies
 )
 
-// Residency queues what endpoints hold, by urgency. Of each endpoint only the last word
-// counts; it goes as soon as the most urgent of those before it. The zero value is empty.
+// Residency queues what endpoints hold, by urgency. Only the last state of each endpoint is
+// kept, with the highest urgency since the endpoint was queued. The zero value is empty.
 type Residency struct {
-	waiting map[string]waitingPlacement
-	// queues hold the endpoints of each urgency in the order in which they came. An entry
-	// counts only while the endpoint waits with that urgency.
+	queued map[string]queuedPlacement
+	// queues hold the endpoints of each urgency in order of arrival. An entry is valid only
+	// while the endpoint is queued with that urgency.
 	queues [urgencies][]string
 }
 
-type waitingPlacement struct {
+type queuedPlacement struct {
 	peer.Placement
 	urgency Urgency
 }
 
-// Put adds what an endpoint holds.
+// Put queues the state of an endpoint.
 func (r *Residency) Put(p peer.Placement, u Urgency) {
-	w, waits := r.waiting[p.Endpoint]
-	if !waits || u > w.urgency {
+	w, found := r.queued[p.Endpoint]
+	if !found || u > w.urgency {
 		w.urgency = u
 		r.append(u, p.Endpoint)
 	}
-	if r.waiting == nil {
-		r.waiting = map[string]waitingPlacement{}
+	if r.queued == nil {
+		r.queued = map[string]queuedPlacement{}
 	}
 	w.Placement = p
-	r.waiting[p.Endpoint] = w
+	r.queued[p.Endpoint] = w
 }
 
-// append adds an endpoint to a queue, and drops entries that count no more where most do not.
+// append adds an endpoint to a queue, and compacts the queue if most of its entries are stale.
 func (r *Residency) append(u Urgency, endpoint string) {
-	if len(r.queues[u]) > 2*len(r.waiting)+staleEntries {
+	if len(r.queues[u]) > 2*len(r.queued)+maxStaleEntries {
 		r.queues[u] = slices.DeleteFunc(r.queues[u], func(name string) bool {
-			w, waits := r.waiting[name]
-			return !waits || w.urgency != u
+			w, found := r.queued[name]
+			return !found || w.urgency != u
 		})
 	}
 	r.queues[u] = append(r.queues[u], endpoint)
 }
 
-// staleEntries is how many entries of a queue may count no more, besides as many as wait.
-const staleEntries = 64
+// maxStaleEntries is how many stale entries a queue may have in addition to one for each queued
+// endpoint.
+const maxStaleEntries = 64
 
-// Len is how many endpoints wait.
-func (r *Residency) Len() int { return len(r.waiting) }
+// Len returns the number of queued endpoints.
+func (r *Residency) Len() int { return len(r.queued) }
 
-// Next takes as many of the most urgent that are at least least as fit into so many bytes, and
-// one at least.
-func (r *Residency) Next(bytes int, least Urgency) []peer.Placement {
+// Next removes and returns the most urgent states of at least minUrgency: as many as fit into
+// the given number of bytes, and at least one.
+func (r *Residency) Next(bytes int, minUrgency Urgency) []peer.Placement {
 	var next []peer.Placement
-	for u := Withdrawn; u >= least; u-- {
+	for u := Withdrawn; u >= minUrgency; u-- {
 		for len(r.queues[u]) > 0 {
 			name := r.queues[u][0]
-			w, waits := r.waiting[name]
-			if !waits || w.urgency != u {
+			w, found := r.queued[name]
+			if !found || w.urgency != u {
 				r.queues[u] = r.queues[u][1:]
 				continue
 			}
@@ -82,7 +83,7 @@
 				return next
 			}
 			r.queues[u] = r.queues[u][1:]
-			delete(r.waiting, name)
+			delete(r.queued, name)
 			next = append(next, w.Placement)
 		}
 	}
--- a/broadcast/totals.go
+++ b/broadcast/totals.go
@@ -8,130 +8,133 @@
 	"github.com/eiderspring/eiderspring/peer"
 )
 
-// Totals deals out what all instances have under way at each endpoint. The zero value has told
-// nothing, and tells what has not changed too, as far as it fits.
+// Totals selects which of the fleet's load totals per endpoint to send. The zero value has sent
+// nothing; without Significant it also repeats unchanged totals, as far as they fit.
 type Totals struct {
-	// Significant, unless nil, tells whether the others would go wrong by going on with what was
-	// told. What does not matter is told only in time before they forget the endpoint, if
-	// it was told at all.
-	Significant func(now, told peer.EndpointLoad) bool
+	// Significant, unless nil, reports whether the receivers would decide wrongly if they kept
+	// the total sent last. Other changes are sent only in time before the receivers discard the
+	// endpoint, if it was sent at all.
+	Significant func(now, sent peer.EndpointLoad) bool
 
-	// told is what the others go by, by endpoint.
-	told map[string]toldSum
+	// sent holds the totals that the receivers know, by endpoint.
+	sent map[string]sentTotal
 }
 
-// toldSum is a sum that was told, at a moment.
-type toldSum struct {
+// sentTotal is a total that was sent at a time.
+type sentTotal struct {
 	peer.EndpointLoad
 	at time.Time
-	// idle is how often it was told that nothing is under way.
+	// idle counts the consecutive times that zero load was sent.
 	idle int
 }
 
-// sumNeed is a sum, and how much the others need it.
-type sumNeed struct {
+// rankedTotal is a total with its priority.
+type rankedTotal struct {
 	peer.EndpointLoad
-	need float64
+	priority float64
 }
 
 const (
-	// mostIdleTells is how often an endpoint is told at which nothing is under way any more:
-	// datagrams are lost now and then.
-	mostIdleTells = 3
-	// neverTold stands for the age of a sum that was not told before.
-	neverTold = 10 * time.Second
-	// promptRequest is how much reading of prompts, in microseconds, counts as one request.
-	promptRequest = 100_000
-	// retell is when a sum that was told is told again, where only what matters is: the
-	// others forget it behind twice as long.
-	retell = 2500 * time.Millisecond
+	// idleRepeats is how often zero load is sent for an endpoint that has become idle, as
+	// datagrams may be lost.
+	idleRepeats = 3
+	// neverSentAge is the age that a total counts with if it has not been sent before.
+	neverSentAge = 10 * time.Second
+	// prefillMicrosPerRequest is the prefill time, in microseconds, that counts as one
+	// request.
+	prefillMicrosPerRequest = 100_000
+	// resendAfter is when a total is sent again although its change is not significant: the
+	// receivers discard it after twice as long.
+	resendAfter = 2500 * time.Millisecond
 )
 
-// Next returns what to tell now of all sums, as many as fit into so many bytes, and at least
-// one. The order is by how far the others are off, for how long.
+// Next returns the totals to send now: as many of all as fit into the given number of bytes,
+// and at least one. They are ordered by how far the receivers deviate, and for how long.
 func (s *Totals) Next(now time.Time, all []peer.EndpointLoad, bytes int) []peer.EndpointLoad {
-	needs := s.needs(now, all)
+	ranked := s.ranked(now, all)
 	var next []peer.EndpointLoad
-	for _, n := range needs {
-		bytes -= n.EncodedSize()
+	for _, r := range ranked {
+		bytes -= r.EncodedSize()
 		if bytes < 0 && len(next) > 0 {
 			break
 		}
-		next = append(next, n.EndpointLoad)
-		s.tell(now, n.EndpointLoad)
+		next = append(next, r.EndpointLoad)
+		s.recordSent(now, r.EndpointLoad)
 	}
 	return next
 }
 
-// needs returns all sums, those that are needed most first.
-func (s *Totals) needs(now time.Time, all []peer.EndpointLoad) []sumNeed {
-	needs := make([]sumNeed, 0, len(all))
+// ranked returns the totals that are due, the highest priority first.
+func (s *Totals) ranked(now time.Time, all []peer.EndpointLoad) []rankedTotal {
+	ranked := make([]rankedTotal, 0, len(all))
 	present := make(map[string]bool, len(all))
 	for _, l := range all {
 		present[l.Endpoint] = true
 		if s.due(now, l) {
-			needs = append(needs, sumNeed{l, s.need(now, l)})
+			ranked = append(ranked, rankedTotal{l, s.priority(now, l)})
 		}
 	}
-	for endpoint := range s.told {
+	for endpoint := range s.sent {
 		l := peer.EndpointLoad{Endpoint: endpoint}
 		if !present[endpoint] && s.due(now, l) {
-			needs = append(needs, sumNeed{l, s.need(now, l)})
+			ranked = append(ranked, rankedTotal{l, s.priority(now, l)})
 		}
 	}
-	slices.SortFunc(needs, func(a, b sumNeed) int {
-		return cmp.Or(cmp.Compare(b.need, a.need), cmp.Compare(a.Endpoint, b.Endpoint))
+	slices.SortFunc(ranked, func(a, b rankedTotal) int {
+		return cmp.Or(cmp.Compare(b.priority, a.priority), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
-	return needs
+	return ranked
 }
 
-// due tells whether a sum is worth telling at all.
+// due reports whether a total is to be sent at all.
 func (s *Totals) due(now time.Time, l peer.EndpointLoad) bool {
 	if s.Significant == nil {
 		return true
 	}
-	t, told := s.told[l.Endpoint]
-	return s.Significant(l, t.EndpointLoad) || told && now.Sub(t.at) >= retell
+	t, sent := s.sent[l.Endpoint]
+	return s.Significant(l, t.EndpointLoad) || sent && now.Sub(t.at) >= resendAfter
 }
 
-// Significant returns what matters of an endpoint with so many places, to others that are told
-// next in pause: a sixteenth of its places, and prompts that take longer than that to read.
-// What is less is over, or other, by the time that it is told.
-func Significant(places func(endpoint string) int, pause func() time.Duration) func(now, told peer.EndpointLoad) bool {
+// Significant returns a function that reports a change as significant if it is at least a
+// sixteenth of the endpoint's places, or prompts that take longer than pause to process, where
+// pause is the time until the next message. Smaller changes are outdated by the time they are
+// received.
+func Significant(places func(endpoint string) int, pause func() time.Duration) func(now, sent peer.EndpointLoad) bool {
 	const part = 16
-	return func(now, told peer.EndpointLoad) bool {
-		running := distance(now.Running, told.Running)
-		prompt := time.Duration(distance(now.PrefillMicros, told.PrefillMicros)) * time.Microsecond
+	return func(now, sent peer.EndpointLoad) bool {
+		running := distance(now.Running, sent.Running)
+		prompt := time.Duration(distance(now.PrefillMicros, sent.PrefillMicros)) * time.Microsecond
 		return running > 0 && part*running >= float64(places(now.Endpoint)) || prompt > pause()
 	}
 }
 
-// need is by how much the others are off, in requests, times for how long they may be, in
-// seconds. One that has not changed is told again in time, as the others forget it.
-func (s *Totals) need(now time.Time, l peer.EndpointLoad) float64 {
-	t := s.told[l.Endpoint]
-	age := neverTold
+// priority returns by how much the receivers deviate, in requests, times the age of what they
+// know, in seconds. An unchanged total gains priority with age, so that it is sent again before
+// the receivers discard it.
+func (s *Totals) priority(now time.Time, l peer.EndpointLoad) float64 {
+	t := s.sent[l.Endpoint]
+	age := neverSentAge
 	if !t.at.IsZero() {
 		age = now.Sub(t.at)
 	}
-	off := distance(l.Running, t.Running) + distance(l.PrefillMicros, t.PrefillMicros)/promptRequest
-	return (1 + off) * age.Seconds()
+	deviation := distance(l.Running, t.Running) + distance(l.PrefillMicros, t.PrefillMicros)/prefillMicrosPerRequest
+	return (1 + deviation) * age.Seconds()
 }
 
 func distance(a, b int64) float64 { return float64(max(a-b, b-a)) }
 
-// tell records what is told.
-func (s *Totals) tell(now time.Time, l peer.EndpointLoad) {
-	t := toldSum{EndpointLoad: l, at: now}
+// recordSent records that a total is sent.
+func (s *Totals) recordSent(now time.Time, l peer.EndpointLoad) {
+	t := sentTotal{EndpointLoad: l, at: now}
 	if l.Running == 0 && l.PrefillMicros == 0 {
-		t.idle = s.told[l.Endpoint].idle + 1
+		t.idle = s.sent[l.Endpoint].idle + 1
 	}
-	if s.told == nil {
-		s.told = map[string]toldSum{}
+	if s.sent == nil {
+		s.sent = map[string]sentTotal{}
 	}
-	if t.idle >= mostIdleTells {
-		delete(s.told, l.Endpoint)
+	if t.idle >= idleRepeats {
+		delete(s.sent, l.Endpoint)
 		return
 	}
-	s.told[l.Endpoint] = t
+	s.sent[l.Endpoint] = t
 }
