--- a/revision/chunk.go
+++ b/revision/chunk.go
@@ -15,35 +15,35 @@
 	Text []byte
 }
 
-// Cutting bounds. A chunk ends behind a member whose name's hash is divisible
-// by membersPerChunk, so that an edit changes the chunk that it touches and
-// no other, wherever members are inserted.
+// Bounds of chunks. A chunk ends after a member whose name's hash is divisible by
+// meanChunkMembers, so that an edit changes only the chunk in which it falls, wherever members
+// are inserted.
 const (
-	membersPerChunk = 32
-	maxChunkBytes   = 256 << 10
+	meanChunkMembers = 32
+	maxChunkBytes    = 256 << 10
 )
 
-// wildcard in a cut path stands for every member.
+// wildcard in a split path matches every member.
 const wildcard = "*"
 
-// cutPaths are the objects that grow with the deployment and are cut out of
-// the skeleton. In their place stands an array with the hashes of the chunks.
-var cutPaths = [][]string{{"pools", wildcard, "models"}, {"services"}, {"callers"}}
+// splitPaths are the objects that grow with the deployment and are moved from the skeleton into
+// chunks. In their place the skeleton has an array with the hashes of the chunks.
+var splitPaths = [][]string{{"pools", wildcard, "models"}, {"services"}, {"callers"}}
 
-// Split cuts a JWCC text. The first chunk is the skeleton.
+// Split splits a JWCC text into chunks. The first chunk is the skeleton.
 func Split(text []byte) ([]Chunk, error) {
 	root, err := hujson.Parse(text)
 	if err != nil {
 		return nil, &TextError{Err: err}
 	}
 	var chunks []Chunk
-	for _, path := range cutPaths {
+	for _, path := range splitPaths {
 		err := visit(&root, path, func(v *hujson.Value) error {
 			obj, ok := v.Value.(*hujson.Object)
 			if !ok {
 				return nil
 			}
-			parts := cutObject(obj)
+			parts := splitObject(obj)
 			chunks = append(chunks, parts...)
 			v.Value = hashArray(parts)
 			return nil
@@ -60,7 +60,7 @@
 	return Chunk{Hash: hex.EncodeToString(sum[:]), Text: text}
 }
 
-func cutObject(obj *hujson.Object) []Chunk {
+func splitObject(obj *hujson.Object) []Chunk {
 	var chunks []Chunk
 	part := &hujson.Object{}
 	size := 0
@@ -68,7 +68,7 @@
 		part.Members = append(part.Members, m)
 		size += len(m.Name.Pack()) + len(m.Value.Pack())
 		name := m.Name.Value.(hujson.Literal).String()
-		if xxhash.Sum64String(name)%membersPerChunk == 0 || size > maxChunkBytes {
+		if xxhash.Sum64String(name)%meanChunkMembers == 0 || size > maxChunkBytes {
 			chunks = append(chunks, packObject(part))
 			part, size = &hujson.Object{}, 0
 		}
@@ -93,13 +93,13 @@
 	return arr
 }
 
-// Join puts a text together from its skeleton. get returns a chunk's text.
+// Join restores a text from its skeleton. get returns a chunk's text.
 func Join(skeleton []byte, get func(hash string) ([]byte, error)) ([]byte, error) {
 	root, err := hujson.Parse(skeleton)
 	if err != nil {
 		return nil, &TextError{Err: err}
 	}
-	for _, path := range cutPaths {
+	for _, path := range splitPaths {
 		err := visit(&root, path, func(v *hujson.Value) error {
 			arr, ok := v.Value.(*hujson.Array)
 			if !ok {
@@ -121,7 +121,7 @@
 	for _, e := range arr.Elements {
 		lit, ok := e.Value.(hujson.Literal)
 		if !ok {
-			return nil, &TextError{Err: fmt.Errorf("a chunk is named by %s", e.Pack())}
+			return nil, &TextError{Err: fmt.Errorf("chunk reference is not a literal: %s", e.Pack())}
 		}
 		text, err := get(lit.String())
 		if err != nil {
@@ -133,7 +133,7 @@
 		}
 		obj, ok := part.Value.(*hujson.Object)
 		if !ok {
-			return nil, &TextError{Err: fmt.Errorf("chunk %s is no object", lit.String())}
+			return nil, &TextError{Err: fmt.Errorf("chunk %s is not an object", lit.String())}
 		}
 		whole.Members = append(whole.Members, obj.Members...)
 		whole.AfterExtra = obj.AfterExtra
@@ -141,7 +141,7 @@
 	return whole, nil
 }
 
-// visit calls f for each value at path; a missing one is passed over.
+// visit calls f for each value at path; a missing path is skipped.
 func visit(v *hujson.Value, path []string, f func(*hujson.Value) error) error {
 	if len(path) == 0 {
 		return f(v)
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// TextError is a settings text or chunk that cannot be read.
+// TextError reports a settings text or chunk that cannot be parsed.
 type TextError struct{ Err error }
 
 // Error gives the cause.
--- a/revision/doc.go
+++ b/revision/doc.go
@@ -1,7 +1,7 @@
-// Package revision keeps the accepted settings in the object API.
+// Package revision stores the accepted settings in the object API.
 //
-// The settings are a JWCC text, comments included. The text is cut into
-// immutable chunks named by their hash; a root object lists them with a
-// revision that only grows. Settings are accepted when the root's conditional
-// update has taken effect, and not before.
+// The settings are a JWCC text, including comments. The text is split into immutable chunks
+// named by their hash; a root object lists them with a revision number that only grows.
+// Settings are accepted once the conditional update of the root has taken effect, and not
+// before.
 package revision
--- a/revision/edit.go
+++ b/revision/edit.go
@@ -7,17 +7,17 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// editTries bounds how often an edit is merged anew because another was
-// accepted in between.
-const editTries = 8
+// editAttempts bounds how often an edit is merged again because another edit was accepted in
+// between.
+const editAttempts = 8
 
-// Edit makes a text, derived from revision base, the next revision. If other
-// edits were accepted since base, the text's changes are merged onto theirs
-// field by field; *settings.ConflictError names the fields that cannot be, and
-// nothing has changed then. Base 0 means the first settings of all.
+// Edit publishes a text, derived from revision base, as the next revision. If other edits were
+// accepted since base, the changes of the text are merged with theirs field by field;
+// *settings.ConflictError lists the fields that cannot be merged, and nothing has changed then.
+// Base 0 means that there are no settings yet.
 func (p *Publisher) Edit(ctx context.Context, file string, text []byte, author string, base int64) (Entry, error) {
 	var err error
-	for range editTries {
+	for range editAttempts {
 		var entry Entry
 		entry, err = p.editOnce(ctx, file, text, author, base)
 		if err == nil || !store.IsConflict(err) {
@@ -35,7 +35,7 @@
 	if err != nil {
 		return Entry{}, err
 	}
-	// A faulty text is reported by its own lines, before it is merged.
+	// An invalid text is reported with its own line numbers, before it is merged.
 	if _, err := settings.Load(file, text); err != nil {
 		return Entry{}, err
 	}
--- a/revision/history.go
+++ b/revision/history.go
@@ -11,17 +11,17 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// maxHistory is how many revisions before the one in force are kept.
-const maxHistory = 50
+// historyLimit is how many revisions before the one in force are kept.
+const historyLimit = 50
 
-// chunkGrace is the least age of a chunk that is collected. An edit writes its
-// chunks before it swaps the root, and must be done with both in this time.
-const chunkGrace = 10 * time.Minute
+// minGarbageAge is the minimum age of a chunk that is deleted. An edit writes its chunks before
+// it replaces the root, and must complete both within this time.
+const minGarbageAge = 10 * time.Minute
 
 func revisionName(n int64) string { return fmt.Sprintf("r-%012d", n) }
 
-// remember puts an entry into the history; one that is there already is equal.
-func (p *Publisher) remember(ctx context.Context, e Entry) error {
+// addToHistory adds an entry to the history; an entry that already exists is identical.
+func (p *Publisher) addToHistory(ctx context.Context, e Entry) error {
 	o, err := store.NewObject(store.KindRevision, revisionName(e.Revision), e)
 	if err != nil {
 		return err
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// History returns the accepted revisions that are kept, the newest first; the
-// first is the one in force.
+// History returns the revisions in the history, the newest first; the first is the one in
+// force.
 func History(ctx context.Context, c store.Client) ([]Entry, error) {
 	root, err := ReadRoot(ctx, c)
 	if err != nil {
@@ -71,22 +71,22 @@
 	return nil, &UnknownRevisionError{Revision: n}
 }
 
-// UnknownRevisionError is a revision that is not kept.
+// UnknownRevisionError reports a revision that is not in the history.
 type UnknownRevisionError struct{ Revision int64 }
 
-// Error names the revision.
+// Error gives the revision.
 func (e *UnknownRevisionError) Error() string {
 	return fmt.Sprintf("revision %d is not in the history", e.Revision)
 }
 
-// CollectGarbage deletes revisions beyond the bound of the history, and the chunks
-// that none of the rest needs. It returns how many objects it deleted.
+// CollectGarbage deletes revisions beyond the limit of the history, and the chunks that no
+// other revision needs. It returns the number of objects deleted.
 func (p *Publisher) CollectGarbage(ctx context.Context) (int, error) {
 	entries, err := History(ctx, p.client)
 	if err != nil {
 		return 0, err
 	}
-	kept := entries[:min(len(entries), maxHistory+1)]
+	kept := entries[:min(len(entries), historyLimit+1)]
 	deleted := 0
 	for _, e := range entries[len(kept):] {
 		if err := p.client.Delete(ctx, store.KindRevision, revisionName(e.Revision)); err != nil && !store.IsNotFound(err) {
@@ -105,7 +105,7 @@
 		return deleted, err
 	}
 	for _, o := range list.Items {
-		if needed[o.Metadata.Name] || p.now().Sub(o.Metadata.CreationTimestamp) < chunkGrace {
+		if needed[o.Metadata.Name] || p.now().Sub(o.Metadata.CreationTimestamp) < minGarbageAge {
 			continue
 		}
 		if err := p.client.Delete(ctx, store.KindChunk, o.Metadata.Name); err != nil && !store.IsNotFound(err) {
--- a/revision/publish.go
+++ b/revision/publish.go
@@ -9,7 +9,7 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// Publisher accepts new settings.
+// Publisher publishes new settings.
 type Publisher struct {
 	client store.Client
 	writer *store.Writer
@@ -21,9 +21,9 @@
 	return &Publisher{client: c, writer: store.NewWriter(c), now: now}
 }
 
-// Publish checks a text and makes it the next revision on top of base; 0 means
-// that there is none yet. If another revision came first the error is one for
-// which store.IsConflict is true, and nothing has changed.
+// Publish validates a text and makes it the next revision after base; 0 means that there is
+// none yet. If another revision was accepted first, store.IsConflict is true for the error, and
+// nothing has changed.
 func (p *Publisher) Publish(ctx context.Context, file string, text []byte, author string, base int64) (Entry, error) {
 	if _, err := settings.Load(file, text); err != nil {
 		return Entry{}, err
@@ -42,7 +42,7 @@
 	return entry, p.swapRoot(ctx, entry, chunks, base)
 }
 
-// writeChunks stores what is not there yet. A chunk that exists has the same
+// writeChunks stores the chunks that do not exist yet. A chunk that exists has the same
 // content, as its name is its hash.
 func (p *Publisher) writeChunks(ctx context.Context, chunks []Chunk) error {
 	for _, c := range chunks {
@@ -77,9 +77,9 @@
 	if root.Current.Revision != base {
 		return &store.StatusError{Code: 409, Kind: store.KindSettings, Name: RootName, Message: "another revision was accepted first"}
 	}
-	// The entry that is about to be replaced goes into the history first, so
-	// that no crash in between can lose it.
-	if err := p.remember(ctx, root.Current); err != nil {
+	// The entry to be replaced is added to the history first, so that a crash in between cannot
+	// lose it.
+	if err := p.addToHistory(ctx, root.Current); err != nil {
 		return err
 	}
 	next, err := o.WithSpec(Root{Current: entry, Inline: inlineChunks(root.Current, chunks)})
@@ -90,8 +90,8 @@
 	return err
 }
 
-// inlineChunks returns the chunks that the revision before does not have, or
-// nil if they are too large.
+// inlineChunks returns the chunks that the previous revision does not have, or nil if they are
+// too large.
 func inlineChunks(before Entry, chunks []Chunk) map[string]string {
 	inline := map[string]string{}
 	size := 0
--- a/revision/revision_test.go
+++ b/revision/revision_test.go
@@ -30,7 +30,7 @@
 	return string(text)
 }
 
-func TestCutAndJoinKeepEveryByte(t *testing.T) {
+func TestSplitAndJoinKeepEveryByte(t *testing.T) {
 	for _, text := range [][]byte{examples.Tideline, examples.Liege} {
 		chunks, err := Split(text)
 		require.NoError(t, err)
@@ -49,8 +49,8 @@
 	})
 }
 
-// TestEditTouchesFewChunks checks that a change to one model changes the
-// skeleton and the chunk that holds the model, and no other.
+// TestEditTouchesFewChunks checks that a change to one model changes only the skeleton and the
+// chunk that holds the model.
 func TestEditTouchesFewChunks(t *testing.T) {
 	before, err := Split(examples.Liege)
 	require.NoError(t, err)
@@ -88,9 +88,9 @@
 	require.ErrorContains(t, err, "/deployment: missing")
 }
 
-// TestTwoOperatorsEditAtOnce lets many operators edit different fields from
-// the same base at the same time, while the store loses answers. Every edit
-// survives; a second edit of one field is a conflict.
+// TestTwoOperatorsEditAtOnce lets several operators edit different fields from the same base at
+// the same time, while the store loses answers. Every edit must survive; a second edit of a
+// field must be a conflict.
 func TestTwoOperatorsEditAtOnce(t *testing.T) {
 	api := standin.NewObjectAPI()
 	s := httptest.NewServer(api)
@@ -141,7 +141,7 @@
 	now := time.Now()
 	p := NewPublisher(client, func() time.Time { return now })
 	ctx := context.Background()
-	for i := range int64(maxHistory + 5) {
+	for i := range int64(historyLimit + 5) {
 		text := strings.Replace(string(examples.Tideline), `"firstTokenMS": 1000`, fmt.Sprintf(`"firstTokenMS": %d`, 1000+i), 1)
 		_, err := p.Publish(ctx, "f", []byte(text), "x", i)
 		require.NoError(t, err)
@@ -149,7 +149,7 @@
 	old, err := ReadRevision(ctx, client, 10)
 	require.NoError(t, err)
 	require.Contains(t, string(old.Text), `"firstTokenMS": 1009`)
-	now = now.Add(2 * chunkGrace)
+	now = now.Add(2 * minGarbageAge)
 	deleted, err := p.CollectGarbage(ctx)
 	require.NoError(t, err)
 	require.Equal(t, 4+4, deleted, "4 revisions and the skeleton of each")
--- a/revision/root.go
+++ b/revision/root.go
@@ -18,7 +18,7 @@
 // Entry is one accepted revision.
 type Entry struct {
 	Revision int64 `json:"revision"`
-	// Skeleton is the hash of the first chunk; it names all others.
+	// Skeleton is the hash of the first chunk, which lists all others.
 	Skeleton string    `json:"skeleton"`
 	Chunks   []string  `json:"chunks"`
 	Author   string    `json:"author,omitempty"`
@@ -28,9 +28,9 @@
 // Root is the spec of the root object.
 type Root struct {
 	Current Entry `json:"current"`
-	// Inline holds, by hash, the chunks that the revision before did not have,
-	// if they are small. With them the event that tells of a revision brings
-	// all of it, so that an outage right after it does no harm.
+	// Inline holds, by hash, the chunks that the previous revision did not have, if they are
+	// small. With them the event that announces a revision contains all of it, so that an
+	// outage right after it does no harm.
 	Inline map[string]string `json:"inline,omitempty"`
 }
 
@@ -41,16 +41,16 @@
 	Text string `json:"text"`
 }
 
-// Accepted is a revision with its text and tree.
+// Accepted is an accepted revision with its text and settings tree.
 type Accepted struct {
 	Entry Entry
 	Text  []byte
 	Tree  *settings.Tree
-	// Chunks holds the text of each chunk by its hash; it must not be changed.
+	// Chunks holds the text of each chunk by its hash; it must not be modified.
 	Chunks map[string][]byte
 }
 
-// DecodeRoot reads a root object.
+// DecodeRoot decodes a root object.
 func DecodeRoot(o store.Object) (Root, error) {
 	var r Root
 	if err := json.Unmarshal(o.Spec, &r); err != nil {
@@ -59,10 +59,10 @@
 	return r, nil
 }
 
-// Source gives a chunk's text by its hash.
+// Source returns a chunk's text by its hash.
 type Source func(ctx context.Context, hash string) ([]byte, error)
 
-// StoreSource reads chunks from the object API.
+// StoreSource returns a source that reads chunks from the object API.
 func StoreSource(c store.Client) Source {
 	return func(ctx context.Context, hash string) ([]byte, error) {
 		o, err := c.Get(ctx, store.KindChunk, hash)
@@ -77,8 +77,7 @@
 	}
 }
 
-// InlineSource gives the chunks that stand in the root, and asks next for the
-// others.
+// InlineSource returns a source of the chunks in the root; it gets the others from next.
 func (r Root) InlineSource(next Source) Source {
 	return func(ctx context.Context, hash string) ([]byte, error) {
 		if text, inline := r.Inline[hash]; inline {
@@ -88,18 +87,17 @@
 	}
 }
 
-// Fetcher reads revisions and keeps the chunks of the last one. It is not safe
-// for concurrent use.
+// Fetcher reads revisions and caches the chunks of the last one. It is not safe for concurrent
+// use.
 type Fetcher struct {
 	chunks map[string][]byte
 }
 
-// NewFetcher returns a fetcher with nothing kept.
+// NewFetcher returns a fetcher with an empty cache.
 func NewFetcher() *Fetcher { return &Fetcher{chunks: map[string][]byte{}} }
 
-// Fetch returns the revision of an entry, reading only chunks that the last
-// revision did not have. Each chunk is checked against its hash, so it does
-// not matter whom the source asks.
+// Fetch returns the revision of an entry, reading only chunks that the last revision did not
+// have. Each chunk is verified against its hash, so the source need not be trusted.
 func (f *Fetcher) Fetch(ctx context.Context, e Entry, source Source) (*Accepted, error) {
 	next := make(map[string][]byte, len(e.Chunks))
 	for _, hash := range e.Chunks {
@@ -135,12 +133,12 @@
 		return nil, err
 	}
 	if sum := sha256.Sum256(text); hex.EncodeToString(sum[:]) != hash {
-		return nil, &TextError{Err: fmt.Errorf("chunk %s does not have its hash", hash)}
+		return nil, &TextError{Err: fmt.Errorf("chunk %s does not match its hash", hash)}
 	}
 	return text, nil
 }
 
-// ReadCurrent returns the newest revision that the object API has.
+// ReadCurrent returns the newest revision in the object API.
 func ReadCurrent(ctx context.Context, c store.Client) (*Accepted, error) {
 	root, err := ReadRoot(ctx, c)
 	if err != nil {
