--- a/clock/boot_linux.go
+++ b/clock/boot_linux.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootTime is the time since the system was booted, suspension included.
+// bootTime returns the time since the system was booted, including suspension.
 func bootTime() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/clock/boot_other.go
+++ b/clock/boot_other.go
@@ -7,5 +7,5 @@
 	"time"
 )
 
-// bootTime is not read on other systems, where suspension goes unnoticed.
+// bootTime is not supported on other systems, where suspension is not detected.
 func bootTime() (time.Duration, error) { return 0, errors.ErrUnsupported }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -6,109 +6,110 @@
 	"time"
 )
 
-// Source is where a Clock reads the time.
+// Source is the set of clocks that a Clock reads.
 type Source struct {
-	// Now is the steady clock; WallOf is the time of day of one of its readings.
+	// Now returns a reading of the monotonic clock; WallClock returns the wall clock time of
+	// such a reading.
 	Now       func() time.Time
 	WallClock func(time.Time) time.Duration
-	// Boot is a steady clock that counts suspension. An error says that the system has
-	// none; then suspension is not noticed.
+	// Boot returns the time of a monotonic clock that includes suspension. An error means that
+	// the system has none; suspension is then not detected.
 	Boot func() (time.Duration, error)
 }
 
-// System is the system's clocks.
+// System returns the clocks of the system.
 func System() Source {
 	return Source{Now: time.Now, WallClock: func(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }, Boot: bootTime}
 }
 
-// noticed is the least suspension that counts, and the least jump between the steady
-// clock and the time of day that makes the clock look for one. Bounds of the leases leave
-// several times as much.
-const noticed = 20 * time.Millisecond
+// minSuspension is the shortest suspension that counts, and the smallest jump between the
+// monotonic clock and the wall clock that triggers a check. The bounds of the leases leave a
+// margin of several times as much.
+const minSuspension = 20 * time.Millisecond
 
-// Clock is a steady clock that counts suspension. Its times show the time of day as it was
-// when the clock was made, and how long ago that was: setting the time of day moves none
-// of them. They compare with each other, and not with time.Now. It is safe for concurrent
+// Clock is a monotonic clock that includes suspension. Its times are the wall clock time at
+// which the clock was made, plus the time elapsed since: setting the wall clock does not change
+// them. They can be compared with each other, but not with time.Now. It is safe for concurrent
 // use.
 type Clock struct {
 	source   Source
 	base     time.Time
 	wallBase time.Duration
 	bootBase time.Duration
-	// woken is told of each suspension, on a goroutine of its own.
-	woken func(slept time.Duration)
-	// drift is that of the time of day against the steady clock when last looked at.
+	// onWake is called for each suspension, on a goroutine of its own.
+	onWake func(suspended time.Duration)
+	// drift is the offset of the wall clock from the monotonic clock at the last check.
 	drift atomic.Int64
-	// slept is how long the machine has been suspended since the clock was made.
-	slept atomic.Int64
-	// counted is how often.
-	counted atomic.Int64
-	mu      sync.Mutex
-	// broken is set if the system does not tell.
-	broken bool
+	// suspended is how long the machine has been suspended since the clock was made.
+	suspended atomic.Int64
+	// suspensions is the number of suspensions.
+	suspensions atomic.Int64
+	mu          sync.Mutex
+	// noBootClock is set if the system has no boot clock.
+	noBootClock bool
 }
 
-// New returns a clock. woken is told how long a suspension was that has just been
-// noticed, on a goroutine of its own; nil tells nobody.
-func New(s Source, woken func(slept time.Duration)) *Clock {
-	if woken == nil {
-		woken = func(time.Duration) {}
+// New returns a clock. onWake is called with the length of each suspension that is detected, on
+// a goroutine of its own; it may be nil.
+func New(s Source, onWake func(suspended time.Duration)) *Clock {
+	if onWake == nil {
+		onWake = func(time.Duration) {}
 	}
-	c := &Clock{source: s, woken: woken, base: s.Now()}
+	c := &Clock{source: s, onWake: onWake, base: s.Now()}
 	c.wallBase = s.WallClock(c.base)
 	var err error
 	c.bootBase, err = s.Boot()
-	c.broken = err != nil
+	c.noBootClock = err != nil
 	return c
 }
 
-// Now is the time. It reads the system's boot clock only where the time of day has moved
-// against the steady clock, as it does when the machine wakes: reading that clock is a
-// system call.
+// Now returns the time. It reads the system's boot clock only if the wall clock has moved
+// against the monotonic clock, as it does when the machine wakes up: reading the boot clock
+// takes a system call.
 func (c *Clock) Now() time.Time {
 	t := c.source.Now()
 	drift := c.source.WallClock(t) - c.wallBase - t.Sub(c.base)
-	if moved := drift - time.Duration(c.drift.Load()); moved >= noticed || moved <= -noticed {
+	if moved := drift - time.Duration(c.drift.Load()); moved >= minSuspension || moved <= -minSuspension {
 		c.drift.Store(int64(drift))
-		c.look()
+		c.detectSuspension()
 	}
-	return c.base.Round(0).Add(t.Sub(c.base) + time.Duration(c.slept.Load()))
+	return c.base.Round(0).Add(t.Sub(c.base) + time.Duration(c.suspended.Load()))
 }
 
-// NowExact is the time where a right to act rests on it: a machine that is suspended while
-// somebody sets the time of day back by as much shows no jump.
+// NowExact returns the time for decisions on a right to act. Unlike Now, it also detects a
+// suspension during which the wall clock was set back by the same time, so that no jump shows.
 func (c *Clock) NowExact() time.Time {
-	c.look()
+	c.detectSuspension()
 	return c.Now()
 }
 
-// look finds out whether the machine has been suspended.
-func (c *Clock) look() {
+// detectSuspension checks whether the machine has been suspended.
+func (c *Clock) detectSuspension() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.broken {
+	if c.noBootClock {
 		return
 	}
-	// The steady clock is read first: a suspension between the two readings is counted,
-	// and one that is counted too early ends no right too late.
-	steady := c.source.Now().Sub(c.base)
+	// The monotonic clock is read first: a suspension between the two readings is counted, and
+	// counting one too early never extends a right to act.
+	monotonic := c.source.Now().Sub(c.base)
 	boot, err := c.source.Boot()
 	if err != nil {
-		c.broken = true
+		c.noBootClock = true
 		return
 	}
-	slept := boot - c.bootBase - steady
-	more := slept - time.Duration(c.slept.Load())
-	if more < noticed {
+	suspended := boot - c.bootBase - monotonic
+	added := suspended - time.Duration(c.suspended.Load())
+	if added < minSuspension {
 		return
 	}
-	c.slept.Store(int64(slept))
-	c.counted.Add(1)
-	go c.woken(more)
+	c.suspended.Store(int64(suspended))
+	c.suspensions.Add(1)
+	go c.onWake(added)
 }
 
-// Suspensions is how often the machine was suspended, and Slept for how long in all.
-func (c *Clock) Suspensions() int64 { return c.counted.Load() }
+// Suspensions returns how often the machine has been suspended since the clock was made.
+func (c *Clock) Suspensions() int64 { return c.suspensions.Load() }
 
-// Suspended is how long the machine has been suspended since the clock was made.
-func (c *Clock) Suspended() time.Duration { return time.Duration(c.slept.Load()) }
+// Suspended returns how long the machine has been suspended since the clock was made.
+func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -9,18 +9,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// machine has the clocks of a machine: steady stands still while it is suspended, and
-// the time of day is set now and then.
+// machine holds the clocks of a machine: monotonic stands still while it is suspended, and wall
+// is set now and then.
 type machine struct {
-	steady, boot, wall time.Duration
-	broken             bool
+	monotonic, boot, wall time.Duration
+	broken                bool
 }
 
 var epoch = time.Unix(1_000, 0)
 
 func (m *machine) source() Source {
 	return Source{
-		Now:       func() time.Time { return epoch.Add(m.steady) },
+		Now:       func() time.Time { return epoch.Add(m.monotonic) },
 		WallClock: func(time.Time) time.Duration { return m.wall },
 		Boot: func() (time.Duration, error) {
 			if m.broken {
@@ -32,7 +32,7 @@
 }
 
 func (m *machine) run(d time.Duration) {
-	m.steady += d
+	m.monotonic += d
 	m.boot += d
 	m.wall += d
 }
@@ -42,14 +42,14 @@
 	m.wall += d
 }
 
-func TestTimeGoesOnWhileSuspended(t *testing.T) {
+func TestTimeAdvancesDuringSuspension(t *testing.T) {
 	m := &machine{}
 	woken := make(chan time.Duration, 1)
-	c := New(m.source(), func(slept time.Duration) { woken <- slept })
+	c := New(m.source(), func(suspended time.Duration) { woken <- suspended })
 	m.run(time.Second)
 	require.Equal(t, epoch.Add(time.Second), c.Now())
 	m.suspend(10 * time.Second)
-	require.Equal(t, epoch.Add(11*time.Second), c.Now(), "the first reading behind it")
+	require.Equal(t, epoch.Add(11*time.Second), c.Now(), "the first reading after it")
 	require.Equal(t, 10*time.Second, <-woken)
 	m.run(time.Second)
 	require.Equal(t, epoch.Add(12*time.Second), c.Now())
@@ -57,9 +57,9 @@
 	require.Equal(t, 10*time.Second, c.Suspended())
 }
 
-func TestSettingTheTimeOfDayIsNoSuspension(t *testing.T) {
+func TestSettingTheWallClockIsNoSuspension(t *testing.T) {
 	m := &machine{}
-	c := New(m.source(), func(time.Duration) { t.Error("told of a suspension") })
+	c := New(m.source(), func(time.Duration) { t.Error("a suspension was reported") })
 	for _, step := range []time.Duration{time.Hour, -2 * time.Second, 5 * time.Millisecond} {
 		m.wall += step
 		m.run(time.Second)
@@ -70,9 +70,9 @@
 	require.Zero(t, c.Suspensions())
 }
 
-// TestStepBackHidesNoSuspensionFromExact suspends the machine and sets its time of day
-// back by as much, so that no jump shows.
-func TestStepBackHidesNoSuspensionFromExact(t *testing.T) {
+// TestNowExactDetectsSuspensionDespiteWallClockStep suspends the machine and sets its wall
+// clock back by the same time, so that no jump shows.
+func TestNowExactDetectsSuspensionDespiteWallClockStep(t *testing.T) {
 	m := &machine{}
 	c := New(m.source(), nil)
 	m.suspend(3 * time.Second)
@@ -80,7 +80,7 @@
 	require.Equal(t, epoch.Add(3*time.Second), c.NowExact())
 }
 
-func TestWithoutBootClockTheSteadyOneIsGiven(t *testing.T) {
+func TestMonotonicClockIsUsedWithoutBootClock(t *testing.T) {
 	m := &machine{broken: true}
 	c := New(m.source(), nil)
 	m.suspend(3 * time.Second)
@@ -88,8 +88,8 @@
 	require.Equal(t, epoch.Add(time.Second), c.NowExact())
 }
 
-// TestClockFollowsTheBootClock draws runs, suspensions and steps of the time of day: the
-// time never goes back, and is never behind the boot clock by noticed or more.
+// TestClockFollowsTheBootClock runs, suspends and sets the wall clock at random: the time never
+// goes back, and lags behind the boot clock by less than minSuspension.
 func TestClockFollowsTheBootClock(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
@@ -108,9 +108,9 @@
 			}
 			now := c.NowExact()
 			require.False(t, now.Before(last), "seed %d", seed)
-			behind := epoch.Add(m.boot).Sub(now)
-			require.Less(t, behind, noticed, "seed %d", seed)
-			require.GreaterOrEqual(t, behind, time.Duration(0), "seed %d", seed)
+			lag := epoch.Add(m.boot).Sub(now)
+			require.Less(t, lag, minSuspension, "seed %d", seed)
+			require.GreaterOrEqual(t, lag, time.Duration(0), "seed %d", seed)
 			last = now
 		}
 	}
--- a/clock/doc.go
+++ b/clock/doc.go
@@ -1,10 +1,12 @@
-// Package clock gives a time that goes on while the machine is suspended.
+// Package clock provides a time that advances while the machine is suspended.
 //
-// The runtime's steady clock stands still then. A process that wakes would take what it
-// knew for as young as before, and a lease that others have taken meanwhile for its own.
-// Nothing here decides: cores take the time as an argument, and judge by it.
+// The runtime's monotonic clock stands still during suspension. A process that wakes up would
+// treat its state as no older than before, and would consider a lease its own that another
+// instance has acquired meanwhile. This package makes no decisions: state machines take the
+// time as an argument and decide by it.
 //
-// What the time cannot help are timers of the runtime, which fire late by as long as the
-// machine was suspended. So a right to act rests on no timer: the time is read again right
-// before the act. What waits on a timer besides is told by Woken.
+// The time does not help with timers of the runtime, which fire late by the length of the
+// suspension. A right to act must therefore not depend on a timer: the time is read again right
+// before the action. Other code that waits on a timer is notified by the onWake function of
+// New.
 package clock
