--- a/internal/seeded/seeded.go
+++ b/internal/seeded/seeded.go
@@ -1,6 +1,5 @@
-// Package seeded fixes the seed of the property tests of the packages whose
-// tests import it, so that CI gives the same verdict each time. Fresh seeds are
-// drawn by hand with -rapid.seed=0.
+// Package seeded sets a fixed seed for the property tests of the packages whose tests import
+// it, so that CI is deterministic. Other seeds are used with -rapid.seed=0.
 package seeded
 
 import (
@@ -10,7 +9,7 @@
 	_ "pgregory.net/rapid"
 )
 
-// Seed is what property tests begin with unless told otherwise.
+// Seed is the default seed of property tests.
 const Seed = "20261202"
 
 func init() {
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,19 +1,19 @@
-// Package outcome defines what became of a request. The same three outcomes
-// are used in every layer, in logs, in metrics and towards callers.
+// Package outcome defines the outcomes of a request. The same values are used in every layer,
+// in logs, in metrics and in responses to callers.
 package outcome
 
-// Outcome is what became of a request.
+// Outcome is the outcome of a request.
 type Outcome string
 
 const (
-	// Complete means that the whole answer reached the caller.
+	// Complete means that the whole response reached the caller.
 	Complete Outcome = "complete"
-	// NotRun is proof that no endpoint started the request and that none will.
+	// NotRun proves that no endpoint started the request and that none will.
 	NotRun Outcome = "not_run"
 	// Unknown means that the request may have run.
 	Unknown Outcome = "unknown"
-	// Rejected means that the request was at fault; nothing was dispatched.
+	// Rejected means that the request was invalid; nothing was dispatched.
 	Rejected Outcome = "rejected"
-	// Cancelled means that the caller went away first.
+	// Cancelled means that the caller disconnected first.
 	Cancelled Outcome = "cancelled"
 )
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -1,5 +1,5 @@
-// Package ring joins duties: a bounded ring buffer that one or more goroutines
-// put into and one takes from. Each ring names what happens when it is full.
+// Package ring provides a bounded ring buffer that connects goroutines: one or more put items
+// into it, and one takes them out. Each ring has a policy for when it is full.
 package ring
 
 import (
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// Policy says what Put does when the ring is full.
+// Policy defines what Put does when the ring is full.
 type Policy int
 
 // Overflow policies.
@@ -40,14 +40,14 @@
 	dropped int64
 	added   int64
 	closed  bool
-	// filled and freed each hold at most one wake-up.
-	filled chan struct{}
-	freed  chan struct{}
+	// notEmpty and notFull each hold at most one wake-up.
+	notEmpty chan struct{}
+	notFull  chan struct{}
 }
 
-// New returns an empty ring for capacity items.
+// New returns an empty ring with room for capacity items.
 func New[T any](capacity int, p Policy) *Ring[T] {
-	return &Ring[T]{policy: p, items: make([]T, capacity), filled: make(chan struct{}, 1), freed: make(chan struct{}, 1)}
+	return &Ring[T]{policy: p, items: make([]T, capacity), notEmpty: make(chan struct{}, 1), notFull: make(chan struct{}, 1)}
 }
 
 // Put adds an item. It fails with ErrFull, ErrClosed or ctx's error.
@@ -60,12 +60,13 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-r.freed:
+		case <-r.notFull:
 		}
 	}
 }
 
-// Offer adds an item unless the ring is full, whatever its policy. It reports whether it did.
+// Offer adds an item unless the ring is full, whatever its policy. It reports whether the item
+// was added.
 func (r *Ring[T]) Offer(item T) bool {
 	r.mu.Lock()
 	full := r.size == len(r.items)
@@ -73,7 +74,7 @@
 	if full {
 		return false
 	}
-	// Another may have filled the ring meanwhile, and then its policy decides.
+	// Another goroutine may have filled the ring meanwhile; its policy then applies.
 	done, err := r.tryPut(item)
 	return done && err == nil
 }
@@ -99,9 +100,9 @@
 	r.items[(r.head+r.size)%len(r.items)] = item
 	r.size++
 	r.added++
-	wake(r.filled)
+	notify(r.notEmpty)
 	if r.size < len(r.items) {
-		wake(r.freed)
+		notify(r.notFull)
 	}
 	return true, nil
 }
@@ -120,7 +121,7 @@
 		select {
 		case <-ctx.Done():
 			return item, ctx.Err()
-		case <-r.filled:
+		case <-r.notEmpty:
 		}
 	}
 }
@@ -133,9 +134,9 @@
 	}
 	item = r.pop()
 	if r.size > 0 || r.closed {
-		wake(r.filled)
+		notify(r.notEmpty)
 	}
-	wake(r.freed)
+	notify(r.notFull)
 	return item, true, false
 }
 
@@ -148,13 +149,13 @@
 	return item
 }
 
-// Close ends the ring; what is in it can still be taken.
+// Close closes the ring; the items in it can still be taken.
 func (r *Ring[T]) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
-	wake(r.filled)
-	wake(r.freed)
+	notify(r.notEmpty)
+	notify(r.notFull)
 }
 
 // Len returns the number of items.
@@ -164,21 +165,21 @@
 	return r.size
 }
 
-// Added returns how many items were ever put in.
+// Added returns how many items have been put into the ring.
 func (r *Ring[T]) Added() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.added
 }
 
-// Dropped returns how many items were dropped or rejected.
+// Dropped returns how many items have been dropped or rejected.
 func (r *Ring[T]) Dropped() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.dropped
 }
 
-func wake(c chan struct{}) {
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
--- a/ring/ring_test.go
+++ b/ring/ring_test.go
@@ -66,7 +66,7 @@
 	})
 }
 
-// TestOfferNeverWaits fills a ring that blocks.
+// TestOfferNeverWaits fills a ring with the Block policy.
 func TestOfferNeverWaits(t *testing.T) {
 	r := New[int](2, Block)
 	require.True(t, r.Offer(1))
--- a/wait/wait.go
+++ b/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for time to pass, or for a context to end.
+// Package wait waits for a duration or until a context ends.
 package wait
 
 import (
@@ -21,13 +21,12 @@
 	}
 }
 
-// PollInterval is the time between two looks of While at its condition.
+// PollInterval is the interval at which While checks its condition.
 const PollInterval = 100 * time.Millisecond
 
-// While waits for d, but no longer than keep holds. It reports false if ctx ended
-// first.
-func While(ctx context.Context, d time.Duration, keep func() bool) bool {
-	for d > 0 && keep() {
+// While waits for d, or until condition returns false. It reports false if ctx ended first.
+func While(ctx context.Context, d time.Duration, condition func() bool) bool {
+	for d > 0 && condition() {
 		step := min(d, PollInterval)
 		if !For(ctx, step) {
 			return false
