--- a/authority/tracker_test.go
+++ b/authority/tracker_test.go
@@ -14,60 +14,60 @@
 func at(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 
 func TestConfirmationExpires(t *testing.T) {
-	k := NewTracker(bound)
-	require.False(t, k.Current(at(0), 7), "nothing is known yet")
-	k.Confirmed(at(0), 7)
-	require.True(t, k.Current(at(4.4), 7))
-	require.False(t, k.Current(at(4.5), 7))
-	k.Confirmed(at(3), 7)
-	require.True(t, k.Current(at(7), 7))
-	k.Confirmed(at(1), 7)
-	require.True(t, k.Current(at(7), 7), "a late confirmation does not replace a newer one")
+	tracker := NewTracker(bound)
+	require.False(t, tracker.Current(at(0), 7), "nothing is known yet")
+	tracker.Confirmed(at(0), 7)
+	require.True(t, tracker.Current(at(4.4), 7))
+	require.False(t, tracker.Current(at(4.5), 7))
+	tracker.Confirmed(at(3), 7)
+	require.True(t, tracker.Current(at(7), 7))
+	tracker.Confirmed(at(1), 7)
+	require.True(t, tracker.Current(at(7), 7), "a late confirmation does not replace a newer one")
 }
 
 func TestWithoutBoundConfirmationsDoNotExpire(t *testing.T) {
-	k := NewTracker(0)
-	require.True(t, k.Current(at(1e6), 1))
-	require.Zero(t, k.NextRequest(at(0)))
+	tracker := NewTracker(0)
+	require.True(t, tracker.Current(at(1e6), 1))
+	require.Zero(t, tracker.NextRequest(at(0)))
 }
 
 // TestNewerRevisionMustBeInForce confirms settings that are not in force here yet.
 func TestNewerRevisionMustBeInForce(t *testing.T) {
-	k := NewTracker(bound)
-	k.Confirmed(at(0), 7)
-	k.Confirmed(at(3), 8)
-	require.False(t, k.Current(at(5), 7), "8 may have revoked a key")
-	require.True(t, k.Current(at(5), 8))
-	require.True(t, k.Current(at(4), 9), "the revision in force is newer than the confirmed one")
+	tracker := NewTracker(bound)
+	tracker.Confirmed(at(0), 7)
+	tracker.Confirmed(at(3), 8)
+	require.False(t, tracker.Current(at(5), 7), "8 may have revoked a key")
+	require.True(t, tracker.Current(at(5), 8))
+	require.True(t, tracker.Current(at(4), 9), "the revision in force is newer than the confirmed one")
 }
 
 // TestReportedRevisionMustComeIntoForce covers a store that was restored from a copy and
 // presents older settings as the newest.
 func TestReportedRevisionMustComeIntoForce(t *testing.T) {
-	k := NewTracker(bound)
-	k.ObserveRevision(at(0), 8)
-	k.Confirmed(at(1), 7)
-	require.True(t, k.Current(at(1.5), 7), "it may still come into force")
-	require.False(t, k.Current(at(2.5), 7))
-	require.True(t, k.Current(at(2.5), 8))
+	tracker := NewTracker(bound)
+	tracker.ObserveRevision(at(0), 8)
+	tracker.Confirmed(at(1), 7)
+	require.True(t, tracker.Current(at(1.5), 7), "it may still come into force")
+	require.False(t, tracker.Current(at(2.5), 7))
+	require.True(t, tracker.Current(at(2.5), 8))
 }
 
 func TestReplyCountsFromItsRequest(t *testing.T) {
-	k := NewTracker(bound)
-	first := k.NextRequest(at(0))
+	tracker := NewTracker(bound)
+	first := tracker.NextRequest(at(0))
 	require.NotZero(t, first)
-	require.Zero(t, k.NextRequest(at(0.1)), "the interval has not passed")
-	second := k.NextRequest(at(1))
-	k.Replied(first, 7)
-	age, known := k.Age(at(3), 7)
+	require.Zero(t, tracker.NextRequest(at(0.1)), "the interval has not passed")
+	second := tracker.NextRequest(at(1))
+	tracker.Replied(first, 7)
+	age, known := tracker.Age(at(3), 7)
 	require.True(t, known)
 	require.Equal(t, 3*time.Second, age)
-	k.Replied(second, 7)
-	age, _ = k.Age(at(3), 7)
+	tracker.Replied(second, 7)
+	age, _ = tracker.Age(at(3), 7)
 	require.Equal(t, 2*time.Second, age)
-	k.Replied(99, 7)
-	k.Replied(0, 7)
-	age, _ = k.Age(at(3), 7)
+	tracker.Replied(99, 7)
+	tracker.Replied(0, 7)
+	age, _ = tracker.Age(at(3), 7)
 	require.Equal(t, 2*time.Second, age, "unknown tokens are ignored")
 }
 
@@ -144,7 +144,7 @@
 			w.replies = append(w.replies, reply{e.Token, w.read})
 		}
 	case 6:
-		if i := rapid.IntRange(-1, len(w.replies)-1).Draw(t, "answer"); i >= 0 {
+		if i := rapid.IntRange(-1, len(w.replies)-1).Draw(t, "reply"); i >= 0 {
 			w.tracker.Replied(w.replies[i].token, w.replies[i].revision)
 			w.inForce = max(w.inForce, w.replies[i].revision)
 		}
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -100,8 +100,8 @@
 
 func (s *claimSim) step(n *simShard, e Event) {
 	for _, a := range n.machine.Step(s.now, e) {
-		if answered, ok := a.(Replied); ok {
-			s.answered(answered)
+		if replied, ok := a.(Replied); ok {
+			s.replied(replied)
 			continue
 		}
 		if w, ok := a.(Write); ok && s.broken.grantEarly {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (s *claimSim) answered(a Replied) {
+func (s *claimSim) replied(a Replied) {
 	if attempt := s.attempts[a.ID]; attempt != nil && a.Verdict == Granted {
 		attempt.granted = true
 	}
--- a/lease/era_test.go
+++ b/lease/era_test.go
@@ -20,9 +20,9 @@
 	copy    *restoredStore
 }
 
-// eraWorld simulates several machines that use such a store. They share a clock; their calls
+// eraSimulation simulates several machines that use such a store. They share a clock; their calls
 // take effect, and are answered, after any delay.
-type eraWorld struct {
+type eraSimulation struct {
 	random *rand.Rand
 	now    time.Time
 	store  restoredStore
@@ -51,8 +51,8 @@
 	event   Event
 }
 
-func newEraWorld(seed uint64) *eraWorld {
-	w := &eraWorld{random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1000, 0), epochs: map[int64]int{}}
+func newEraSimulation(seed uint64) *eraSimulation {
+	w := &eraSimulation{random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1000, 0), epochs: map[int64]int{}}
 	w.store.era = 1
 	for i := range 3 {
 		w.nodes = append(w.nodes, &eraNode{machine: NewMachine(NewConfig(fmt.Sprintf("node-%d", i)))})
@@ -60,7 +60,7 @@
 	return w
 }
 
-func (w *eraWorld) step(i int, e Event) error {
+func (w *eraSimulation) step(i int, e Event) error {
 	n := w.nodes[i]
 	for _, a := range n.machine.Step(w.now, e) {
 		switch a := a.(type) {
@@ -82,7 +82,7 @@
 
 // checkSingleHolder returns an error if two machines hold the lease now, or if one holds it
 // with an epoch below that of another, as endpoints then ignore it.
-func (w *eraWorld) checkSingleHolder() error {
+func (w *eraSimulation) checkSingleHolder() error {
 	holder := -1
 	for i, n := range w.nodes {
 		epoch, held := n.machine.Held(w.now)
@@ -105,7 +105,7 @@
 }
 
 // takeEffect applies a call to the store.
-func (w *eraWorld) takeEffect(c *eraCall) {
+func (w *eraSimulation) takeEffect(c *eraCall) {
 	s := &w.store
 	c.applied, c.era = true, s.era
 	write, isWrite := c.action.(Write)
@@ -127,10 +127,10 @@
 	}
 }
 
-func (w *eraWorld) versionOf(version int) string { return w.asRead(w.store.era, version) }
+func (w *eraSimulation) versionOf(version int) string { return w.asRead(w.store.era, version) }
 
 // asRead returns a version as reported in an era. The store itself compares only the number.
-func (w *eraWorld) asRead(era int64, version int) string {
+func (w *eraSimulation) asRead(era int64, version int) string {
 	if w.ignoresEras {
 		era = 0
 	}
@@ -138,7 +138,7 @@
 }
 
 // answer delivers the outcome of a call.
-func (w *eraWorld) answer(i int, c *eraCall) error {
+func (w *eraSimulation) answer(i int, c *eraCall) error {
 	n := w.nodes[i]
 	if w.random.IntN(6) == 0 || !w.ignoresEras && c.era < n.era {
 		// The answer is lost, or of an earlier era than the known one.
@@ -157,7 +157,7 @@
 }
 
 // randomStep makes one random change.
-func (w *eraWorld) randomStep() error {
+func (w *eraSimulation) randomStep() error {
 	i := w.random.IntN(len(w.nodes))
 	n := w.nodes[i]
 	switch w.random.IntN(10) {
@@ -192,7 +192,7 @@
 	return nil
 }
 
-func (w *eraWorld) run(steps int) error {
+func (w *eraSimulation) run(steps int) error {
 	for range steps {
 		if err := w.randomStep(); err != nil {
 			return err
@@ -206,7 +206,7 @@
 func TestOneHoldsAcrossEras(t *testing.T) {
 	acquired := 0
 	for seed := range uint64(3000) {
-		w := newEraWorld(seed)
+		w := newEraSimulation(seed)
 		require.NoError(t, w.run(400), "seed %d", seed)
 		acquired += len(w.epochs)
 	}
@@ -216,7 +216,7 @@
 // TestIgnoredErasAreDetected shows that the check of TestOneHoldsAcrossEras can fail.
 func TestIgnoredErasAreDetected(t *testing.T) {
 	for seed := range uint64(3000) {
-		w := newEraWorld(seed)
+		w := newEraSimulation(seed)
 		w.ignoresEras = true
 		if w.run(400) != nil {
 			return
