--- a/membership/entries.go
+++ b/membership/entries.go
@@ -137,8 +137,9 @@
 	}
 }
 
-// correct returns an entry without what a copy of the store shows although it has ended. It
-// reports false for an entry to be ignored.
+// correct overrides the state of an entry that a restored copy of the store shows as live
+// although its member is known to be leaving or gone. It reports false for an entry to be
+// ignored.
 func (s *Entries) correct(now time.Time, m Member) (Member, bool) {
 	e, known := s.ended[m.Name]
 	switch {
