--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,7 +1,6 @@
-// Package admission decides when a request may go on: at once, after a wait
-// in a bounded queue, or not at all.
+// Package admission decides whether a request proceeds at once, waits in a bounded queue,
+// or is refused.
 //
-// Queue is the deciding part, a state machine without clock, goroutine or
-// I/O. Gate runs a queue for one pool and gives the waiting requests their
-// answer.
+// Queue makes the decisions. It is a state machine without a clock, goroutines or I/O.
+// Gate runs a queue for one pool and delivers the decisions to the waiting requests.
 package admission
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// RefusedError is a request that was not admitted; nothing of it has run.
+// RefusedError reports that a request was not admitted; no part of it has run.
 type RefusedError struct{ Reason Reason }
 
-// Error gives the reason.
+// Error returns the reason.
 func (e *RefusedError) Error() string { return "not admitted: " + string(e.Reason) }
 
-// Gate runs the queue of one pool. A place is whatever take reserves.
+// Gate runs the queue of one pool. The take function of a waiter reserves a slot for it.
 type Gate struct {
 	now func() time.Time
 
 	mu    sync.Mutex
 	queue *Queue
-	// waiting holds the channel of each waiter; nil is sent on admission.
-	waiting map[*Waiter]entry
-	// stopped is set once nobody may wait any more.
+	// waiting holds the reply channel of each waiter; nil is sent on admission.
+	waiting map[*Waiter]waiterEntry
+	// stopped is set once no request may wait any more.
 	stopped bool
 }
 
-type entry struct {
+type waiterEntry struct {
 	take   func() bool
 	answer chan error
 }
 
-// NewGate returns a gate over an empty queue.
+// NewGate returns a gate with an empty queue.
 func NewGate(l Limits, now func() time.Time) *Gate {
-	return &Gate{now: now, queue: NewQueue(l), waiting: map[*Waiter]entry{}}
+	return &Gate{now: now, queue: NewQueue(l), waiting: map[*Waiter]waiterEntry{}}
 }
 
-// Enter returns nil once take has reserved a place for w. It fails with
-// *RefusedError, or with ctx's error if the caller leaves first.
+// Enter returns nil once take has reserved a slot for w. It fails with *RefusedError, or
+// with ctx's error if ctx ends first.
 func (g *Gate) Enter(ctx context.Context, w *Waiter, take func() bool) error {
-	answer, entered := g.arrive(w, take)
-	if entered {
+	answer, admitted := g.enqueue(w, take)
+	if admitted {
 		return nil
 	}
 	expiry := time.NewTimer(w.StartBy.Sub(g.now()))
@@ -50,31 +50,31 @@
 		case <-expiry.C:
 			g.Wake()
 		case <-ctx.Done():
-			return g.leave(ctx, w, answer)
+			return g.cancel(ctx, w, answer)
 		}
 	}
 }
 
-func (g *Gate) arrive(w *Waiter, take func() bool) (answer chan error, entered bool) {
+func (g *Gate) enqueue(w *Waiter, take func() bool) (answer chan error, admitted bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.queue.Waiting(w.Unit) && take() {
 		return nil, true
 	}
 	answer = make(chan error, 1)
-	g.waiting[w] = entry{take: take, answer: answer}
+	g.waiting[w] = waiterEntry{take: take, answer: answer}
 	if g.stopped {
 		g.refuse([]Refusal{{Waiter: w, Reason: ReasonStopping}})
 		return answer, false
 	}
-	g.refuse(g.queue.Arrive(w))
+	g.refuse(g.queue.Enqueue(w))
 	return answer, false
 }
 
-// leave withdraws a waiter whose caller is gone. If it was admitted in the
-// same moment the admission stands, so that the reserved place is released by
-// the one path that releases places.
-func (g *Gate) leave(ctx context.Context, w *Waiter, answer chan error) error {
+// cancel withdraws a waiter whose context has ended. If the waiter was admitted at the
+// same time the admission stands, so that the reserved slot is released in the same place
+// as all others.
+func (g *Gate) cancel(ctx context.Context, w *Waiter, answer chan error) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.queue.Cancel(w) {
@@ -84,22 +84,22 @@
 	return <-answer
 }
 
-// Wake admits whoever can be admitted now. It is called when a place may have
+// Wake admits the waiters that can be admitted now. It is called when a slot may have
 // become free.
 func (g *Gate) Wake() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.kick()
+	g.admitWaiting()
 }
 
-// Completed tells the gate that an admitted request has left.
+// Completed informs the gate that an admitted request has ended.
 func (g *Gate) Completed() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.kick()
+	g.admitWaiting()
 }
 
-// Stop refuses all who wait, and from now on those who would have to.
+// Stop refuses all waiters, and from now on all requests that would have to wait.
 func (g *Gate) Stop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -107,24 +107,24 @@
 	g.refuse(g.queue.Clear(ReasonStopping))
 }
 
-func (g *Gate) kick() {
+func (g *Gate) admitWaiting() {
 	if g.queue.Len() == 0 {
 		return
 	}
-	admitted, refused := g.queue.Offer(g.now(), func(w *Waiter) bool { return g.waiting[w].take() })
+	admitted, refused := g.queue.Admit(g.now(), func(w *Waiter) bool { return g.waiting[w].take() })
 	for _, w := range admitted {
-		g.settle(w, nil)
+		g.reply(w, nil)
 	}
 	g.refuse(refused)
 }
 
 func (g *Gate) refuse(refusals []Refusal) {
 	for _, r := range refusals {
-		g.settle(r.Waiter, &RefusedError{Reason: r.Reason})
+		g.reply(r.Waiter, &RefusedError{Reason: r.Reason})
 	}
 }
 
-func (g *Gate) settle(w *Waiter, err error) {
+func (g *Gate) reply(w *Waiter, err error) {
 	g.waiting[w].answer <- err
 	delete(g.waiting, w)
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -9,14 +9,14 @@
 type Limits struct {
 	// MaxWaiters is the largest number of waiting requests.
 	MaxWaiters int
-	// MaxBytes is the largest sum of their bodies.
+	// MaxBytes is the largest total size of their bodies.
 	MaxBytes int
 }
 
 // Queue holds the waiting requests of one pool.
 //
-// Invariants: every list in units is sorted by rank and not empty; count and
-// bytes are the sums over all lists and stay within limits.
+// Invariants: every list in units is sorted by compare and not empty; count and bytes are
+// the totals over all lists and stay within limits.
 type Queue struct {
 	limits Limits
 	units  map[string][]*Waiter
@@ -32,14 +32,14 @@
 // Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.count }
 
-// Waiting tells whether requests for the unit wait.
+// Waiting reports whether requests for the unit are waiting.
 func (q *Queue) Waiting(unit string) bool { return len(q.units[unit]) > 0 }
 
-// Arrive puts a waiter in the queue and returns those refused for it: the
-// waiter itself, or waiters of lower rank that made room.
-func (q *Queue) Arrive(w *Waiter) []Refusal {
+// Enqueue adds a waiter to the queue and returns the waiters refused for it: either the
+// new one, or waiters of lower rank that are removed to make room.
+func (q *Queue) Enqueue(w *Waiter) []Refusal {
 	var refused []Refusal
-	if w.Bounded && q.ahead(w) > w.MaxAhead {
+	if w.Bounded && q.countAhead(w) > w.MaxAhead {
 		return append(refused, Refusal{Waiter: w, Reason: ReasonTooManyAhead})
 	}
 	for q.count+1 > q.limits.MaxWaiters || q.bytes+w.Bytes > q.limits.MaxBytes {
@@ -54,9 +54,9 @@
 	return refused
 }
 
-// Offer admits waiters in the order of their rank as long as take reserves a
-// place for them. It also refuses those whose time has passed.
-func (q *Queue) Offer(now time.Time, take func(*Waiter) bool) (admitted []*Waiter, refused []Refusal) {
+// Admit admits waiters in order of rank as long as take reserves a slot for them. It also
+// refuses waiters whose StartBy has passed.
+func (q *Queue) Admit(now time.Time, take func(*Waiter) bool) (admitted []*Waiter, refused []Refusal) {
 	refused = q.expire(now)
 	full := make(map[string]bool)
 	for {
@@ -73,10 +73,10 @@
 	}
 }
 
-// Cancel takes a waiter out; it reports whether the waiter was still there.
+// Cancel removes a waiter and reports whether it was still queued.
 func (q *Queue) Cancel(w *Waiter) bool { return q.remove(w) }
 
-// Clear takes all waiters out and refuses them.
+// Clear removes and refuses all waiters.
 func (q *Queue) Clear(reason Reason) []Refusal {
 	var refused []Refusal
 	for _, list := range q.units {
@@ -89,7 +89,7 @@
 	return refused
 }
 
-// expire refuses the waiters whose time has passed.
+// expire refuses the waiters whose StartBy has passed.
 func (q *Queue) expire(now time.Time) []Refusal {
 	var refused []Refusal
 	for _, list := range q.units {
@@ -105,8 +105,8 @@
 	return refused
 }
 
-// ahead is how many waiters for the same unit go before w.
-func (q *Queue) ahead(w *Waiter) int {
+// countAhead returns the number of waiters for the same unit that go before w.
+func (q *Queue) countAhead(w *Waiter) int {
 	i, _ := slices.BinarySearchFunc(q.units[w.Unit], w, compare)
 	return i
 }
@@ -135,7 +135,7 @@
 	return true
 }
 
-// first returns the waiter of lowest rank whose unit is not in skip.
+// first returns the first waiter in order whose unit is not in skip.
 func (q *Queue) first(skip map[string]bool) *Waiter {
 	var best *Waiter
 	for unit, list := range q.units {
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -15,8 +15,7 @@
 	_ "github.com/eiderspring/eiderspring/internal/seeded"
 )
 
-// TestGolden runs the sessions in testdata: times are milliseconds since the
-// start.
+// TestGolden runs the sessions in testdata; times are in milliseconds since the start.
 func TestGolden(t *testing.T) {
 	start := time.Unix(0, 0)
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
@@ -29,13 +28,13 @@
 			var mostAhead int
 			d.ScanArgs(t, "at", &ms)
 			var b strings.Builder
-			show := func(refused []Refusal) {
+			writeRefusals := func(refused []Refusal) {
 				for _, r := range refused {
 					fmt.Fprintf(&b, "refuse %s %s\n", r.Waiter.ID, r.Reason)
 				}
 			}
 			switch d.Cmd {
-			case "arrive":
+			case "enqueue":
 				d.ScanArgs(t, "id", &id)
 				d.ScanArgs(t, "unit", &unit)
 				d.MaybeScanArgs(t, "priority", &priority)
@@ -44,26 +43,26 @@
 				d.MaybeScanArgs(t, "late", &late)
 				bounded = d.HasArg("most-ahead")
 				d.MaybeScanArgs(t, "most-ahead", &mostAhead)
-				show(q.Arrive(&Waiter{
+				writeRefusals(q.Enqueue(&Waiter{
 					ID: id, Unit: unit, Priority: priority, Late: late, Arrived: at(ms), StartBy: at(startBy), Bytes: bytes,
 					Bounded: bounded, MaxAhead: mostAhead,
 				}))
-			case "offer":
+			case "admit":
 				d.ScanArgs(t, "unit", &unit)
-				d.ScanArgs(t, "places", &n)
-				admitted, refused := q.Offer(at(ms), func(w *Waiter) bool {
+				d.ScanArgs(t, "slots", &n)
+				admitted, refused := q.Admit(at(ms), func(w *Waiter) bool {
 					if w.Unit != unit || n == 0 {
 						return false
 					}
 					n--
 					return true
 				})
-				show(refused)
+				writeRefusals(refused)
 				for _, w := range admitted {
 					fmt.Fprintf(&b, "admit %s\n", w.ID)
 				}
 			case "clear":
-				show(q.Clear(ReasonStopping))
+				writeRefusals(q.Clear(ReasonStopping))
 			}
 			fmt.Fprintf(&b, "waiting %d\n", q.Len())
 			return b.String()
@@ -71,8 +70,8 @@
 	})
 }
 
-// TestNobodyStarves checks that a waiter is overtaken only by those that
-// arrive within the head start of their priority.
+// TestNobodyStarves checks that a waiter is overtaken only by those that arrive within the
+// head start that their priority gives.
 func TestNobodyStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue(Limits{MaxWaiters: 1000, MaxBytes: 1000})
@@ -81,13 +80,13 @@
 		for i := range 100 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 			w := &Waiter{ID: fmt.Sprint(i), Unit: "u", Priority: rapid.IntRange(0, 3).Draw(t, "priority"), Arrived: now, StartBy: now.Add(time.Hour)}
-			require.Empty(t, q.Arrive(w))
+			require.Empty(t, q.Enqueue(w))
 			waiting[w] = true
-			if !rapid.Bool().Draw(t, "offer") {
+			if !rapid.Bool().Draw(t, "admit") {
 				continue
 			}
-			places := 1
-			admitted, _ := q.Offer(now, func(*Waiter) bool { places--; return places >= 0 })
+			slots := 1
+			admitted, _ := q.Admit(now, func(*Waiter) bool { slots--; return slots >= 0 })
 			require.Len(t, admitted, 1)
 			first := admitted[0]
 			delete(waiting, first)
@@ -132,8 +131,8 @@
 	})
 }
 
-// TestStoppedGateLetsNobodyWait stops a gate: whoever waits is refused at once, and
-// whoever comes later gets a place that is free or is refused.
+// A stopped gate must refuse its waiters at once. A later request must get a free slot or
+// be refused, but never wait.
 func TestStoppedGateLetsNobodyWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate(Limits{MaxWaiters: 10, MaxBytes: 1000}, time.Now)
@@ -150,7 +149,7 @@
 		require.Equal(t, ReasonStopping, refused.Reason)
 		require.ErrorAs(t, enter("comes later"), &refused)
 		free = true
-		require.NoError(t, enter("finds a place"))
+		require.NoError(t, enter("finds a slot"))
 		require.Zero(t, g.Len())
 	})
 }
