--- a/pipeline/admit.go
+++ b/pipeline/admit.go
@@ -16,11 +16,11 @@
 	limits admission.Limits
 	now    func() time.Time
 	gates  sync.Map
-	// stopped is set once nobody may wait any more.
+	// stopped is set once no request may wait any more.
 	stopped atomic.Bool
 }
 
-// NewGates returns gates that are made when first used.
+// NewGates returns Gates that creates each pool's gate on first use.
 func NewGates(l admission.Limits, now func() time.Time) *Gates {
 	return &Gates{limits: l, now: now}
 }
@@ -37,7 +37,7 @@
 	return gate.(*admission.Gate)
 }
 
-// Wake lets every gate admit whoever can be admitted now.
+// Wake makes every gate admit the waiters that can be admitted now.
 func (g *Gates) Wake() {
 	g.gates.Range(func(_, gate any) bool {
 		gate.(*admission.Gate).Wake()
@@ -63,8 +63,8 @@
 	return n
 }
 
-// Stop refuses all who wait at any gate, and from now on those who would have to: an
-// instance that stops has no time for them, and others have room.
+// Stop refuses all waiters at all gates, and from now on all requests that would have to
+// wait: a stopping instance has no time for them, and other instances have capacity.
 func (g *Gates) Stop() {
 	g.stopped.Store(true)
 	g.gates.Range(func(_, gate any) bool {
@@ -73,36 +73,37 @@
 	})
 }
 
-// admit waits until the router has a place for the next attempt.
+// admit waits until the router has a slot for the next attempt.
 type admit struct {
 	gates         *Gates
 	router        *routing.Router
 	failureDomain string
-	unreachable   func()
+	onNoReplica   func()
 	refusals      *Refusals
 	now           func() time.Time
 }
 
-// Process implements Filter. It adds an attempt with its reserved place.
+// Process implements Filter. It adds an attempt with its reserved slot.
 func (f admit) Process(ctx context.Context, x *Exchange) error {
 	now := f.now()
-	x.again = f.refusals.again(now, x.Call.SessionHash)
+	x.wasRefused = f.refusals.contains(now, x.Call.SessionHash)
 	req := routing.Request{
 		ID: x.ID, Unit: x.Target.Unit, Model: x.Target.Model, Pool: x.Target.Pool,
-		FailureDomain: f.failureDomain, Excluded: x.tried(),
-		PromptTokens: x.Call.PromptTokens, EventGapTarget: x.gapAim(), FirstTokenBy: x.firstBy(), Late: x.late(now), Regions: x.regions(),
+		FailureDomain: f.failureDomain, Excluded: x.triedEndpoints(),
+		PromptTokens: x.Call.PromptTokens, EventGapTarget: x.eventGapTarget(), FirstTokenBy: x.firstTokenBy(), Late: x.late(now), Regions: x.regions(),
 	}
 	var decision routing.Decision
 	var pickErr error
-	told := false
+	notified := false
 	take := func() bool {
 		req.Now = f.now()
 		decision, pickErr = f.router.Pick(&req)
-		if !told && errors.Is(pickErr, routing.ErrNoReplica) {
-			told = true
-			f.unreachable()
+		if !notified && errors.Is(pickErr, routing.ErrNoReplica) {
+			notified = true
+			f.onNoReplica()
 		}
-		// No wait helps where nothing is left to try; the error ends it below.
+		// Waiting does not help if no endpoint is left to try; the error ends the wait
+		// below.
 		return pickErr == nil || errors.Is(pickErr, routing.ErrNoEndpointLeft) || errors.Is(pickErr, routing.ErrNoOpenRegion)
 	}
 	w := &admission.Waiter{
@@ -112,13 +113,13 @@
 	req.Now = now
 	perSecond, limited := f.router.RateLimit(&req)
 	if limited {
-		w.Bounded, w.MaxAhead = true, placesUntil(w.StartBy.Sub(now), perSecond)
+		w.Bounded, w.MaxAhead = true, startsWithin(w.StartBy.Sub(now), perSecond)
 	}
 	if err := f.gates.Pool(x.Target.Pool).Enter(ctx, w, take); err != nil {
-		f.refusals.note(f.now(), x.Call.SessionHash)
-		refusal := refusalOf(err, pickErr)
+		f.refusals.record(f.now(), x.Call.SessionHash)
+		refusal := newAdmitError(err, pickErr)
 		if limited {
-			refusal.RetryAfter = spread(max(refusal.RetryAfter, permitRetryAfter(perSecond)))
+			refusal.RetryAfter = addJitter(max(refusal.RetryAfter, permitRetryAfter(perSecond)))
 		}
 		return refusal
 	}
--- a/pipeline/authenticate.go
+++ b/pipeline/authenticate.go
@@ -8,16 +8,16 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// Authenticator finds out whose request it is by its bearer token.
+// Authenticator identifies the caller of a request by its bearer token.
 type Authenticator struct {
-	// TokensCurrent tells whether the callers' tokens in settings of a revision may still be
-	// gone by: an instance that does not hear of tokens that were taken away must not let
-	// their holders in. Nil means always.
+	// TokensCurrent reports whether the callers' tokens in the settings of a revision may
+	// still be trusted: an instance that receives no revocations must not admit the
+	// holders of revoked tokens. Nil means always.
 	TokensCurrent func(revision int64) bool
 }
 
-// Identify returns whose token the request carries. Where no token is needed, one that is
-// unknown, or cannot be gone by now, is nobody's.
+// Identify returns the caller whose token the request carries. If no token is needed, an
+// unknown or currently untrusted token yields an anonymous identity.
 func (a Authenticator) Identify(r *http.Request, catalog *settings.Catalog, needed bool) (settings.Identity, error) {
 	who, err := a.find(r, catalog)
 	if err != nil && !needed {
@@ -43,8 +43,8 @@
 	return who, nil
 }
 
-// authenticate finds the caller by its bearer token and checks that it may use what it
-// asks for.
+// authenticate identifies the caller by its bearer token and checks that it may use what
+// it requests.
 type authenticate struct {
 	Authenticator
 	catalog func() *settings.Catalog
--- a/pipeline/bench_test.go
+++ b/pipeline/bench_test.go
@@ -30,8 +30,8 @@
 	"callers": {"c": {"tokenSHA256": ["3c469e9d6c5875d37a43f353d4f88e61fcf812c66eee3457465a40b0da4153e0"], "services": ["*"]}},
 }`
 
-// cannedServer answers every request on every connection with the same bytes,
-// at no cost that would show in the figures.
+// cannedServer answers every request on every connection with the same bytes, at
+// negligible cost.
 func cannedServer(b *testing.B, answer string) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,7 +49,7 @@
 				defer conn.Close()
 				lines := bufio.NewReader(conn)
 				for {
-					// The body is JSON without a line end, behind the blank line.
+					// The body is JSON without a line end, after the blank line.
 					line, err := lines.ReadSlice('\n')
 					if err != nil {
 						return
@@ -68,13 +68,13 @@
 	return l.Addr().String()
 }
 
-func benchPipeline(b testing.TB, address string) *Pipeline {
+func newTestPipeline(b testing.TB, address string) *Pipeline {
 	b.Helper()
-	return benchPipelineWith(b, address, func(*Config) {})
+	return newTestPipelineWith(b, address, func(*Config) {})
 }
 
-// benchPipelineWith is a pipeline of which change may change the configuration.
-func benchPipelineWith(b testing.TB, address string, change func(*Config)) *Pipeline {
+// newTestPipelineWith returns a pipeline whose configuration change may modify.
+func newTestPipelineWith(b testing.TB, address string, change func(*Config)) *Pipeline {
 	b.Helper()
 	tree, err := settings.Load("bench", []byte(benchSettings))
 	if err != nil {
@@ -96,8 +96,8 @@
 	return New(cfg)
 }
 
-// BenchmarkRequest measures one request through all filters, net/http's server
-// side apart.
+// BenchmarkRequest measures one request through all filters, without the server side of
+// net/http.
 func BenchmarkRequest(b *testing.B) {
 	event := "id: 0\ndata: {\"choices\":[{\"delta\":{\"content\":\"token \"}}]}\n\n"
 	stream := strings.Repeat(event, 64) + "data: [DONE]\n\n"
@@ -107,7 +107,7 @@
 			"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: keep-alive\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(stream)},
 	} {
 		b.Run(bc.name, func(b *testing.B) {
-			p := benchPipeline(b, cannedServer(b, bc.answer))
+			p := newTestPipeline(b, cannedServer(b, bc.answer))
 			b.ReportAllocs()
 			for b.Loop() {
 				r := httptest.NewRequest(http.MethodPost, bc.path, strings.NewReader(bc.body))
@@ -122,5 +122,5 @@
 	}
 }
 
-// chunked is the text as a chunked body of one chunk.
+// chunked encodes the text as a chunked body of one chunk.
 func chunked(s string) string { return fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(s), s) }
--- a/pipeline/body.go
+++ b/pipeline/body.go
@@ -6,22 +6,22 @@
 	"strconv"
 )
 
-// span is a part of a body, as byte offsets; an empty span is absent.
+// span is a range of byte offsets in a body; an empty span means absent.
 type span struct{ start, end int }
 
 func (s span) present() bool { return s.end > s.start }
 
-// bodyFields is what the pipeline needs of a completion request's body.
+// bodyFields holds the fields of a completion request's body that the pipeline needs.
 type bodyFields struct {
 	model    span
 	priority span
-	// open is the offset just behind the opening brace.
-	open   int
-	name   string
-	stream bool
+	// afterBrace is the offset just after the opening brace.
+	afterBrace int
+	name       string
+	stream     bool
 }
 
-// scanBody finds the fields of a JSON object without building the rest of it.
+// scanBody locates the fields of a JSON object without building the rest of it.
 func scanBody(body []byte) (bodyFields, error) {
 	var f bodyFields
 	dec := json.NewDecoder(bytes.NewReader(body))
@@ -32,7 +32,7 @@
 	if token != json.Delim('{') {
 		return f, errNotObject
 	}
-	f.open = int(dec.InputOffset())
+	f.afterBrace = int(dec.InputOffset())
 	for dec.More() {
 		key, err := dec.Token()
 		if err != nil {
@@ -43,7 +43,7 @@
 			return f, err
 		}
 		end := int(dec.InputOffset())
-		if err := f.note(key.(string), raw, span{start: end - len(raw), end: end}); err != nil {
+		if err := f.setField(key.(string), raw, span{start: end - len(raw), end: end}); err != nil {
 			return f, err
 		}
 	}
@@ -51,9 +51,9 @@
 	return f, err
 }
 
-func (f *bodyFields) note(key string, raw json.RawMessage, at span) error {
+func (f *bodyFields) setField(key string, raw json.RawMessage, at span) error {
 	if key == "model" && f.model.present() || key == "priority" && f.priority.present() {
-		// Endpoints may differ in which of the two they take.
+		// Endpoints may differ in which of the two values they use.
 		return bodyError("the field " + key + " stands twice")
 	}
 	switch key {
@@ -74,13 +74,13 @@
 
 const errNotObject = bodyError("the body is not a JSON object")
 
-// rewrite returns the body with the unit's name and the policy's priority in
-// place of the caller's.
+// rewrite returns the body with the unit's name and the policy's priority in place of the
+// caller's values.
 func (f *bodyFields) rewrite(body []byte, unit string, priority int) []byte {
 	model := strconv.AppendQuote(nil, unit)
 	level := strconv.AppendInt(nil, int64(priority), 10)
 	out := make([]byte, 0, len(body)+len(model)+len(level)+len(priorityMember)+1)
-	out = append(out, body[:f.open]...)
+	out = append(out, body[:f.afterBrace]...)
 	if !f.priority.present() {
 		out = append(out, priorityMember...)
 		out = append(out, level...)
@@ -90,7 +90,7 @@
 	if f.priority.present() && f.priority.start < f.model.start {
 		first, second = second, first
 	}
-	at := f.open
+	at := f.afterBrace
 	for _, e := range []edit{first, second} {
 		if !e.at.present() {
 			continue
--- a/pipeline/claim.go
+++ b/pipeline/claim.go
@@ -7,12 +7,12 @@
 	"github.com/eiderspring/eiderspring/claim"
 )
 
-// Claims claims idempotency keys; *claim.Keeper is one.
+// Claims claims idempotency keys; *claim.Claimer implements it.
 type Claims interface {
 	Begin(ctx context.Context, key claim.Key, fingerprint string) (*claim.Claim, *claim.Result, error)
 }
 
-// claimKey claims the key of a request that may not be repeated.
+// claimKey claims the idempotency key of a request that may not be repeated.
 type claimKey struct {
 	claims Claims
 }
@@ -31,14 +31,15 @@
 		return x.replay(result)
 	}
 	x.Claim = held
-	x.record = &recorder{}
+	x.recorder = &recorder{}
 	return nil
 }
 
-// errReplayed ends the pipeline after a recorded answer was given.
+// errReplayed ends the pipeline after a recorded answer was sent.
 var errReplayed = errors.New("replayed")
 
-// errNotRecorded is a key that has run, with an answer too large to record.
+// errNotRecorded is returned for a key whose request has run with an answer too large to
+// record.
 var errNotRecorded = errors.New("the key has run, but its answer was too large to record")
 
 func (x *Exchange) replay(r *claim.Result) error {
@@ -49,7 +50,7 @@
 	h.Set("Content-Type", r.ContentType)
 	h.Set(replayedHeader, "true")
 	x.Writer.WriteHeader(r.Status)
-	x.reached, x.Replayed = true, true
+	x.answerStarted, x.Replayed = true, true
 	n, err := x.Writer.Write(r.Body)
 	x.Bytes = int64(n)
 	if err != nil {
@@ -58,7 +59,7 @@
 	return errReplayed
 }
 
-// recorder keeps the beginning of an answer.
+// recorder records an answer of up to claim.MaxRecordedBody bytes.
 type recorder struct {
 	result claim.Result
 }
--- a/pipeline/decode.go
+++ b/pipeline/decode.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Paths of the callers' edge.
+// Paths and headers of the API for callers.
 const (
 	pathChat        = "/v1/chat/completions"
 	pathCompletions = "/v1/completions"
@@ -19,9 +19,9 @@
 	maxKeyBytes     = 256
 )
 
-// decode reads the request and finds what it asks for.
+// decode reads the request and determines what it asks for.
 type decode struct {
-	// maxBody bounds the body, in bytes.
+	// maxBody bounds the size of the body, in bytes.
 	maxBody int64
 }
 
@@ -42,7 +42,7 @@
 	return decodeCompletion(x)
 }
 
-// ReadBody reads the body of the request, of max bytes at most.
+// ReadBody reads the body of the request, of at most max bytes.
 func (x *Exchange) ReadBody(max int64) error {
 	body, err := io.ReadAll(http.MaxBytesReader(x.Writer, x.Request.Body, max))
 	var tooLarge *http.MaxBytesError
@@ -52,8 +52,8 @@
 	if err != nil {
 		return &DecodeError{Status: http.StatusBadRequest, Field: "body", Reason: err.Error()}
 	}
-	// The time to read a request is bounded, that to answer it is not by the
-	// same bound: without this the server would cancel a long stream.
+	// The read deadline bounds the time to read the request, not the time to answer it;
+	// without this reset the server would cancel a long stream.
 	_ = http.NewResponseController(x.Writer).SetReadDeadline(time.Time{})
 	x.Call.Body = body
 	return nil
--- a/pipeline/dialect.go
+++ b/pipeline/dialect.go
@@ -2,20 +2,20 @@
 
 import "net/http"
 
-// Dialect is how callers ask and how they are answered.
+// Dialect defines the API that callers use: how requests are decoded and how answers are
+// written.
 type Dialect interface {
-	// PrepareFilters returns the filters that find out what is asked. Together they
-	// set Call, Caller and Target of the exchange.
+	// PrepareFilters returns the filters that decode a request. Together they set Call,
+	// Caller and Target of the exchange.
 	PrepareFilters() []Filter
 	// SetHeaders completes the end-to-end headers of an answer that is passed on.
 	SetHeaders(h http.Header, x *Exchange)
-	// WriteFailure gives the caller a failure as a whole answer.
+	// WriteFailure writes a failure as a complete answer.
 	WriteFailure(w http.ResponseWriter, a Answer)
-	// WriteStreamError tells the caller of an event stream, of which a part was
-	// passed on, that it broke. It reports false if the dialect has no way to
-	// tell but to cut the connection.
+	// WriteStreamError reports a failure to the caller of an event stream of which a part
+	// was passed on. It returns false if the dialect can only close the connection.
 	WriteStreamError(w http.ResponseWriter, a Answer) bool
-	// StreamTerminator is the data of the event that ends a whole stream; nil means
-	// that a stream is whole when its body ends without an error.
+	// StreamTerminator returns the data of the event that ends a complete stream; nil
+	// means that a stream is complete when its body ends without an error.
 	StreamTerminator() []byte
 }
--- a/pipeline/dispatch.go
+++ b/pipeline/dispatch.go
@@ -11,12 +11,12 @@
 	"github.com/eiderspring/eiderspring/routing"
 )
 
-// dispatch sends the attempt to its endpoint and waits for the answer's header.
+// dispatch sends the attempt to its endpoint and waits for the header of the answer.
 type dispatch struct {
 	client  *engine.Client
 	retries *RetryBudgets
 	router  *routing.Router
-	limits  limits
+	limits  limitRecorder
 	now     func() time.Time
 }
 
@@ -26,8 +26,8 @@
 	resp, err := f.client.Do(ctx, x.engineAttempt())
 	var notStarted *engine.NotStartedError
 	if errors.As(err, &notStarted) {
-		f.limits.cold(x, a.Decision.Endpoint, notStarted.Header)
-		f.limits.refused(a.Decision.Endpoint, notStarted.Header)
+		f.limits.recordCold(x, a.Decision.Endpoint, notStarted.Header)
+		f.limits.recordRefusal(a.Decision.Endpoint, notStarted.Header)
 		a.NotStarted, a.Unsent = true, notStarted.Unsent
 		return &DispatchError{NotStarted: true, Err: err}
 	}
@@ -39,10 +39,10 @@
 		f.router.ObserveFirstToken(&a.Decision, f.now())
 	}
 	a.Decision.ReleasePrompt()
-	f.noteLoad(x, resp)
-	f.limits.cold(x, a.Decision.Endpoint, resp.Header)
-	f.limits.answered(a.Decision, resp)
-	if f.better(x, resp) {
+	f.recordLoad(x, resp)
+	f.limits.recordCold(x, a.Decision.Endpoint, resp.Header)
+	f.limits.recordAnswer(a.Decision, resp)
+	if f.retryInstead(x, resp) {
 		resp.Body.Close()
 		return &DispatchError{Err: &FailedAnswerError{Status: resp.StatusCode}}
 	}
@@ -50,52 +50,52 @@
 	return nil
 }
 
-// noteLoad records the load that the endpoint told with its answer.
-func (f dispatch) noteLoad(x *Exchange, resp *http.Response) {
-	running, waiting, told := f.client.ReportedLoad(resp)
-	if !told {
+// recordLoad records the load that the endpoint reported with its answer.
+func (f dispatch) recordLoad(x *Exchange, resp *http.Response) {
+	running, waiting, reported := f.client.ReportedLoad(resp)
+	if !reported {
 		return
 	}
 	e := x.attempt().Decision.Endpoint
 	e.SetReportedLoad(routing.Load{At: f.now(), Running: running, Waiting: waiting, OwnAtReport: e.OwnInFlight()})
 }
 
-// FailedAnswerError is an endpoint's failure that is not passed on, as another
-// attempt may do better.
+// FailedAnswerError is an endpoint's failure that is not passed on, because another
+// attempt may succeed.
 type FailedAnswerError struct{ Status int }
 
-// Error gives the status.
+// Error returns the status.
 func (e *FailedAnswerError) Error() string {
 	return fmt.Sprintf("the endpoint failed with status %d", e.Status)
 }
 
-// better tells whether another attempt is to be made in place of passing the
-// endpoint's failure on.
-func (f dispatch) better(x *Exchange, resp *http.Response) bool {
+// retryInstead reports whether to make another attempt instead of passing on the
+// endpoint's failure.
+func (f dispatch) retryInstead(x *Exchange, resp *http.Response) bool {
 	return resp.StatusCode >= http.StatusInternalServerError &&
-		x.Target.Policy.Repeatable && x.triesLeft() && f.retries.CanRetry(x.Target.Pool)
+		x.Target.Policy.Repeatable && x.attemptsLeft() && f.retries.CanRetry(x.Target.Pool)
 }
 
-// rank is the priority of the newest attempt at its endpoint: one that cannot be in
-// time goes behind all others there too.
-func (x *Exchange) rank() int {
+// enginePriority is the priority of the latest attempt at its endpoint: a request that can
+// no longer meet its target goes after all others there too.
+func (x *Exchange) enginePriority() int {
 	if x.attempt().Decision.Late {
-		return leastPriority
+		return lowestPriority
 	}
 	return x.Target.Policy.Priority
 }
 
-// leastPriority is behind all that settings give.
-const leastPriority = 0
+// lowestPriority is below all priorities that settings allow.
+const lowestPriority = 0
 
-// engineAttempt is the newest attempt as it goes to the endpoint.
+// engineAttempt returns the latest attempt as it is sent to the endpoint.
 func (x *Exchange) engineAttempt() engine.Attempt {
 	a := x.attempt()
 	e := a.Decision.Endpoint
 	out := engine.Attempt{
 		ID: a.ID, Endpoint: e.Name, Incarnation: e.Incarnation, Address: e.Address,
 		Method: x.Call.Method, Path: x.Call.Path, Host: x.Call.Host, CallerHeader: x.Request.Header, Body: x.Call.Body,
-		Account: x.Caller.Name, Priority: x.rank(), Resume: x.reached, ResumeAfter: x.offset,
+		Account: x.Caller.Name, Priority: x.enginePriority(), Resume: x.answerStarted, ResumeAfter: x.offset,
 	}
 	return out
 }
--- a/pipeline/errors.go
+++ b/pipeline/errors.go
@@ -10,24 +10,24 @@
 	"github.com/eiderspring/eiderspring/quarantine"
 )
 
-// Answer is what a failure tells the caller.
+// Answer is a failure as reported to the caller.
 type Answer struct {
 	Status  int
 	Code    string
 	Message string
-	// Field names the part of the request that is at fault, if any.
+	// Field names the invalid part of the request, if any.
 	Field      string
 	RetryAfter time.Duration
 }
 
-// NotRun tells whether the answer promises that the request has not run, and says when
-// to return.
+// NotRun reports whether the answer guarantees that the request has not run, and therefore
+// says when to retry.
 func (a Answer) NotRun() bool {
 	return a.Code == CodeNotRun || a.Code == CodeQuarantined || a.Code == CodeAllowance
 }
 
-// Failure is an error of a filter. It says what became of the request and
-// what to tell the caller.
+// Failure is an error of a filter, with the outcome of the request and the answer to the
+// caller.
 type Failure interface {
 	error
 	Outcome() outcome.Outcome
@@ -42,18 +42,19 @@
 	codeNotFound     = "not_found"
 	codeTooLarge     = "request_too_large"
 	codeKeyReused    = "idempotency_key_reused"
-	// CodeNotRun says that the request has not run and never will.
+	// CodeNotRun means that the request has not run and never will.
 	CodeNotRun = "not_run"
-	// CodeQuarantined says that the request has not run, and will not for a while, as it
-	// ended the endpoints that ran it before.
+	// CodeQuarantined means that the request has not run, and will not for a while,
+	// because endpoints that ran it before terminated.
 	CodeQuarantined = "request_quarantined"
-	// CodeAllowance says that the request has not run, as its caller's allowance is used up.
+	// CodeAllowance means that the request has not run because its caller's allowance is
+	// used up.
 	CodeAllowance = "allowance_exceeded"
-	// CodeOutcomeUnknown says that the request may have run.
+	// CodeOutcomeUnknown means that the request may have run.
 	CodeOutcomeUnknown = "outcome_unknown"
 )
 
-// DecodeError is a request that cannot be understood.
+// DecodeError reports a malformed or unsupported request.
 type DecodeError struct {
 	Status int
 	Field  string
@@ -72,7 +73,7 @@
 	return Answer{Status: e.Status, Code: code, Message: e.Reason, Field: e.Field}
 }
 
-// AuthError is a caller who is not known or may not use what it asks for.
+// AuthError reports an unknown caller, or one that may not use what it requests.
 type AuthError struct {
 	Status int
 	Reason string
@@ -90,8 +91,8 @@
 	return Answer{Status: e.Status, Code: code, Message: e.Reason, Field: "Authorization"}
 }
 
-// StaleSettingsError is a request with a token that this instance cannot go by now, as it does not
-// hear of tokens that were taken away. No endpoint has started it.
+// StaleSettingsError reports a token that this instance currently cannot trust, because it
+// receives no revocations. No endpoint has started the request.
 type StaleSettingsError struct{}
 
 func (e *StaleSettingsError) Error() string {
@@ -99,19 +100,21 @@
 }
 func (e *StaleSettingsError) Outcome() outcome.Outcome { return outcome.NotRun }
 
-// Answer implements Failure. Another instance may know.
+// Answer implements Failure. Another instance may have current settings.
 func (e *StaleSettingsError) Answer() Answer {
-	return Answer{Status: http.StatusServiceUnavailable, Code: CodeNotRun, Message: e.Error(), RetryAfter: spread(staleRetryAfter)}
+	return Answer{Status: http.StatusServiceUnavailable, Code: CodeNotRun, Message: e.Error(), RetryAfter: addJitter(staleRetryAfter)}
 }
 
-// staleRetryAfter is for a caller whose token is not gone by here: another instance can be
-// reached at once, and if none knows better, the callers come back spread.
+// staleRetryAfter is the delay for a caller whose token or name this instance cannot
+// check. Another instance can be tried at once; jitter spreads the callers' retries if no
+// instance has newer settings.
 const staleRetryAfter = 100 * time.Millisecond
 
-// AllowanceError is a request beyond its caller's allowance. No endpoint has started it.
+// AllowanceError reports a request beyond its caller's allowance. No endpoint has started
+// it.
 type AllowanceError struct {
 	Account string
-	// RetryAfter is when there may be room again.
+	// RetryAfter is when the allowance may permit another request.
 	RetryAfter time.Duration
 }
 
@@ -123,7 +126,7 @@
 	return Answer{Status: http.StatusTooManyRequests, Code: CodeAllowance, Message: e.Error(), RetryAfter: e.RetryAfter}
 }
 
-// ResolveError is a name that stands for nothing.
+// ResolveError reports an unknown name.
 type ResolveError struct{ Name string }
 
 func (e *ResolveError) Error() string            { return fmt.Sprintf("resolve: nothing is named %q", e.Name) }
@@ -134,15 +137,15 @@
 	return Answer{Status: http.StatusNotFound, Code: codeNotFound, Message: fmt.Sprintf("no model or service %q", e.Name), Field: "model"}
 }
 
-// OutdatedSettingsError is a name that stands for nothing here, where newer settings are known to be
-// accepted. No endpoint has started the request.
+// OutdatedSettingsError reports a name that is unknown here while newer settings are known
+// to have been accepted. No endpoint has started the request.
 type OutdatedSettingsError struct {
 	Name      string
 	Revisions Revisions
 }
 
-// Revisions are those of the settings in force at an instance, and of the newest that any
-// instance is known to have.
+// Revisions holds the revision of the settings in force at an instance, and the newest
+// revision that any instance is known to have.
 type Revisions struct{ InForce, Newest int64 }
 
 func (e *OutdatedSettingsError) Error() string {
@@ -151,14 +154,14 @@
 }
 func (e *OutdatedSettingsError) Outcome() outcome.Outcome { return outcome.NotRun }
 
-// Answer implements Failure. Another instance may know.
+// Answer implements Failure. Another instance may have newer settings.
 func (e *OutdatedSettingsError) Answer() Answer {
-	return Answer{Status: http.StatusServiceUnavailable, Code: CodeNotRun, Message: e.Error(), RetryAfter: spread(staleRetryAfter)}
+	return Answer{Status: http.StatusServiceUnavailable, Code: CodeNotRun, Message: e.Error(), RetryAfter: addJitter(staleRetryAfter)}
 }
 
-// ClaimError is an idempotency key that cannot be claimed.
+// ClaimError reports an idempotency key that cannot be claimed.
 type ClaimError struct {
-	// Reused is set when the key was used with another request.
+	// Reused is set if the key was used with another request.
 	Reused bool
 	Err    error
 }
@@ -184,7 +187,7 @@
 	return unknownAnswer(http.StatusBadGateway, e.Err.Error())
 }
 
-// AdmitError is a request that was not let in; no endpoint has started it.
+// AdmitError reports a request that was not admitted; no endpoint has started it.
 type AdmitError struct {
 	Status     int
 	RetryAfter time.Duration
@@ -204,7 +207,8 @@
 	return Answer{Status: e.Status, Code: CodeNotRun, Message: e.Err.Error(), RetryAfter: e.RetryAfter}
 }
 
-// QuarantineError is a request that is held back, as endpoints have ended under it.
+// QuarantineError reports a request that is held back because endpoints terminated while
+// they ran it.
 type QuarantineError struct{ Err error }
 
 func (e *QuarantineError) Error() string { return "quarantine: " + e.Err.Error() }
@@ -212,7 +216,8 @@
 // Unwrap returns the cause.
 func (e *QuarantineError) Unwrap() error { return e.Err }
 
-// Outcome implements Failure. An attempt that was sent before makes it unknown.
+// Outcome implements Failure. If an attempt was sent before, settle changes the outcome to
+// unknown.
 func (e *QuarantineError) Outcome() outcome.Outcome { return outcome.NotRun }
 
 // Answer implements Failure.
@@ -220,13 +225,13 @@
 	a := Answer{Status: http.StatusServiceUnavailable, Code: CodeQuarantined, Message: e.Err.Error(), RetryAfter: defaultRetryAfter}
 	var held *quarantine.HeldError
 	if errors.As(e.Err, &held) {
-		// Before that it is rejected again, wherever it comes.
+		// An earlier retry is rejected again at every instance.
 		a.RetryAfter = held.Remaining
 	}
 	return a
 }
 
-// RouteError is a request for which no endpoint is left.
+// RouteError reports a request for which no endpoint is left.
 type RouteError struct{ Err error }
 
 func (e *RouteError) Error() string { return "route: " + e.Err.Error() }
@@ -237,7 +242,7 @@
 // Outcome implements Failure.
 func (e *RouteError) Outcome() outcome.Outcome { return outcome.NotRun }
 
-// defaultRetryAfter is told where nothing better is known.
+// defaultRetryAfter is used if no better delay is known.
 const defaultRetryAfter = time.Second
 
 // Answer implements Failure.
@@ -245,11 +250,11 @@
 	return Answer{Status: http.StatusServiceUnavailable, Code: CodeNotRun, Message: e.Err.Error(), RetryAfter: defaultRetryAfter}
 }
 
-// DispatchError is an attempt that failed before its answer began.
+// DispatchError reports an attempt that failed before its answer began.
 type DispatchError struct {
-	// NotStarted is proof that the endpoint did not start the attempt.
+	// NotStarted is set if the endpoint provably did not start the attempt.
 	NotStarted bool
-	// TimedOut is set when the request's deadline passed.
+	// TimedOut is set if the request's deadline passed.
 	TimedOut bool
 	Err      error
 }
@@ -278,9 +283,9 @@
 	return unknownAnswer(http.StatusBadGateway, e.Err.Error())
 }
 
-// RelayError is an answer that broke on its way to the caller.
+// RelayError reports an answer that broke off on its way to the caller.
 type RelayError struct {
-	// CallerGone is set when it was the caller who left.
+	// CallerGone is set if the caller closed the connection.
 	CallerGone bool
 	TimedOut   bool
 	Err        error
--- a/pipeline/refused_test.go
+++ b/pipeline/errors_test.go
@@ -14,12 +14,11 @@
 	"github.com/eiderspring/eiderspring/routing"
 )
 
-// promises are the statuses that promise a request has not run and never will.
+// promises are the statuses that guarantee that a request has not run and never will.
 var promises = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
 
-// TestRefusalsPromiseOnlyWhatIsTrue goes through all failures: a status that promises that the
-// request has not run goes with an outcome that says so, tells when to come back, and no other
-// status does.
+// A failure with a status that guarantees that the request has not run must have such an
+// outcome and give a retry delay, and no other status may come with that outcome.
 func TestRefusalsPromiseOnlyWhatIsTrue(t *testing.T) {
 	cause := errors.New("cause")
 	failures := []Failure{
@@ -31,7 +30,7 @@
 		&RelayError{Err: cause}, &RelayError{TimedOut: true, Err: cause}, &RelayError{CallerGone: true, Err: cause},
 	}
 	for _, reason := range []admission.Reason{admission.ReasonQueueFull, admission.ReasonTooManyAhead, admission.ReasonStopping} {
-		failures = append(failures, refusalOf(&admission.RefusedError{Reason: reason}, routing.ErrNoCapacity))
+		failures = append(failures, newAdmitError(&admission.RefusedError{Reason: reason}, routing.ErrNoCapacity))
 	}
 	for _, f := range failures {
 		a := f.Answer()
--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -16,89 +16,86 @@
 
 // Call is a decoded request.
 type Call struct {
-	// Name is the model, adapter, version or service that is asked for.
+	// Name is the requested model, adapter, version or service.
 	Name   string
 	Method string
 	// Path is the path, with query, at the endpoint.
 	Path   string
 	Body   []byte
 	Stream bool
-	// Host is the host that was asked for; empty means that endpoints need not
-	// know it.
+	// Host is the requested host; empty means that endpoints do not need it.
 	Host string
-	// AttemptID is the id that endpoints know the request by; empty means that
-	// each attempt gets an id of its own.
+	// AttemptID is the ID by which endpoints know the request; empty means that each
+	// attempt gets its own ID.
 	AttemptID string
-	// Regions are those in which the request may be served by what it asks for; empty means
-	// all.
+	// Regions are the regions in which what is requested may be served; empty means all.
 	Regions []string
-	// SessionHash is the request's identity across its attempts, as SessionHash makes it; 0 if
-	// the caller does not tell.
+	// SessionHash identifies the request across its attempts, as computed by the function
+	// SessionHash; 0 if the caller sends no session.
 	SessionHash uint32
-	// PromptTokens and OutputTokens are the length of the prompt and the most
-	// that may be generated; 0 where the caller does not say.
+	// PromptTokens is the length of the prompt and OutputTokens the largest number of
+	// tokens to generate; 0 if the caller does not say.
 	PromptTokens, OutputTokens int64
-	// Timeout is how long the caller waits; 0 means that it did not say.
+	// Timeout is how long the caller waits; 0 if the caller does not say.
 	Timeout time.Duration
-	// IdempotencyKey is the caller's idempotency key, or empty.
+	// IdempotencyKey is sent by the caller, or empty.
 	IdempotencyKey string
-	// Plain is set for a call below /services/.
+	// Plain is set for a call to a path below /services/.
 	Plain bool
-	// fields locates what is rewritten in Body.
+	// fields locates the parts of Body that are rewritten.
 	fields bodyFields
 }
 
-// Exchange is a request on its way through the pipeline. One goroutine works
-// on it at a time.
+// Exchange is a request while the pipeline serves it. One goroutine at a time uses it.
 type Exchange struct {
 	ID       string
 	Received time.Time
 	Writer   http.ResponseWriter
 	Request  *http.Request
 
-	// Revision is that of the settings by which the request is served; 0 where
-	// the dialect does not tell.
+	// Revision is the revision of the settings that apply to the request; 0 if the dialect
+	// does not set it.
 	Revision int64
 	Call     Call
 	Caller   settings.Identity
 	Target   settings.Target
 	Claim    *claim.Claim
 	Attempts []Attempt
-	// Fingerprint stands for the request across its attempts at any instance.
+	// Fingerprint identifies the request across its attempts at all instances.
 	Fingerprint quarantine.Fingerprint
 
-	// Outcome and the fields below are what settle reports.
+	// Outcome and the fields below are reported by settle.
 	Outcome    outcome.Outcome
 	FirstToken time.Duration
 	Bytes      int64
 	Replayed   bool
 
-	// charged is what the request counts against its caller's allowance.
+	// charged is what the request cost of its caller's allowance.
 	charged float64
 
-	// flight is the request's entry among those in progress.
+	// flight is the request's entry among those in flight.
 	flight quarantine.InFlight
-	// overdue is set once its deadline has passed while its timer stood still.
+	// overdue is set if the deadline passed while the timer was suspended.
 	overdue atomic.Bool
-	// reached is set once any byte of an answer may have reached the caller.
-	reached bool
-	// again is set if the caller was refused before and has come back.
-	again bool
-	// offset is that of the last event that was relayed; -1 for none.
+	// answerStarted is set once any byte of an answer may have reached the caller.
+	answerStarted bool
+	// wasRefused is set if the caller retries after a refusal.
+	wasRefused bool
+	// offset is the offset of the last relayed event; -1 for none.
 	offset int64
-	// record keeps the answer of a claimed request, nil for others.
-	record *recorder
+	// recorder records the answer of a claimed request; nil for others.
+	recorder *recorder
 	// dispatched is set once any attempt may have started.
 	dispatched bool
 }
 
-// Attempt is one try of the exchange at one endpoint.
+// Attempt is one attempt of the exchange at one endpoint.
 type Attempt struct {
 	ID       string
 	Decision routing.Decision
 	Resumes  int
-	// NotStarted is set once it is certain that it has not run, Unsent if nothing of
-	// it was even sent.
+	// NotStarted is set if the attempt provably has not run; Unsent is set if no part of
+	// it was sent.
 	NotStarted, Unsent bool
 
 	response *http.Response
@@ -106,9 +103,10 @@
 
 func (x *Exchange) attempt() *Attempt { return &x.Attempts[len(x.Attempts)-1] }
 
-// tried returns the endpoints at which an attempt may have run. One that has not is
-// asked again like any other, once it can be reached, has room and holds the unit.
-func (x *Exchange) tried() []string {
+// triedEndpoints returns the endpoints at which an attempt may have run. An endpoint at
+// which none has run stays a candidate, once it is reachable, has capacity and holds the
+// unit.
+func (x *Exchange) triedEndpoints() []string {
 	var names []string
 	for i := range x.Attempts {
 		if !x.Attempts[i].NotStarted {
@@ -118,18 +116,18 @@
 	return names
 }
 
-// applyPriority puts the caller's priority before that of what is asked for.
+// applyPriority gives the caller's priority precedence over that of what is requested.
 func (x *Exchange) applyPriority(c *settings.Catalog) {
 	x.Target.Policy.Priority = c.Priority(x.Caller.Priority, x.Target.Policy.Priority)
 }
 
-// SetCaller records whose request it is, once Target is known.
+// SetCaller sets the caller, once Target is known.
 func (x *Exchange) SetCaller(who settings.Identity, c *settings.Catalog) {
 	x.Caller = who
 	x.applyPriority(c)
 }
 
-// regions are the sets of regions that bind the request.
+// regions returns the sets of regions that restrict the request.
 func (x *Exchange) regions() [][]string {
 	var sets [][]string
 	for _, regions := range [][]string{x.Call.Regions, x.Caller.Regions} {
@@ -140,9 +138,9 @@
 	return sets
 }
 
-// from is the address that the request came from, without its port. A caller may have
-// several, so it identifies nobody.
-func (x *Exchange) from() string {
+// remoteHost returns the address that the request came from, without its port. It does not
+// identify the caller, which may have several addresses.
+func (x *Exchange) remoteHost() string {
 	host, _, err := net.SplitHostPort(x.Request.RemoteAddr)
 	if err != nil {
 		return x.Request.RemoteAddr
@@ -150,7 +148,7 @@
 	return host
 }
 
-// timeout is how long the whole request may take.
+// timeout returns the time limit of the whole request.
 func (x *Exchange) timeout() time.Duration {
 	if x.Call.Timeout > 0 {
 		return min(x.Call.Timeout, x.Target.Policy.Deadline)
@@ -158,31 +156,31 @@
 	return x.Target.Policy.Deadline
 }
 
-// deadline is when the request gets its final answer at the latest.
+// deadline returns the latest time for the final answer.
 func (x *Exchange) deadline() time.Time { return x.Received.Add(x.timeout()) }
 
-// firstBy is when the first token should be there, zero where there is no
-// target that can still be met.
-func (x *Exchange) firstBy() time.Time {
-	if x.reached || x.Target.Unit == "" {
+// firstTokenBy returns when the first token is due; zero if there is no target that can
+// still be met.
+func (x *Exchange) firstTokenBy() time.Time {
+	if x.answerStarted || x.Target.Unit == "" {
 		return time.Time{}
 	}
 	return x.Received.Add(x.Target.Policy.FirstToken)
 }
 
-// gapAim is the longest pause between events, 0 where there is no target.
-func (x *Exchange) gapAim() time.Duration {
+// eventGapTarget returns the longest allowed gap between events; 0 if there is no target.
+func (x *Exchange) eventGapTarget() time.Duration {
 	if !x.Call.Stream {
 		return 0
 	}
 	return x.Target.Policy.BetweenTokens
 }
 
-// resumable tells whether a stream of which a part has reached the caller may
-// be continued by another endpoint.
+// resumable reports whether another endpoint may continue a stream of which a part has
+// reached the caller.
 func (x *Exchange) resumable() bool { return x.Target.Policy.Resumable && x.offset >= 0 }
 
-// attemptID returns the id of the next attempt.
+// attemptID returns the ID of the next attempt.
 func (x *Exchange) attemptID() string {
 	if x.Call.AttemptID != "" {
 		return x.Call.AttemptID
@@ -190,10 +188,11 @@
 	return rand.Text()
 }
 
-// triesLeft tells whether the request may go to one more endpoint. Attempts that have
-// not run do not count, but they too are bounded.
-func (x *Exchange) triesLeft() bool {
-	ran := len(x.tried())
+// attemptsLeft reports whether the request may go to one more endpoint. Attempts that have
+// not run do not count against the policy's limit, but they too are bounded by
+// maxAttempts.
+func (x *Exchange) attemptsLeft() bool {
+	ran := len(x.triedEndpoints())
 	most := maxAttempts
 	if n := x.Target.Policy.MaxAttempts; n > 0 {
 		most = min(n, most)
--- a/pipeline/limits.go
+++ b/pipeline/limits.go
@@ -12,8 +12,8 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// limits takes the limits that endpoints name with their answers.
-type limits struct {
+// limitRecorder records the rate limits that endpoints announce with their answers.
+type limitRecorder struct {
 	client  *engine.Client
 	permits *permit.Limiter
 	catalog func() *settings.Catalog
@@ -21,8 +21,8 @@
 	now     func() time.Time
 }
 
-// cold takes how much longer the endpoint stays cold, if it tells.
-func (f limits) cold(x *Exchange, e *routing.Endpoint, head http.Header) {
+// recordCold records how much longer the endpoint stays cold, if its answer says so.
+func (f limitRecorder) recordCold(x *Exchange, e *routing.Endpoint, head http.Header) {
 	remaining := f.client.ColdRemaining(head)
 	if remaining == 0 {
 		return
@@ -33,9 +33,9 @@
 	}
 }
 
-// answered takes the head of an answer that is passed on.
-func (f limits) answered(d routing.Decision, resp *http.Response) {
-	if f.named(d.Endpoint, resp.Header) || resp.StatusCode >= http.StatusMultipleChoices {
+// recordAnswer records the limit in the header of an answer that is passed on.
+func (f limitRecorder) recordAnswer(d routing.Decision, resp *http.Response) {
+	if f.recordLimit(d.Endpoint, resp.Header) || resp.StatusCode >= http.StatusMultipleChoices {
 		return
 	}
 	if f.permits.RecordNoLimit(f.now(), d.Endpoint.PermitKey(), d.At) {
@@ -43,24 +43,25 @@
 	}
 }
 
-// refused takes the head of an endpoint's refusal. One without a limit does not end it: an
-// endpoint may refuse before it looks at what it takes.
-func (f limits) refused(e *routing.Endpoint, head http.Header) { f.named(e, head) }
+// recordRefusal records the limit in the header of an endpoint's refusal. A refusal
+// without a limit does not end it: an endpoint may refuse before it evaluates its limit.
+func (f limitRecorder) recordRefusal(e *routing.Endpoint, head http.Header) { f.recordLimit(e, head) }
 
-// named reports whether the head says anything of a limit.
-func (f limits) named(e *routing.Endpoint, head http.Header) bool {
-	told, err := f.client.ReportedLimit(head)
+// recordLimit records the limit in a header and reports whether the header contains one,
+// valid or not.
+func (f limitRecorder) recordLimit(e *routing.Endpoint, head http.Header) bool {
+	limit, err := f.client.ReportedLimit(head)
 	if err != nil {
 		if e.MarkLimitInvalid() {
 			f.log.Error(err, "endpoint limit", "endpoint", e.Name)
 		}
 		return true
 	}
-	if !told.Present {
+	if !limit.Present {
 		return false
 	}
-	if f.permits.RecordLimit(f.now(), e.PermitKey(), told.PerSecond) {
-		f.log.Info("endpoint limit", "endpoint", e.Name, "per_second", told.PerSecond, "by", "its answer")
+	if f.permits.RecordLimit(f.now(), e.PermitKey(), limit.PerSecond) {
+		f.log.Info("endpoint limit", "endpoint", e.Name, "per_second", limit.PerSecond, "by", "its answer")
 	}
 	return true
 }
--- a/pipeline/metrics.go
+++ b/pipeline/metrics.go
@@ -12,15 +12,15 @@
 	"github.com/eiderspring/eiderspring/outcome"
 )
 
-// Metrics counts what became of requests and keeps histograms of their times.
+// Metrics counts requests by outcome and keeps histograms of their latencies.
 type Metrics struct {
 	vars *expvar.Map
-	// total is the time to the end of complete answers, first that to their
-	// first byte or event.
+	// total holds the times to the end of complete answers, first those to their first
+	// byte or event.
 	total, first *latencies
 }
 
-// NewMetrics returns metrics that are kept in vars.
+// NewMetrics returns metrics that are published in vars.
 func NewMetrics(vars *expvar.Map) *Metrics {
 	m := &Metrics{vars: vars, total: newLatencies(), first: newLatencies()}
 	vars.Set("latency_us", m.total)
@@ -48,9 +48,10 @@
 	}
 }
 
-// countLate counts a request that was refused for what this instance knows late: newer settings
-// than those in force may know its name, or may have taken its key away.
-func (m *Metrics) countLate(err error) {
+// countStaleSettings counts a request that was refused because the settings of this
+// instance are out of date: newer settings may contain its name, or may have revoked its
+// token.
+func (m *Metrics) countStaleSettings(err error) {
 	var outdated *OutdatedSettingsError
 	var stale *StaleSettingsError
 	switch {
@@ -61,7 +62,7 @@
 	}
 }
 
-// latencies is a histogram that is an expvar.Var.
+// latencies is a histogram that implements expvar.Var.
 type latencies struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
@@ -80,11 +81,11 @@
 func (l *latencies) record(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// A time beyond the histogram counts as its longest.
+	// A value beyond the range of the histogram counts as its longest.
 	_ = l.hist.RecordValue(min(max(d.Microseconds(), 1), longestLatency.Microseconds()))
 }
 
-// quantiles is what String tells, in microseconds.
+// quantiles is the output of String, in microseconds.
 type quantiles struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -101,7 +102,7 @@
 		Count: l.hist.TotalCount(), P50: l.hist.ValueAtQuantile(50), P95: l.hist.ValueAtQuantile(95),
 		P99: l.hist.ValueAtQuantile(99), Max: l.hist.Max(),
 	}
-	// A struct of numbers always encodes.
+	// Encoding a struct of numbers cannot fail.
 	data, _ := json.Marshal(q)
 	return string(data)
 }
--- a/pipeline/openai.go
+++ b/pipeline/openai.go
@@ -12,15 +12,15 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// OpenAI is the product's own dialect: the OpenAI API with bearer tokens, and
-// plain services below /services/.
+// OpenAI is the product's own dialect: the OpenAI API with bearer tokens, and plain
+// services below /services/.
 type OpenAI struct {
 	auth    authenticate
 	catalog func() *settings.Catalog
 	maxBody int64
 }
 
-// NewOpenAI returns the dialect over the settings in force. maxBody bounds a
+// NewOpenAI returns the dialect for the settings in force. maxBody bounds the size of a
 // request's body, in bytes.
 func NewOpenAI(catalog func() *settings.Catalog, maxBody int64) *OpenAI {
 	return &OpenAI{auth: authenticate{catalog: catalog}, catalog: catalog, maxBody: maxBody}
@@ -45,7 +45,7 @@
 }
 
 func encodeError(a Answer) []byte {
-	// A struct of strings always encodes.
+	// Encoding a struct of strings cannot fail.
 	body, _ := json.Marshal(errorBody{Error: errorDetail{Code: a.Code, Message: a.Message, Field: a.Field}})
 	return body
 }
@@ -65,8 +65,7 @@
 	_, _ = w.Write(append(encodeError(a), '\n'))
 }
 
-// WriteStreamError implements Dialect: an error event stands in place of the
-// terminator.
+// WriteStreamError implements Dialect: an error event replaces the terminator.
 func (d *OpenAI) WriteStreamError(w http.ResponseWriter, a Answer) bool {
 	_, _ = w.Write([]byte("event: error\ndata: " + string(encodeError(a)) + "\n\n"))
 	_ = http.NewResponseController(w).Flush()
@@ -90,7 +89,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// WithModels answers the list of models and gives all else to next.
+// WithModels serves the list of models and passes all other requests to next.
 func (d *OpenAI) WithModels(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == pathModels && r.Method == http.MethodGet {
@@ -101,7 +100,7 @@
 	})
 }
 
-// listModels answers with what the caller may use.
+// listModels lists the models that the caller may use.
 func (d *OpenAI) listModels(w http.ResponseWriter, r *http.Request) {
 	catalog := d.catalog()
 	caller, err := d.auth.Identify(r, catalog, true)
--- a/pipeline/outdated_test.go
+++ b/pipeline/outdated_test.go
@@ -14,37 +14,37 @@
 	"github.com/eiderspring/eiderspring/outcome"
 )
 
-// TestUnknownNameIsNotRejectedByOldSettings asks for what newer settings may name: a caller
-// got 404 for a route that was there.
+// A caller got 404 for an existing name that this instance's outdated settings did not
+// contain yet. The answer must be a refusal with a retry.
 func TestUnknownNameIsNotRejectedByOldSettings(t *testing.T) {
 	outdated := false
 	p := &Pipeline{cfg: Config{SettingsOutdated: func() bool { return outdated }}}
 	unknown := &ResolveError{Name: "m"}
-	require.Equal(t, unknown, p.unlessOutdated(unknown))
+	require.Equal(t, unknown, p.checkOutdated(unknown))
 	outdated = true
 	other := errors.New("another")
-	require.Equal(t, other, p.unlessOutdated(other))
+	require.Equal(t, other, p.checkOutdated(other))
 	var failure Failure
-	require.ErrorAs(t, p.unlessOutdated(unknown), &failure)
+	require.ErrorAs(t, p.checkOutdated(unknown), &failure)
 	require.Equal(t, outcome.NotRun, failure.Outcome())
 	require.Equal(t, http.StatusServiceUnavailable, failure.Answer().Status)
 	require.Positive(t, failure.Answer().RetryAfter)
 }
 
-// TestLateSettingsAreCounted guards against late settings that nobody sees: what an instance
-// refuses for them is counted, and its log names both revisions.
-func TestLateSettingsAreCounted(t *testing.T) {
+// Requests refused because of outdated settings must be visible: they are counted, and the
+// log line gives both revisions.
+func TestOutdatedSettingsAreCounted(t *testing.T) {
 	vars := new(expvar.Map).Init()
 	var line string
 	log := funcr.New(func(_, args string) { line = args }, funcr.Options{})
 	f := settle{log: log, metrics: NewMetrics(vars), now: time.Now}
 	p := &Pipeline{cfg: Config{SettingsOutdated: func() bool { return true }, Revisions: func() Revisions { return Revisions{InForce: 6, Newest: 7} }}}
 	x := &Exchange{Received: time.Now(), Request: httptest.NewRequest(http.MethodGet, "/", nil)}
-	f.report(x, p.unlessOutdated(&ResolveError{Name: "m"}))
+	f.report(x, p.checkOutdated(&ResolveError{Name: "m"}))
 	require.Equal(t, "1", vars.Get("requests_outdated").String())
 	require.Contains(t, line, "revision 6 of 7")
 	f.report(x, &ResolveError{Name: "m"})
-	require.Equal(t, "1", vars.Get("requests_outdated").String(), "a name that nobody knows")
+	require.Equal(t, "1", vars.Get("requests_outdated").String(), "an unknown name alone is not counted")
 	require.Nil(t, vars.Get("requests_stale_keys"))
 	f.report(x, &StaleSettingsError{})
 	require.Equal(t, "1", vars.Get("requests_stale_keys").String())
--- a/pipeline/overdue.go
+++ b/pipeline/overdue.go
@@ -7,37 +7,38 @@
 	"time"
 )
 
-// errOverdue ends a request whose deadline has passed while its timer stood still.
+// errOverdue ends a request whose deadline passed while its timer was suspended.
 var errOverdue = errors.New("the deadline has passed")
 
-// deadlines holds when the requests in progress must end. Timers do not run while the
-// machine is suspended, so that a request would outlast its deadline by as long.
+// deadlines tracks the deadlines of the requests in progress. Timers do not run while the
+// machine is suspended, so a request would otherwise outlast its deadline by the time of
+// the suspension.
 type deadlines struct {
 	now func() time.Time
 	mu  sync.Mutex
-	// ends maps the requests to how each is ended.
-	ends map[*Exchange]context.CancelFunc
+	// cancels maps each request to the function that cancels it.
+	cancels map[*Exchange]context.CancelFunc
 }
 
 func (d *deadlines) add(x *Exchange, end context.CancelFunc) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ends[x] = end
+	d.cancels[x] = end
 }
 
 func (d *deadlines) remove(x *Exchange) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.ends, x)
+	delete(d.cancels, x)
 }
 
-// CancelOverdue ends the requests whose deadline has passed.
+// CancelOverdue cancels the requests whose deadline has passed.
 func (p *Pipeline) CancelOverdue() {
 	d := &p.deadlines
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	for x, end := range d.ends {
+	for x, end := range d.cancels {
 		if !now.Before(x.deadline()) {
 			x.overdue.Store(true)
 			end()
@@ -45,9 +46,9 @@
 	}
 }
 
-// timeLeft bounds an attempt by the time that is left until the request's deadline, which
-// its own timer may not know.
-func (p *Pipeline) timeLeft(ctx context.Context, x *Exchange) (context.Context, context.CancelFunc) {
+// withTimeLeft bounds an attempt by the time left until the request's deadline, which the
+// timer of ctx may miss after a suspension.
+func (p *Pipeline) withTimeLeft(ctx context.Context, x *Exchange) (context.Context, context.CancelFunc) {
 	left := x.deadline().Sub(p.cfg.Now())
 	if at, ok := ctx.Deadline(); ok && time.Until(at)-left < timerSlack {
 		return ctx, func() {}
@@ -55,5 +56,5 @@
 	return context.WithTimeout(ctx, left)
 }
 
-// timerSlack is by how much a timer and the clock may differ.
+// timerSlack is the tolerated difference between a timer and the clock.
 const timerSlack = 20 * time.Millisecond
--- a/pipeline/overdue_test.go
+++ b/pipeline/overdue_test.go
@@ -12,22 +12,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOverdueRequestEndsWhenTheMachineWakes lets the time jump past a request's deadline
-// while its engine answers nothing, as when the machine was suspended: its timer would
-// end it as much later, and the caller would wait for it.
+// Time jumps past the deadline of a request while its engine does not answer, as after a
+// suspension of the machine. The request's timer would expire only later by the length of
+// the suspension, and the caller would wait that long.
 func TestOverdueRequestEndsWhenTheMachineWakes(t *testing.T) {
-	asked := make(chan struct{}, 1)
+	received := make(chan struct{}, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		if r.Method == http.MethodPost {
-			asked <- struct{}{}
+			received <- struct{}{}
 			<-r.Context().Done()
 		}
 	}))
 	defer s.Close()
-	var slept atomic.Int64
-	p := benchPipelineWith(t, strings.TrimPrefix(s.URL, "http://"), func(c *Config) {
-		c.Now = func() time.Time { return time.Now().Add(time.Duration(slept.Load())) }
+	var suspended atomic.Int64
+	p := newTestPipelineWith(t, strings.TrimPrefix(s.URL, "http://"), func(c *Config) {
+		c.Now = func() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }
 	})
 	r := httptest.NewRequest(http.MethodPost, pathChat, strings.NewReader(`{"model":"m","stream":true}`))
 	r.Header.Set("Authorization", "Bearer token")
@@ -37,14 +37,14 @@
 		defer close(done)
 		p.ServeHTTP(w, r)
 	}()
-	<-asked
+	<-received
 	p.CancelOverdue()
 	select {
 	case <-done:
-		t.Fatal("ended before its deadline")
+		t.Fatal("request ended before its deadline")
 	default:
 	}
-	slept.Store(int64(24 * time.Hour))
+	suspended.Store(int64(24 * time.Hour))
 	p.CancelOverdue()
 	<-done
 	require.Equal(t, http.StatusGatewayTimeout, w.Code)
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -20,13 +20,13 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// Filter is one step of the pipeline. An error ends the way forward; it is a
-// Failure that says what became of the request.
+// Filter is one step of the pipeline. An error stops the pipeline; it is a Failure that
+// gives the outcome of the request.
 type Filter interface {
 	Process(ctx context.Context, x *Exchange) error
 }
 
-// Config sets up a pipeline.
+// Config configures a pipeline.
 type Config struct {
 	// Catalog returns the settings in force.
 	Catalog func() *settings.Catalog
@@ -37,43 +37,44 @@
 	Metrics *Metrics
 	Log     logr.Logger
 	Now     func() time.Time
-	// FailureDomain is the instance's own.
+	// FailureDomain is that of the instance.
 	FailureDomain string
-	// Dialect is how callers speak.
+	// Dialect is the API that callers use.
 	Dialect Dialect
-	// Demand is told what is asked for; nil tells nobody.
+	// Demand counts the requested work; nil counts nothing.
 	Demand *Demand
-	// Refusals remembers who was refused; nil remembers nobody.
+	// Refusals remembers refused requests; nil remembers none.
 	Refusals *Refusals
-	// OnNoReplica is told when a request finds no replica of its unit.
+	// OnNoReplica is called when a request finds no replica of its unit.
 	OnNoReplica func()
-	// EndpointsAgeMS is how long ago it was certain which endpoints leave, in
-	// milliseconds and for the log; -1 if it never was. Nil means always certain.
+	// EndpointsAgeMS returns the time in milliseconds, for the log, since this instance
+	// last knew for certain which endpoints leave; -1 if it never did. Nil means that it
+	// always does.
 	EndpointsAgeMS func() int64
-	// SettingsOutdated tells whether newer settings are known to be accepted than those in force;
-	// nil means never.
+	// SettingsOutdated reports whether settings newer than those in force are known to
+	// have been accepted; nil means never.
 	SettingsOutdated func() bool
-	// Revisions tells which settings that concerns; nil means that nobody knows.
+	// Revisions returns the revisions for which SettingsOutdated holds; nil means unknown.
 	Revisions func() Revisions
-	// Retries bounds second attempts; nil means DefaultRetryLimits.
+	// Retries bounds retries; nil means DefaultRetryLimits.
 	Retries *RetryBudgets
-	// Quarantine holds back requests that end endpoints; nil holds none.
+	// Quarantine holds back requests that terminate endpoints; nil holds back none.
 	Quarantine *quarantine.Manager
-	// Allowances bounds what accounts may ask; nil bounds nothing.
+	// Allowances bounds what accounts may request; nil bounds nothing.
 	Allowances *allowance.Limiter
-	// Permits is told the limits that endpoints name; nil tells nobody.
+	// Permits receives the limits that endpoints announce; nil ignores them.
 	Permits *permit.Limiter
 }
 
-// Pipeline serves callers. It is an http.Handler.
+// Pipeline serves callers. It implements http.Handler.
 type Pipeline struct {
-	cfg     Config
-	prepare []Filter
-	attempt []Filter
-	settle  settle
-	retries *RetryBudgets
-	breaks  *breaks
-	// deadlines are those of the requests in progress.
+	cfg          Config
+	prepare      []Filter
+	attempt      []Filter
+	settle       settle
+	retries      *RetryBudgets
+	terminations *terminationDetector
+	// deadlines tracks the requests in progress.
 	deadlines deadlines
 }
 
@@ -94,41 +95,41 @@
 	if cfg.EndpointsAgeMS == nil {
 		cfg.EndpointsAgeMS = func() int64 { return 0 }
 	}
-	limits := limits{client: cfg.Engine, permits: cfg.Permits, catalog: cfg.Catalog, log: cfg.Log, now: cfg.Now}
+	limits := limitRecorder{client: cfg.Engine, permits: cfg.Permits, catalog: cfg.Catalog, log: cfg.Log, now: cfg.Now}
 	return &Pipeline{
 		cfg:       cfg,
-		deadlines: deadlines{now: cfg.Now, ends: map[*Exchange]context.CancelFunc{}},
+		deadlines: deadlines{now: cfg.Now, cancels: map[*Exchange]context.CancelFunc{}},
 		prepare:   cfg.Dialect.PrepareFilters(),
 		attempt: []Filter{
-			admit{gates: cfg.Gates, router: cfg.Router, failureDomain: cfg.FailureDomain, unreachable: cfg.OnNoReplica, refusals: cfg.Refusals, now: cfg.Now},
+			admit{gates: cfg.Gates, router: cfg.Router, failureDomain: cfg.FailureDomain, onNoReplica: cfg.OnNoReplica, refusals: cfg.Refusals, now: cfg.Now},
 			route{log: cfg.Log, endpointsAgeMS: cfg.EndpointsAgeMS}, dispatch{client: cfg.Engine, retries: cfg.Retries, router: cfg.Router, limits: limits, now: cfg.Now},
 			relay{client: cfg.Engine, dialect: cfg.Dialect, now: cfg.Now},
 		},
-		settle:  settle{dialect: cfg.Dialect, log: cfg.Log, metrics: cfg.Metrics, now: cfg.Now, allowances: cfg.Allowances},
-		retries: cfg.Retries,
-		breaks:  &breaks{keeper: cfg.Quarantine, listens: cfg.Engine.IsListening, log: cfg.Log, waiting: map[*routing.Endpoint][]broken{}},
+		settle:       settle{dialect: cfg.Dialect, log: cfg.Log, metrics: cfg.Metrics, now: cfg.Now, allowances: cfg.Allowances},
+		retries:      cfg.Retries,
+		terminations: &terminationDetector{quarantine: cfg.Quarantine, isListening: cfg.Engine.IsListening, log: cfg.Log, pending: map[*routing.Endpoint][]brokenAttempt{}},
 	}
 }
 
 // ServeHTTP implements http.Handler.
 func (p *Pipeline) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x := &Exchange{ID: rand.Text(), Received: p.cfg.Now(), Writer: w, Request: r, offset: -1}
-	p.settle.end(r.Context(), x, p.guarded(r.Context(), x))
+	p.settle.end(r.Context(), x, p.serveRecovered(r.Context(), x))
 }
 
-// PanicError is a fault in the request path.
+// PanicError reports a panic while a request was served.
 type PanicError struct{ Value any }
 
-// Error gives the fault.
+// Error returns the value of the panic.
 func (e *PanicError) Error() string { return fmt.Sprintf("fault: %v", e.Value) }
 
-// guarded serves a request and turns a fault into an error: net/http would end the
-// connection, and the caller would get neither an answer nor a refusal.
-func (p *Pipeline) guarded(ctx context.Context, x *Exchange) (err error) {
+// serveRecovered serves a request and turns a panic into an error. Otherwise net/http
+// would close the connection, and the caller would get neither an answer nor a refusal.
+func (p *Pipeline) serveRecovered(ctx context.Context, x *Exchange) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
 			err = &DispatchError{Err: &PanicError{Value: v}}
-			p.cfg.Log.Error(err, "fault in the request path", "request", x.ID, "stack", string(debug.Stack()))
+			p.cfg.Log.Error(err, "panic while serving a request", "request", x.ID, "stack", string(debug.Stack()))
 		}
 	}()
 	return p.serve(ctx, x)
@@ -136,14 +137,15 @@
 
 func (p *Pipeline) serve(ctx context.Context, x *Exchange) error {
 	if err := run(ctx, p.prepare, x); err != nil {
-		return p.unlessOutdated(err)
+		return p.checkOutdated(err)
 	}
-	if err := p.allow(x); err != nil {
+	if err := p.chargeAllowance(x); err != nil {
 		return err
 	}
 	x.Fingerprint = quarantine.FingerprintOf(x.Caller.Name, x.Call.Method, x.Request.RequestURI, x.Call.Body)
 	if !x.Target.Policy.Repeatable && x.Call.IdempotencyKey != "" {
-		// A claimed request goes on without its caller, who may ask again.
+		// A claimed request continues without its caller, who may ask for the result
+		// again.
 		ctx = context.WithoutCancel(ctx)
 	}
 	ctx, cancel := context.WithTimeout(ctx, x.deadline().Sub(p.cfg.Now()))
@@ -154,18 +156,19 @@
 	defer x.flight.End()
 	p.deadlines.add(x, cancel)
 	defer p.deadlines.remove(x)
-	return x.reason(p.attempts(ctx, x))
+	return x.finalError(p.runAttempts(ctx, x))
 }
 
-// unlessOutdated says of a name that is not known whether newer settings may know it.
-func (p *Pipeline) unlessOutdated(err error) error {
+// checkOutdated turns the error for an unknown name into one that says that newer settings
+// may contain it, if the settings in force are outdated.
+func (p *Pipeline) checkOutdated(err error) error {
 	if unknown := (*ResolveError)(nil); errors.As(err, &unknown) && p.cfg.SettingsOutdated() {
 		return &OutdatedSettingsError{Name: unknown.Name, Revisions: p.revisions()}
 	}
 	return err
 }
 
-// revisions tells which settings are in force; nothing where nobody knows.
+// revisions returns the known revisions, or zeros if there is no source of them.
 func (p *Pipeline) revisions() Revisions {
 	if p.cfg.Revisions == nil {
 		return Revisions{}
@@ -173,8 +176,8 @@
 	return p.cfg.Revisions()
 }
 
-// allow counts a request against its caller's allowance.
-func (p *Pipeline) allow(x *Exchange) error {
+// chargeAllowance charges a request to its caller's allowance.
+func (p *Pipeline) chargeAllowance(x *Exchange) error {
 	limit := x.Caller.Allowance
 	if limit == nil {
 		return nil
@@ -182,29 +185,30 @@
 	cost := limit.Cost(x.Call.PromptTokens + x.Call.OutputTokens)
 	admitted, retryAfter := p.cfg.Allowances.Admit(p.cfg.Now(), x.Caller.Name, cost)
 	if !admitted {
-		return &AllowanceError{Account: x.Caller.Name, RetryAfter: spread(retryAfter)}
+		return &AllowanceError{Account: x.Caller.Name, RetryAfter: addJitter(retryAfter)}
 	}
 	x.charged = cost
 	return nil
 }
 
-// attempts makes attempts until one succeeds or another makes no sense.
-func (p *Pipeline) attempts(ctx context.Context, x *Exchange) error {
+// runAttempts makes attempts until one succeeds or another is pointless.
+func (p *Pipeline) runAttempts(ctx context.Context, x *Exchange) error {
 	if err := (claimKey{claims: p.cfg.Claims}).Process(ctx, x); err != nil {
 		return err
 	}
 	p.retries.Deposit(x.Target.Pool)
-	p.cfg.Demand.asked(x)
+	p.cfg.Demand.add(x)
 	for {
-		err := p.try(ctx, x)
-		if err == nil || !p.again(ctx, x, err) {
+		err := p.runAttempt(ctx, x)
+		if err == nil || !p.shouldRetry(ctx, x, err) {
 			return err
 		}
 	}
 }
 
-// reason gives the reason of a request that may have been ended from elsewhere.
-func (x *Exchange) reason(err error) error {
+// finalError returns the error of a request, which may have been cancelled by quarantine
+// or by its deadline.
+func (x *Exchange) finalError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -217,9 +221,9 @@
 	return err
 }
 
-// try makes one attempt and gives its place back.
-func (p *Pipeline) try(ctx context.Context, x *Exchange) error {
-	ctx, cancel := p.timeLeft(ctx, x)
+// runAttempt makes one attempt and releases its slot.
+func (p *Pipeline) runAttempt(ctx context.Context, x *Exchange) error {
+	ctx, cancel := p.withTimeLeft(ctx, x)
 	defer cancel()
 	before := len(x.Attempts)
 	err := run(ctx, p.attempt, x)
@@ -227,36 +231,36 @@
 		return err
 	}
 	a := x.attempt()
-	p.rate(ctx, x.Target.Unit, a, err)
-	p.noteBreak(ctx, x, err)
+	p.recordResult(ctx, x.Target.Unit, a, err)
+	p.updateQuarantine(ctx, x, err)
 	p.cfg.Router.Release(&a.Decision)
 	p.cfg.Gates.Pool(x.Target.Pool).Completed()
-	if err != nil && mayRun(err) && x.Target.Kind == settings.KindEngine {
+	if err != nil && mayStillRun(err) && x.Target.Kind == settings.KindEngine {
 		p.cancel(ctx, x)
 	}
 	return err
 }
 
-// mayRun tells whether a failed attempt may still be running at its endpoint.
-// Only a failed dispatch proves that it is not: a resumption that could not
-// start says nothing of the attempt that it was to go on with.
-func mayRun(err error) bool {
+// mayStillRun reports whether a failed attempt may still be running at its endpoint. Only
+// a failed dispatch proves that it is not: a resumption that could not start says nothing
+// about the attempt that it was to continue.
+func mayStillRun(err error) bool {
 	var failed *DispatchError
 	return !errors.As(err, &failed) || !failed.NotStarted
 }
 
-// rate tells the endpoint's record how the attempt went.
-func (p *Pipeline) rate(ctx context.Context, unit string, a *Attempt, err error) {
+// recordResult records the result of an attempt at its endpoint.
+func (p *Pipeline) recordResult(ctx context.Context, unit string, a *Attempt, err error) {
 	var notStarted *engine.NotStartedError
 	switch {
 	case err == nil:
 		a.Decision.Endpoint.RecordSuccess()
 	case ctx.Err() != nil:
-		// The caller's leaving or deadline says nothing of the endpoint.
+		// The cancellation or deadline of the request says nothing about the endpoint.
 	case errors.As(err, &notStarted) && notStarted.Replaced:
 		a.Decision.Endpoint.SetReplaced()
 	case errors.As(err, &notStarted) && notStarted.NotResident:
-		// A refusal is no failure of the endpoint, but what was believed of it is
+		// A refusal is not a failure of the endpoint; this instance's view of its units is
 		// wrong.
 		a.Decision.Endpoint.MarkNotResident(unit, p.cfg.Now())
 	case errors.As(err, &notStarted) && notStarted.Busy:
@@ -269,26 +273,27 @@
 	}
 }
 
-// noteBreak tells of an attempt that may have run and broke at its endpoint, which may
-// have ended under it, and of one that was answered well.
-func (p *Pipeline) noteBreak(ctx context.Context, x *Exchange, err error) {
+// updateQuarantine reports an attempt that may have run and lost its connection, since the
+// request may have terminated the endpoint, and clears a request that was answered
+// successfully.
+func (p *Pipeline) updateQuarantine(ctx context.Context, x *Exchange, err error) {
 	if err == nil {
-		// A failure that an endpoint tells may come before it runs the request.
+		// An endpoint may return an error before it runs the request.
 		if x.attempt().response.StatusCode < http.StatusMultipleChoices {
 			p.cfg.Quarantine.RecordSuccess(x.Fingerprint)
 		}
 		return
 	}
-	if ctx.Err() != nil || !brokeOff(err) {
+	if ctx.Err() != nil || !connectionLost(err) {
 		return
 	}
 	a := x.attempt()
-	p.cfg.Log.Info("attempt broke", "request", x.ID, "fingerprint", x.Fingerprint.String(), "caller", x.Caller.Name, "from", x.from(),
+	p.cfg.Log.Info("attempt lost its connection", "request", x.ID, "fingerprint", x.Fingerprint.String(), "caller", x.Caller.Name, "from", x.remoteHost(),
 		"endpoint", a.Decision.Endpoint.Name, "ran_ms", p.cfg.Now().Sub(a.Decision.At).Milliseconds(), "bytes", x.Bytes, "error", err.Error())
-	p.breaks.add(a.Decision.Endpoint, broken{fingerprint: x.Fingerprint, account: x.Caller.Name})
+	p.terminations.add(a.Decision.Endpoint, brokenAttempt{fingerprint: x.Fingerprint, account: x.Caller.Name})
 }
 
-// cancelTimeout bounds the word to an engine that nobody waits any more.
+// cancelTimeout bounds the call that cancels a request at an engine.
 const cancelTimeout = 2 * time.Second
 
 func (p *Pipeline) cancel(ctx context.Context, x *Exchange) {
@@ -297,30 +302,30 @@
 	go func() {
 		defer cancel()
 		if err := p.cfg.Engine.Cancel(ctx, attempt); err != nil {
-			p.cfg.Log.Info("cancel failed", "request", x.ID, "attempt", attempt.ID, "error", err.Error())
+			p.cfg.Log.Info("cancelling an attempt at its engine failed", "request", x.ID, "attempt", attempt.ID, "error", err.Error())
 		}
 	}()
 }
 
-// again tells whether another attempt is sound and worth making.
-func (p *Pipeline) again(ctx context.Context, x *Exchange, err error) bool {
+// shouldRetry reports whether another attempt is safe and useful.
+func (p *Pipeline) shouldRetry(ctx context.Context, x *Exchange, err error) bool {
 	failure := classify(err)
 	var fromEndpoint bool
 	switch failure.(type) {
 	case *DispatchError, *RelayError:
 		fromEndpoint = true
 	}
-	if !fromEndpoint || ctx.Err() != nil || !x.triesLeft() {
+	if !fromEndpoint || ctx.Err() != nil || !x.attemptsLeft() {
 		return false
 	}
-	if x.reached && !x.resumable() {
+	if x.answerStarted && !x.resumable() {
 		return false
 	}
 	if failure.Outcome() != outcome.NotRun && !x.Target.Policy.Repeatable {
 		return false
 	}
 	if x.attempt().Unsent {
-		// Nothing has reached an endpoint, so none is burdened by the retry.
+		// Nothing was sent to an endpoint, so the retry adds no load to one.
 		return true
 	}
 	return p.retries.TryWithdraw(x.Target.Pool)
--- a/pipeline/pipeline_test.go
+++ b/pipeline/pipeline_test.go
@@ -11,23 +11,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSilentEngineIsToldToCancel leaves while an engine has answered nothing
-// yet: it must be told that nobody waits any more.
-func TestSilentEngineIsToldToCancel(t *testing.T) {
+// The caller leaves before an engine has answered anything. The engine must get a
+// cancellation.
+func TestSilentEngineGetsCancellation(t *testing.T) {
 	cancelled := make(chan string, 1)
-	asked := make(chan string, 1)
+	received := make(chan string, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodDelete {
 			cancelled <- strings.TrimPrefix(r.URL.Path, "/v1/requests/")
 			return
 		}
-		// The server notices that the client has left only behind the body.
+		// The server detects that the client has left only after it has read the body.
 		_, _ = io.Copy(io.Discard, r.Body)
-		asked <- r.Header.Get("X-Request-Id")
+		received <- r.Header.Get("X-Request-Id")
 		<-r.Context().Done()
 	}))
 	defer s.Close()
-	p := benchPipeline(t, strings.TrimPrefix(s.URL, "http://"))
+	p := newTestPipeline(t, strings.TrimPrefix(s.URL, "http://"))
 	ctx, leave := context.WithCancel(context.Background())
 	r := httptest.NewRequest(http.MethodPost, pathChat, strings.NewReader(`{"model":"m","stream":true}`)).WithContext(ctx)
 	r.Header.Set("Authorization", "Bearer token")
@@ -36,14 +36,14 @@
 		defer close(done)
 		p.ServeHTTP(httptest.NewRecorder(), r)
 	}()
-	attempt := <-asked
+	attempt := <-received
 	leave()
 	require.Equal(t, attempt, <-cancelled)
 	<-done
 }
 
-// TestErrorEventEndsABrokenStream cuts a stream that cannot be resumed behind
-// its first token, also where the media type has parameters.
+// A stream that cannot be resumed breaks after its first token. It must end with an error
+// event, also if the media type has parameters.
 func TestErrorEventEndsABrokenStream(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost {
@@ -56,7 +56,7 @@
 		panic(http.ErrAbortHandler)
 	}))
 	defer s.Close()
-	p := benchPipeline(t, strings.TrimPrefix(s.URL, "http://"))
+	p := newTestPipeline(t, strings.TrimPrefix(s.URL, "http://"))
 	r := httptest.NewRequest(http.MethodPost, pathChat, strings.NewReader(`{"model":"m","stream":true}`))
 	r.Header.Set("Authorization", "Bearer token")
 	w := httptest.NewRecorder()
@@ -66,8 +66,8 @@
 	require.Contains(t, w.Body.String(), CodeOutcomeUnknown)
 }
 
-// TestFailedResumptionStillCancels cuts a stream whose resumption is refused as
-// not started: the attempt itself may still run and must be cancelled.
+// The resumption of a broken stream is refused as not started. The attempt itself may
+// still run and must be cancelled.
 func TestFailedResumptionStillCancels(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -86,7 +86,7 @@
 		}
 	}))
 	defer s.Close()
-	p := benchPipeline(t, strings.TrimPrefix(s.URL, "http://"))
+	p := newTestPipeline(t, strings.TrimPrefix(s.URL, "http://"))
 	r := httptest.NewRequest(http.MethodPost, pathChat, strings.NewReader(`{"model":"m","stream":true}`))
 	r.Header.Set("Authorization", "Bearer token")
 	p.ServeHTTP(httptest.NewRecorder(), r)
--- a/pipeline/refusals.go
+++ b/pipeline/refusals.go
@@ -7,29 +7,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Refusals remembers what has been refused lately, here or at other instances,
-// so that a caller who comes back as told goes before one who comes first: to be
-// refused twice costs callers more than to be refused once. The zero value is
-// ready; a nil Refusals remembers nothing.
+// Refusals remembers recently refused requests, of this instance and others, so that a
+// caller that retries after the given delay goes before one that arrives for the first
+// time: being refused twice costs callers more than being refused once. The zero value is
+// ready for use; a nil Refusals remembers nothing.
 type Refusals struct {
 	mu sync.Mutex
-	// at holds when each request was refused, by Mark.
-	at map[uint32]time.Time
-	// fresh holds those of this instance since the last Take.
-	fresh []uint32
+	// refusedAt maps the SessionHash of each request to when it was refused.
+	refusedAt map[uint32]time.Time
+	// local holds the refusals of this instance since the last TakeLocal.
+	local []uint32
 }
 
-// refusalMemory is for how long a refusal is remembered; callers come back
-// within a third of the time that they have.
+// refusalMemory is how long a refusal is remembered; callers retry within a third of the
+// time that they have.
 const refusalMemory = 8 * time.Second
 
-// maxRefusals bounds what is remembered, and maxFresh what Take returns.
+// maxRefusals bounds the number of remembered refusals, and maxLocal the number that
+// TakeLocal returns.
 const (
 	maxRefusals = 20_000
-	maxFresh    = 32
+	maxLocal    = 32
 )
 
-// SessionHash is the short form of a request's identity across attempts; 0 for none.
+// SessionHash returns a short hash that identifies a request across its attempts; 0 if
+// session is empty.
 func SessionHash(session string) uint32 {
 	if session == "" {
 		return 0
@@ -37,58 +39,58 @@
 	return uint32(xxhash.Sum64String(session)) | 1
 }
 
-// note records a refusal at this instance.
-func (r *Refusals) note(now time.Time, mark uint32) {
-	if r == nil || mark == 0 {
+// record records a refusal at this instance.
+func (r *Refusals) record(now time.Time, session uint32) {
+	if r == nil || session == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.put(now, mark)
-	if len(r.fresh) < maxFresh {
-		r.fresh = append(r.fresh, mark)
+	r.put(now, session)
+	if len(r.local) < maxLocal {
+		r.local = append(r.local, session)
 	}
 }
 
 // RecordRemote records refusals at other instances.
-func (r *Refusals) RecordRemote(now time.Time, marks []uint32) {
+func (r *Refusals) RecordRemote(now time.Time, sessions []uint32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, mark := range marks {
-		r.put(now, mark)
+	for _, session := range sessions {
+		r.put(now, session)
 	}
 }
 
-func (r *Refusals) put(now time.Time, mark uint32) {
-	if r.at == nil {
-		r.at = map[uint32]time.Time{}
+func (r *Refusals) put(now time.Time, session uint32) {
+	if r.refusedAt == nil {
+		r.refusedAt = map[uint32]time.Time{}
 	}
-	if len(r.at) >= maxRefusals {
-		r.forget(now)
+	if len(r.refusedAt) >= maxRefusals {
+		r.evict(now)
 	}
-	r.at[mark] = now
+	r.refusedAt[session] = now
 }
 
-// forget drops what is too old, and all if that is not enough.
-func (r *Refusals) forget(now time.Time) {
-	for mark, at := range r.at {
+// evict drops expired refusals, or all of them if that is not enough.
+func (r *Refusals) evict(now time.Time) {
+	for session, at := range r.refusedAt {
 		if now.Sub(at) >= refusalMemory {
-			delete(r.at, mark)
+			delete(r.refusedAt, session)
 		}
 	}
-	if len(r.at) >= maxRefusals {
-		clear(r.at)
+	if len(r.refusedAt) >= maxRefusals {
+		clear(r.refusedAt)
 	}
 }
 
-// again tells whether the request was refused lately.
-func (r *Refusals) again(now time.Time, mark uint32) bool {
-	if r == nil || mark == 0 {
+// contains reports whether the request was refused recently.
+func (r *Refusals) contains(now time.Time, session uint32) bool {
+	if r == nil || session == 0 {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at, known := r.at[mark]
+	at, known := r.refusedAt[session]
 	return known && now.Sub(at) < refusalMemory
 }
 
@@ -96,7 +98,7 @@
 func (r *Refusals) TakeLocal() []uint32 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fresh := r.fresh
-	r.fresh = nil
-	return fresh
+	local := r.local
+	r.local = nil
+	return local
 }
--- a/pipeline/refusals_test.go
+++ b/pipeline/refusals_test.go
@@ -10,14 +10,14 @@
 func TestRefusalsAreRememberedForAWhile(t *testing.T) {
 	var r Refusals
 	now := time.Unix(1000, 0)
-	r.note(now, SessionHash("a"))
+	r.record(now, SessionHash("a"))
 	r.RecordRemote(now, []uint32{SessionHash("b")})
-	require.True(t, r.again(now, SessionHash("a")))
-	require.True(t, r.again(now.Add(time.Second), SessionHash("b")))
-	require.False(t, r.again(now, SessionHash("c")))
-	require.False(t, r.again(now.Add(refusalMemory), SessionHash("a")))
-	require.False(t, r.again(now, SessionHash("")), "a request without an identity is never known")
-	require.Equal(t, []uint32{SessionHash("a")}, r.TakeLocal(), "only own ones are told")
+	require.True(t, r.contains(now, SessionHash("a")))
+	require.True(t, r.contains(now.Add(time.Second), SessionHash("b")))
+	require.False(t, r.contains(now, SessionHash("c")))
+	require.False(t, r.contains(now.Add(refusalMemory), SessionHash("a")))
+	require.False(t, r.contains(now, SessionHash("")), "a request without a session is never remembered")
+	require.Equal(t, []uint32{SessionHash("a")}, r.TakeLocal(), "only refusals of this instance are returned")
 	require.Empty(t, r.TakeLocal())
 }
 
@@ -25,8 +25,8 @@
 	var r Refusals
 	now := time.Unix(1000, 0)
 	for i := range uint32(3 * maxRefusals) {
-		r.note(now, i+1)
+		r.record(now, i+1)
 	}
-	require.LessOrEqual(t, len(r.at), maxRefusals)
-	require.Len(t, r.TakeLocal(), maxFresh)
+	require.LessOrEqual(t, len(r.refusedAt), maxRefusals)
+	require.Len(t, r.TakeLocal(), maxLocal)
 }
--- a/pipeline/relay.go
+++ b/pipeline/relay.go
@@ -24,12 +24,12 @@
 
 // Bounds of relaying.
 const (
-	// maxEventBytes bounds one line of an event stream.
+	// maxEventBytes bounds one event of a stream.
 	maxEventBytes = 256 << 10
-	// copyBytes is the size of the buffers that answers are copied through.
+	// copyBytes is the size of the buffers through which answers are copied.
 	copyBytes = 32 << 10
-	// maxIdleResumes bounds how often in a row a broken stream is resumed
-	// without a further token.
+	// maxIdleResumes bounds how often in a row a broken stream is resumed without
+	// receiving another event.
 	maxIdleResumes = 3
 )
 
@@ -37,23 +37,23 @@
 
 var lineReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, copyBytes) }}
 
-// errTruncated is an event stream that ended without its terminator.
+// errTruncated reports an event stream that ended without its terminator.
 var errTruncated = errors.New("the stream ended without its terminator")
 
-// errNoContinuation is an answer to a continuation that is no event stream.
+// errNoContinuation reports an answer to a resumption that is not an event stream.
 var errNoContinuation = errors.New("the stream was not continued")
 
 // Process implements Filter.
 func (f relay) Process(ctx context.Context, x *Exchange) error {
 	if isEventStream(x.attempt().response) {
-		return f.stream(ctx, x)
+		return f.relayStream(ctx, x)
 	}
-	if x.reached {
-		// A continuation that is no stream cannot follow what was passed on.
+	if x.answerStarted {
+		// Only a stream can continue what was passed on.
 		x.attempt().response.Body.Close()
-		return f.broken(ctx, errNoContinuation)
+		return f.relayError(ctx, errNoContinuation)
 	}
-	return f.whole(ctx, x)
+	return f.relayBody(ctx, x)
 }
 
 // eventStreamType is the media type of server-sent events.
@@ -63,17 +63,17 @@
 	return r.StatusCode == http.StatusOK && strings.HasPrefix(r.Header.Get("Content-Type"), eventStreamType)
 }
 
-// whole relays an answer that is not a stream of events.
-func (f relay) whole(ctx context.Context, x *Exchange) error {
+// relayBody relays an answer that is not an event stream.
+func (f relay) relayBody(ctx context.Context, x *Exchange) error {
 	resp := x.attempt().response
 	defer resp.Body.Close()
 	buf := copyBuffers.Get().(*[copyBytes]byte)
 	defer copyBuffers.Put(buf)
-	// The start is read before the header goes out: an answer that breaks before
-	// any of it has reached the caller may still be tried elsewhere.
+	// The start of the body is read before the header is sent: an answer that breaks
+	// before any of it has reached the caller may still be retried elsewhere.
 	n, err := readStart(resp, buf[:])
 	if err != nil && err != io.EOF {
-		return f.broken(ctx, err)
+		return f.relayError(ctx, err)
 	}
 	x.FirstToken = f.now().Sub(x.Received)
 	x.writeHeader(f.dialect, resp)
@@ -85,18 +85,19 @@
 			return nil
 		}
 		if err != nil {
-			return f.broken(ctx, err)
+			return f.relayError(ctx, err)
 		}
 		n, err = resp.Body.Read(buf[:])
 		if err != nil && err != io.EOF {
-			return f.broken(ctx, err)
+			return f.relayError(ctx, err)
 		}
 	}
 }
 
-// readStart reads an answer whole if it is known to fit buf, and else what comes
-// first. Bytes of a short answer would stay in the server's buffers until its end:
-// if it broke in between, the caller would see its connection end without a byte.
+// readStart reads the whole body if it is known to fit into buf, and the first available
+// part otherwise. The bytes of a short answer would stay in the server's buffers until its
+// end: if the answer broke off in between, the caller would see its connection close
+// without receiving a byte.
 func readStart(resp *http.Response, buf []byte) (int, error) {
 	if length := resp.ContentLength; length > 0 && length <= int64(len(buf)) {
 		return io.ReadFull(resp.Body, buf[:length])
@@ -104,11 +105,11 @@
 	return resp.Body.Read(buf)
 }
 
-// stream relays events one by one and resumes the stream if it breaks.
-func (f relay) stream(ctx context.Context, x *Exchange) error {
+// relayStream relays events one by one and resumes the stream if it breaks.
+func (f relay) relayStream(ctx context.Context, x *Exchange) error {
 	a := x.attempt()
 	s := eventRelay{exchange: x, dialect: f.dialect, now: f.now}
-	idle := 0
+	idleResumes := 0
 	for {
 		before := x.offset
 		err := s.run(a.response)
@@ -118,26 +119,26 @@
 			return err
 		}
 		if x.offset > before {
-			idle = 0
+			idleResumes = 0
 		}
-		if ctx.Err() != nil || idle == maxIdleResumes || !f.client.Resumes() {
-			return f.broken(ctx, err)
+		if ctx.Err() != nil || idleResumes == maxIdleResumes || !f.client.Resumes() {
+			return f.relayError(ctx, err)
 		}
-		idle++
+		idleResumes++
 		a.Resumes++
 		resp, resumeErr := f.client.Resume(ctx, a.Decision.Endpoint.Name, a.Decision.Endpoint.Address, a.ID, x.offset)
 		if resumeErr != nil {
-			return f.broken(ctx, errors.Join(err, resumeErr))
+			return f.relayError(ctx, errors.Join(err, resumeErr))
 		}
 		if !isEventStream(resp) {
 			resp.Body.Close()
-			return f.broken(ctx, err)
+			return f.relayError(ctx, err)
 		}
 		a.response = resp
 	}
 }
 
-func (f relay) broken(ctx context.Context, err error) error {
+func (f relay) relayError(ctx context.Context, err error) error {
 	return &RelayError{
 		CallerGone: errors.Is(ctx.Err(), context.Canceled),
 		TimedOut:   errors.Is(ctx.Err(), context.DeadlineExceeded), Err: err,
@@ -149,13 +150,13 @@
 	exchange *Exchange
 	dialect  Dialect
 	now      func() time.Time
-	// lastAt is when the last event was relayed; zero for none in this attempt.
+	// lastAt is when the last event was relayed; zero if this attempt has relayed none.
 	lastAt time.Time
 	// pending is the event being assembled.
 	pending []byte
-	// next is the offset of the pending event, if it has one.
-	next int64
-	done bool
+	// pendingOffset is the offset of the pending event; -1 if it has none.
+	pendingOffset int64
+	done          bool
 }
 
 var (
@@ -164,18 +165,18 @@
 	eventEnd  = []byte("\n\n")
 )
 
-// run relays until the terminator (nil), the caller leaves (*RelayError), or
-// the stream breaks (any other error). Only whole events are passed on, so
-// that a resumption continues exactly behind the last of them.
+// run relays until the terminator (nil), a failed write to the caller (*RelayError), or a
+// break of the stream (any other error). Only complete events are passed on, so a
+// resumption continues exactly after the last of them.
 func (s *eventRelay) run(resp *http.Response) error {
 	lines := lineReaders.Get().(*bufio.Reader)
 	lines.Reset(resp.Body)
 	defer lineReaders.Put(lines)
-	s.pending, s.next = s.pending[:0], -1
+	s.pending, s.pendingOffset = s.pending[:0], -1
 	for {
 		line, err := lines.ReadSlice('\n')
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
-			return s.ended(err)
+			return s.bodyEnded(err)
 		}
 		s.pending = append(s.pending, line...)
 		if len(s.pending) > maxEventBytes {
@@ -185,7 +186,7 @@
 			continue
 		}
 		if len(bytes.TrimSpace(line)) > 0 {
-			s.field(line)
+			s.parseField(line)
 			continue
 		}
 		if err := s.flush(resp, eventBuffered(lines)); err != nil {
@@ -197,27 +198,27 @@
 	}
 }
 
-// eventBuffered tells whether another whole event has arrived already.
+// eventBuffered reports whether another complete event has already been received.
 func eventBuffered(lines *bufio.Reader) bool {
 	arrived, err := lines.Peek(lines.Buffered())
 	return err == nil && bytes.Contains(arrived, eventEnd)
 }
 
-// ended tells whether a stream was whole when its body ended with err.
-func (s *eventRelay) ended(err error) error {
+// bodyEnded returns nil if the stream was complete when its body ended with err.
+func (s *eventRelay) bodyEnded(err error) error {
 	if err != io.EOF {
 		return err
 	}
-	if s.dialect.StreamTerminator() != nil || len(s.pending) > 0 || !s.exchange.reached {
+	if s.dialect.StreamTerminator() != nil || len(s.pending) > 0 || !s.exchange.answerStarted {
 		return errTruncated
 	}
 	return nil
 }
 
-func (s *eventRelay) field(line []byte) {
+func (s *eventRelay) parseField(line []byte) {
 	if value, ok := bytes.CutPrefix(line, idField); ok {
 		if n, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64); err == nil {
-			s.next = n
+			s.pendingOffset = n
 		}
 		return
 	}
@@ -226,21 +227,21 @@
 	}
 }
 
-// flush passes the pending event on. A token that was already relayed, as a
-// resumption may repeat it, is dropped. With more behind it that has arrived
-// already, the bytes need not go out at once.
+// flush passes the pending event on. An event that was already relayed is dropped, as a
+// resumption may repeat it. If more events have already been received, the bytes are not
+// flushed to the network yet.
 func (s *eventRelay) flush(resp *http.Response, more bool) error {
-	event, offset := s.pending, s.next
-	s.pending, s.next = s.pending[:0], -1
+	event, offset := s.pending, s.pendingOffset
+	s.pending, s.pendingOffset = s.pending[:0], -1
 	if offset >= 0 && offset <= s.exchange.offset {
 		return nil
 	}
 	x := s.exchange
-	if !x.reached {
+	if !x.answerStarted {
 		x.FirstToken = s.now().Sub(x.Received)
 		x.writeHeader(s.dialect, resp)
 	}
-	s.noteGap()
+	s.observeGap()
 	if err := x.write(event); err != nil {
 		return &RelayError{CallerGone: true, Err: err}
 	}
@@ -253,8 +254,8 @@
 	return x.flush()
 }
 
-// noteGap tells the endpoint's record the time since the event before.
-func (s *eventRelay) noteGap() {
+// observeGap records the time since the previous event at the endpoint.
+func (s *eventRelay) observeGap() {
 	now := s.now()
 	if !s.lastAt.IsZero() {
 		s.exchange.attempt().Decision.Endpoint.ObserveEventGap(now, now.Sub(s.lastAt))
@@ -262,7 +263,7 @@
 	s.lastAt = now
 }
 
-// writeHeader passes the answer's status and end-to-end headers on.
+// writeHeader passes on the status and the end-to-end headers of the answer.
 func (x *Exchange) writeHeader(d Dialect, resp *http.Response) {
 	h := x.Writer.Header()
 	for name, values := range resp.Header {
@@ -274,20 +275,20 @@
 		h.Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
 	}
 	d.SetHeaders(h, x)
-	// What has begun to be answered is not cancelled when its fingerprint is held back.
+	// An answer that has begun is not cancelled when its fingerprint is quarantined.
 	x.flight.End()
 	x.Writer.WriteHeader(resp.StatusCode)
-	x.reached = true
-	if x.record != nil {
-		x.record.result.Status = resp.StatusCode
-		x.record.result.ContentType = resp.Header.Get("Content-Type")
+	x.answerStarted = true
+	if x.recorder != nil {
+		x.recorder.result.Status = resp.StatusCode
+		x.recorder.result.ContentType = resp.Header.Get("Content-Type")
 	}
 }
 
-// write passes bytes to the caller. The caller of a claimed request may be
-// gone: its answer is still read to the end, to be recorded.
+// write passes bytes to the caller. If the caller of a claimed request is gone, its answer
+// is still read to the end and recorded.
 func (x *Exchange) write(b []byte) error {
-	x.record.write(b)
+	x.recorder.write(b)
 	n, err := x.Writer.Write(b)
 	x.Bytes += int64(n)
 	if x.Claim != nil {
--- a/pipeline/replay_test.go
+++ b/pipeline/replay_test.go
@@ -20,8 +20,8 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// Replays of a load in virtual time, through the real admission and routing, before
-// engines that read prompts between the tokens of their streams.
+// The tests in this file replay a load in virtual time through the real admission and
+// routing, with simulated engines that read prompts between the tokens of their streams.
 
 // arrival is one request of a load.
 type arrival struct {
@@ -43,26 +43,26 @@
 		var a arrival
 		_, err := fmt.Sscan(lines.Text(), &ms, &a.tokens, &a.events)
 		require.NoError(t, err)
-		// No two arrive at once, so that a replay goes much the same way each time.
+		// Distinct arrival times keep replays nearly identical.
 		a.at = time.Duration(ms)*time.Millisecond + time.Duration(len(load))*time.Microsecond
 		load = append(load, a)
 	}
 	return load
 }
 
-// Figures of the replayed engines and of what callers ask.
+// Parameters of the simulated engines and callers.
 const (
-	replayStep    = 5 * time.Millisecond
-	replayToken   = 25 * time.Microsecond
-	replayChunk   = 2048
-	replayStride  = 6
-	replayPlaces  = 48
-	replayTarget  = 400 * time.Millisecond
-	replayPause   = 250 * time.Millisecond
-	replayGiveUp  = 2 * time.Second
-	replayTimeout = 12 * time.Second
-	replayKick    = 5 * time.Millisecond
-	replayOffset  = 1700*time.Microsecond + 1
+	replayStep        = 5 * time.Millisecond
+	replayToken       = 25 * time.Microsecond
+	replayChunk       = 2048
+	replayStride      = 6
+	replayConcurrency = 48
+	replayTarget      = 400 * time.Millisecond
+	replayPause       = 250 * time.Millisecond
+	replayGiveUp      = 2 * time.Second
+	replayTimeout     = 12 * time.Second
+	replayWake        = 5 * time.Millisecond
+	replayOffset      = 1700*time.Microsecond + 1
 )
 
 // replayRun is a request at an engine.
@@ -74,8 +74,8 @@
 	longest                          time.Duration
 }
 
-// replayEngine reads prompts in chunks, the more urgent first, and gives each stream
-// a token a step.
+// replayEngine reads prompts in chunks, in order of priority, and generates a token per
+// step for each stream.
 type replayEngine struct {
 	endpoint *routing.Endpoint
 	mu       sync.Mutex
@@ -86,7 +86,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.runs = append(e.runs, r)
-	// Runs that are admitted at once come in any order, but are read in one.
+	// Requests admitted at the same time arrive in any order but are read in a fixed one.
 	slices.SortFunc(e.runs, func(a, b *replayRun) int {
 		return cmp.Or(cmp.Compare(b.priority, a.priority), cmp.Compare(a.id, b.id))
 	})
@@ -100,7 +100,7 @@
 	}
 }
 
-// read takes a chunk off the prompts and returns how long that takes.
+// read processes a chunk of the prompts and returns how long that takes.
 func (e *replayEngine) read() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -113,7 +113,7 @@
 	return time.Duration(replayChunk-left) * replayToken
 }
 
-// generate gives each stream whose prompt has been read a token.
+// generate generates a token for each stream whose prompt has been read.
 func (e *replayEngine) generate() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -140,7 +140,7 @@
 	})
 }
 
-// replayed is what became of a load.
+// replayed counts the requests of a load by result.
 type replayed struct{ inTime, late, refused int }
 
 func (r *replayed) add(o replayed) {
@@ -149,12 +149,12 @@
 	r.refused += o.refused
 }
 
-// replays is over how many replays a comparison is summed. What happens at one moment
-// has no order in virtual time, so that single replays differ by up to 10 in 367; the
-// policies that are compared differ by 15 on the mean.
+// replays is the number of replays that a comparison adds up. Events at the same virtual
+// time are unordered, so single replays differ by up to 10 in 367; the compared policies
+// differ by 15 on average.
 const replays = 20
 
-// replay plays a load against two replicas under a policy.
+// replay runs a load against two replicas under a policy.
 func replay(t *testing.T, load []arrival, policy routing.Policy) replayed {
 	var out replayed
 	synctest.Test(t, func(t *testing.T) {
@@ -162,7 +162,7 @@
 		engines := map[string]*replayEngine{}
 		view := &routing.View{Replicas: map[string][]*routing.Endpoint{}}
 		for _, name := range []string{"e1", "e2"} {
-			e := &replayEngine{endpoint: &routing.Endpoint{Name: name, Concurrency: replayPlaces}}
+			e := &replayEngine{endpoint: &routing.Endpoint{Name: name, Concurrency: replayConcurrency}}
 			engines[name] = e
 			view.Replicas["m"] = append(view.Replicas["m"], e.endpoint)
 			go e.work(ctx, time.Duration(len(engines))*replayOffset)
@@ -174,7 +174,7 @@
 		go func() {
 			time.Sleep(replayOffset / 2)
 			for ctx.Err() == nil {
-				time.Sleep(replayKick)
+				time.Sleep(replayWake)
 				gates.Wake()
 			}
 		}()
@@ -198,25 +198,25 @@
 		}
 		done.Wait()
 		stop()
-		// Time moves no further once this goroutine ends.
+		// Virtual time stops when this goroutine ends.
 		time.Sleep(time.Second)
 	})
 	return out
 }
 
-// replayOne is one request from its arrival to its end.
+// replayOne runs one request from its arrival to its end.
 func replayOne(ctx context.Context, id string, a arrival, router *routing.Router, gates *Gates, engines map[string]*replayEngine) (served, late bool) {
 	began := time.Now()
 	x := &Exchange{ID: id, Received: began, offset: -1, Target: settings.Target{Unit: "m", Pool: "p", Kind: settings.KindEngine, Policy: settings.Effective{
 		Priority: 9, FirstToken: replayTarget, BetweenTokens: replayPause, Deadline: replayTimeout, GiveUp: replayGiveUp, MaxAttempts: 1,
 	}}}
 	x.Call = Call{AttemptID: id, Stream: true, PromptTokens: int64(a.tokens)}
-	f := admit{gates: gates, router: router, unreachable: func() {}, now: time.Now}
+	f := admit{gates: gates, router: router, onNoReplica: func() {}, now: time.Now}
 	if err := f.Process(ctx, x); err != nil {
 		return false, false
 	}
 	d := &x.attempt().Decision
-	run := &replayRun{id: id, unread: a.tokens, events: a.events, priority: x.rank(), first: make(chan struct{}), ended: make(chan struct{})}
+	run := &replayRun{id: id, unread: a.tokens, events: a.events, priority: x.enginePriority(), first: make(chan struct{}), ended: make(chan struct{})}
 	engines[d.Endpoint.Name].submit(run)
 	<-run.first
 	late = time.Since(began) > replayTarget
@@ -228,14 +228,14 @@
 	return true, late || run.longest > replayPause
 }
 
-// without returns the policy without one of its filters.
+// without returns the policy without the named filter.
 func without(p routing.Policy, name string) routing.Policy {
 	p.Filters = slices.DeleteFunc(slices.Clone(p.Filters), func(f routing.Filter) bool { return f.Name() == name })
 	return p
 }
 
-// TestPromptsOfABurstPauseNoStreams replays a burst of long prompts. With no bound on
-// the prompts ahead but the target for the first token, they pause the streams that run.
+// A burst of long prompts must not delay the running streams. If only the target for the
+// first token bounds the prompts ahead, it does.
 func TestPromptsOfABurstPauseNoStreams(t *testing.T) {
 	load := readLoad(t, "bursts.txt")
 	policy := routing.Policies()[routing.PolicyTimely]
--- a/pipeline/resolve.go
+++ b/pipeline/resolve.go
@@ -6,7 +6,7 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// resolve finds what the name in the request stands for.
+// resolve looks up the target of the requested name.
 type resolve struct {
 	catalog func() *settings.Catalog
 }
--- a/pipeline/route.go
+++ b/pipeline/route.go
@@ -6,12 +6,11 @@
 	"github.com/go-logr/logr"
 )
 
-// route logs the decision by which the attempt's endpoint was chosen. The
-// choice itself is made under the admission gate, so that a place is never
-// promised twice.
+// route logs the decision by which the attempt's endpoint was chosen. The choice itself is
+// made in the admission gate, so that a slot is never assigned twice.
 type route struct {
 	log logr.Logger
-	// endpointsAgeMS is how long ago it was certain which endpoints leave.
+	// endpointsAgeMS is Config.EndpointsAgeMS.
 	endpointsAgeMS func() int64
 }
 
--- a/pipeline/settle.go
+++ b/pipeline/settle.go
@@ -19,27 +19,27 @@
 	replayedHeader = "Eiderspring-Replayed"
 )
 
-// settle ends an exchange: the caller gets its final answer, the claim is
-// finished or freed, and the log line and metrics are written.
+// settle ends an exchange: it gives the caller its final answer, finishes or releases the
+// claim, and writes the log line and metrics.
 type settle struct {
 	dialect Dialect
 	log     logr.Logger
 	metrics *Metrics
 	now     func() time.Time
-	// allowances gets back what a request counted that has not run.
+	// allowances gets a refund for a charged request that has not run.
 	allowances *allowance.Limiter
 }
 
 // claimTimeout bounds the writes that end a claim.
 const claimTimeout = 5 * time.Second
 
-// end settles the exchange with the error that ended it, nil for none.
+// end settles the exchange with the error that ended it; nil means success.
 func (f settle) end(ctx context.Context, x *Exchange, err error) {
 	failure := classify(err)
 	x.Outcome = outcome.Complete
 	if failure != nil {
 		x.Outcome = failure.Outcome()
-		// A retry may fail with not_run after an attempt that may have run.
+		// A retry may fail with not_run after an earlier attempt that may have run.
 		if x.Outcome == outcome.NotRun && x.dispatched {
 			failure = &DispatchError{Err: err}
 			x.Outcome = outcome.Unknown
@@ -55,7 +55,7 @@
 	}
 }
 
-// classify returns the failure behind an error, nil for a success.
+// classify returns the Failure for an error, or nil for success.
 func classify(err error) Failure {
 	var failure Failure
 	switch {
@@ -68,8 +68,8 @@
 	}
 }
 
-// endClaim records the outcome of a claimed request before the caller is told
-// of a failure. An unknown outcome leaves the claim as it is.
+// endClaim records the outcome of a claimed request before the caller learns of a failure.
+// An unknown outcome leaves the claim open.
 func (f settle) endClaim(ctx context.Context, x *Exchange) {
 	if x.Claim == nil {
 		return
@@ -79,7 +79,7 @@
 	var err error
 	switch x.Outcome {
 	case outcome.Complete:
-		err = x.Claim.Finish(ctx, x.record.result)
+		err = x.Claim.Finish(ctx, x.recorder.result)
 	case outcome.NotRun:
 		err = x.Claim.Cancel(ctx)
 	}
@@ -91,10 +91,10 @@
 func (f settle) report(x *Exchange, err error) {
 	took := f.now().Sub(x.Received)
 	f.metrics.count(x, took)
-	f.metrics.countLate(err)
+	f.metrics.countStaleSettings(err)
 	values := []any{
-		"request", x.ID, "outcome", x.Outcome, "caller", x.Caller.Name, "from", x.from(), "fingerprint", x.Fingerprint.String(), "name", x.Call.Name, "unit", x.Target.Unit,
-		"revision", x.Revision, "again", x.again, "attempts", len(x.Attempts), "bytes", x.Bytes, "first_ms", x.FirstToken.Milliseconds(), "took_ms", took.Milliseconds(),
+		"request", x.ID, "outcome", x.Outcome, "caller", x.Caller.Name, "from", x.remoteHost(), "fingerprint", x.Fingerprint.String(), "name", x.Call.Name, "unit", x.Target.Unit,
+		"revision", x.Revision, "again", x.wasRefused, "attempts", len(x.Attempts), "bytes", x.Bytes, "first_ms", x.FirstToken.Milliseconds(), "took_ms", took.Milliseconds(),
 	}
 	if err != nil {
 		values = append(values, "error", err.Error())
@@ -102,11 +102,11 @@
 	f.log.Info("settle", values...)
 }
 
-// answer gives the caller the failure. Behind a partial answer only the break
-// itself can tell: the dialect may end an event stream with an error, and any
-// other answer is cut so that the caller sees it broken.
+// answer reports the failure to the caller. After a partial answer only the interruption
+// itself can report it: the dialect may end an event stream with an error, and any other
+// answer is aborted so that the caller sees that it is incomplete.
 func (f settle) answer(x *Exchange, a Answer) {
-	if !x.reached {
+	if !x.answerStarted {
 		f.dialect.WriteFailure(x.Writer, a)
 		return
 	}
@@ -116,7 +116,7 @@
 	}
 }
 
-// WriteNotRun answers a request that was not let into the pipeline.
+// WriteNotRun answers a request that did not enter the pipeline.
 func WriteNotRun(d Dialect, w http.ResponseWriter, message string) {
 	d.WriteFailure(w, Answer{Status: http.StatusServiceUnavailable, Code: CodeNotRun, Message: message, RetryAfter: defaultRetryAfter})
 }
--- /dev/null
+++ b/pipeline/termination.go
@@ -0,0 +1,90 @@
+package pipeline
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"time"
+
+	"github.com/go-logr/logr"
+
+	"github.com/eiderspring/eiderspring/engine"
+	"github.com/eiderspring/eiderspring/quarantine"
+	"github.com/eiderspring/eiderspring/routing"
+)
+
+// terminationDetector detects whether endpoints at which attempts broke have terminated. A
+// connection breaks for many reasons; an endpoint whose port is closed has terminated, and
+// all requests that it ran with it.
+type terminationDetector struct {
+	quarantine *quarantine.Manager
+	// isListening reports whether a port is open; an error means that this is unknown.
+	isListening func(ctx context.Context, address string) (bool, error)
+	log         logr.Logger
+
+	mu sync.Mutex
+	// pending holds the broken requests of each endpoint that is to be probed.
+	pending map[*routing.Endpoint][]brokenAttempt
+}
+
+// brokenAttempt identifies a request of which an attempt broke.
+type brokenAttempt struct {
+	fingerprint quarantine.Fingerprint
+	account     string
+}
+
+const (
+	// probeDelay is the delay between a break and the probe of the endpoint's port: a
+	// process that ends closes its connections and its port in any order. The delay is far
+	// below the seconds after which a terminated endpoint is back.
+	probeDelay = 50 * time.Millisecond
+	// probeTimeout bounds the probe.
+	probeTimeout = time.Second
+)
+
+// add records that an attempt broke at an endpoint. Attempts that break there at about the
+// same time share one probe. Breaks at a leaving endpoint are ignored: a planned stop ends
+// the requests that run there, which says nothing about them.
+func (b *terminationDetector) add(e *routing.Endpoint, request brokenAttempt) {
+	if b.quarantine == nil || e.Leaving() {
+		return
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	first := b.pending[e] == nil
+	b.pending[e] = append(b.pending[e], request)
+	if first {
+		time.AfterFunc(probeDelay, func() { b.probe(e) })
+	}
+}
+
+// probe reports the pending requests of an endpoint to quarantine if the endpoint has
+// terminated.
+func (b *terminationDetector) probe(e *routing.Endpoint) {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
+	defer cancel()
+	open, err := b.isListening(ctx, e.Address)
+	b.mu.Lock()
+	requests := b.pending[e]
+	delete(b.pending, e)
+	b.mu.Unlock()
+	if terminated := err == nil && !open || e.Replaced(); !terminated {
+		return
+	}
+	b.log.Info("endpoint terminated", "endpoint", e.Name, "address", e.Address, "requests", len(requests))
+	for _, r := range requests {
+		b.quarantine.RecordTermination(r.fingerprint, r.account, e.Name, e.StartedAtMS)
+	}
+}
+
+// connectionLost reports whether a failed attempt lost its connection to the endpoint
+// before its answer was complete.
+func connectionLost(err error) bool {
+	var relayed *RelayError
+	if errors.As(err, &relayed) {
+		return !relayed.CallerGone && !relayed.TimedOut
+	}
+	var unknown *engine.UnknownError
+	var foreign *engine.ForeignAnswerError
+	return errors.As(err, &unknown) && !errors.As(err, &foreign)
+}
--- a/pipeline/breaks_test.go
+++ b/pipeline/termination_test.go
@@ -15,46 +15,46 @@
 	"github.com/eiderspring/eiderspring/routing"
 )
 
-// TestOnlyEndpointsThatEndedAreHeldAgainstARequest breaks a request's attempts at
-// endpoints that have ended, and at others for whose breaks there are other reasons.
-func TestOnlyEndpointsThatEndedAreHeldAgainstARequest(t *testing.T) {
+// A broken attempt must count against its request only if the endpoint has terminated, and
+// not if the connection broke for another reason.
+func TestOnlyTerminatedEndpointsCountAgainstARequest(t *testing.T) {
 	for name, tc := range map[string]struct {
 		open  bool
 		err   error
 		alter func(*routing.Endpoint)
 		want  int
 	}{
-		"ended":                        {want: 1},
-		"alive":                        {open: true},
-		"not known, as it is cut off":  {err: errors.New("timeout")},
-		"replaced at its address":      {open: true, alter: func(e *routing.Endpoint) { e.SetReplaced() }, want: 1},
-		"ended by a planned stop":      {alter: func(e *routing.Endpoint) { e.SetLeaving(true) }},
-		"alive, and leaves since then": {open: true},
+		"terminated":                    {want: 1},
+		"alive":                         {open: true},
+		"unknown, as it is unreachable": {err: errors.New("timeout")},
+		"replaced at its address":       {open: true, alter: func(e *routing.Endpoint) { e.SetReplaced() }, want: 1},
+		"ended by a planned stop":       {alter: func(e *routing.Endpoint) { e.SetLeaving(true) }},
+		"alive, and leaving since then": {open: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				keeper := quarantine.NewManager(quarantine.Config{Limits: quarantine.DefaultLimits, Now: time.Now, Log: logr.Discard()})
-				asked := 0
-				b := &breaks{
-					keeper: keeper, log: logr.Discard(), waiting: map[*routing.Endpoint][]broken{},
-					listens: func(context.Context, string) (bool, error) { asked++; return tc.open, tc.err },
+				probes := 0
+				b := &terminationDetector{
+					quarantine: keeper, log: logr.Discard(), pending: map[*routing.Endpoint][]brokenAttempt{},
+					isListening: func(context.Context, string) (bool, error) { probes++; return tc.open, tc.err },
 				}
 				e := &routing.Endpoint{Name: "e", StartedAtMS: 7}
 				if tc.alter != nil {
 					tc.alter(e)
 				}
-				b.add(e, broken{fingerprint: quarantine.Fingerprint{1}})
-				b.add(e, broken{fingerprint: quarantine.Fingerprint{1}})
+				b.add(e, brokenAttempt{fingerprint: quarantine.Fingerprint{1}})
+				b.add(e, brokenAttempt{fingerprint: quarantine.Fingerprint{1}})
 				time.Sleep(time.Second)
 				synctest.Wait()
 				require.Equal(t, tc.want, keeper.Stats().Known)
-				require.LessOrEqual(t, asked, 1, "those that broke together are asked for once")
+				require.LessOrEqual(t, probes, 1, "attempts that broke together share one probe")
 			})
 		})
 	}
 }
 
-func TestBrokeOff(t *testing.T) {
+func TestConnectionLost(t *testing.T) {
 	unknown := func(err error) error {
 		return &DispatchError{Err: &engine.UnknownError{Endpoint: "e", Err: err}}
 	}
@@ -62,8 +62,8 @@
 		err  error
 		want bool
 	}{
-		"behind the head":      {&RelayError{Err: errTruncated}, true},
-		"before the head":      {unknown(errors.New("EOF")), true},
+		"after the header":     {&RelayError{Err: errTruncated}, true},
+		"before the header":    {unknown(errors.New("EOF")), true},
 		"the caller left":      {&RelayError{CallerGone: true, Err: errTruncated}, false},
 		"out of time":          {&RelayError{TimedOut: true, Err: errTruncated}, false},
 		"not started":          {&DispatchError{NotStarted: true, Err: &engine.NotStartedError{Endpoint: "e"}}, false},
@@ -71,6 +71,6 @@
 		"another's answer":     {unknown(&engine.ForeignAnswerError{}), false},
 		"refused by admission": {&AdmitError{Err: errors.New("full")}, false},
 	} {
-		require.Equal(t, tc.want, brokeOff(tc.err), name)
+		require.Equal(t, tc.want, connectionLost(tc.err), name)
 	}
 }
--- a/pipeline/waiting.go
+++ b/pipeline/waiting.go
@@ -10,93 +10,97 @@
 	"github.com/eiderspring/eiderspring/routing"
 )
 
-// What is decided here answers a load that has moved to units with too few replicas:
-// for the seconds until more are loaded, callers want more than the engines can give.
-// A first try waits until its target has passed and is refused then; who comes back as
-// told goes before others, as it has waited longest and is not to be refused twice.
+// The rules in this file handle load that has moved to units with too few replicas: until
+// more replicas are loaded, which takes seconds, callers request more than the engines can
+// serve. A first attempt waits until its target has passed and is then refused. A caller
+// that retries after the given delay goes before others, because it has waited longest and
+// should not be refused twice.
 
-// late tells whether the request's target has passed here, as it does where an attempt
-// has failed late.
+// late reports whether the request's target has already passed, as it may have after an
+// attempt that failed late.
 func (x *Exchange) late(now time.Time) bool {
-	by := x.firstBy()
+	by := x.firstTokenBy()
 	return x.Target.Unit != "" && !by.IsZero() && !now.Before(by)
 }
 
-// againPriority is by how much a request that comes back after a refusal goes before
-// others in the queue. Sent behind all others, also at the engine, it cost 1 to 3 in 100
-// of the worth of all answers (means of ten runs before 12 and 18 engines); against no
-// head start at all its gain is within noise (35 runs each).
-const againPriority = 1
+// refusedPriority is the number of priority levels that a retry after a refusal gains in
+// the queue. Placing such retries after all others, at the engine too, cost 1 to 3 in 100
+// of the worth of all answers (means of ten runs with 12 and 18 engines). Compared with no
+// gain at all the difference is within noise (35 runs each).
+const refusedPriority = 1
 
-// priority orders the request among those who wait.
+// priority orders the request among those that wait.
 func (x *Exchange) priority() int {
 	p := x.Target.Policy.Priority
-	if x.again {
-		p += againPriority
+	if x.wasRefused {
+		p += refusedPriority
 	}
 	return p
 }
 
-// lateWait is which share of the time between the target and the moment at which a
-// caller leaves a late request waits for a place. What is left is for reading its
-// prompt, behind others.
-const lateWait = 0.4
+// lateWaitShare is the share of the time between the target and the moment at which the
+// caller gives up that a late request waits for a slot. The rest is for reading its
+// prompt, after others.
+const lateWaitShare = 0.4
 
-// startBy is when starting the request has become pointless.
+// startBy returns when starting the request becomes pointless.
 func (x *Exchange) startBy(late bool) time.Time {
 	p := x.Target.Policy
 	switch {
-	case p.MayWait || x.reached:
+	case p.MayWait || x.answerStarted:
 		return x.deadline()
 	case late:
-		extra := time.Duration(lateWait * float64(max(x.giveUp()-p.FirstToken, 0)))
+		extra := time.Duration(lateWaitShare * float64(max(x.firstEventTimeout()-p.FirstToken, 0)))
 		return x.Received.Add(min(p.FirstToken+extra, x.timeout()))
 	}
 	return x.Received.Add(min(p.FirstToken, x.timeout()))
 }
 
-// giveUp is how long the caller waits for the first event.
-func (x *Exchange) giveUp() time.Duration {
+// firstEventTimeout returns how long the caller waits for the first event.
+func (x *Exchange) firstEventTimeout() time.Duration {
 	if p := x.Target.Policy.GiveUp; p > 0 {
 		return min(p, x.timeout())
 	}
 	return x.timeout()
 }
 
-// Times after which a refused caller finds a place, about.
+// Approximate times after which a refused caller finds a free slot.
 const (
-	// loadRetryAfter is for a unit without a replica, which has to be loaded.
-	loadRetryAfter = 1500 * time.Millisecond
-	// roomRetryAfter is for one whose replicas have no room: in this time some of
-	// the prompts ahead have been read.
-	roomRetryAfter = 600 * time.Millisecond
-	// elsewhereRetryAfter is for a caller whom another instance can serve.
-	elsewhereRetryAfter = 10 * time.Millisecond
+	// noReplicaRetryAfter is for a unit without a replica, which must be loaded first.
+	noReplicaRetryAfter = 1500 * time.Millisecond
+	// noCapacityRetryAfter is for a unit whose replicas are full: in this time they read
+	// some of the prompts ahead.
+	noCapacityRetryAfter = 600 * time.Millisecond
+	// stoppingRetryAfter is for a caller that another instance can serve.
+	stoppingRetryAfter = 10 * time.Millisecond
 )
 
-// placesUntil is how many requests endpoints begin within a time that take so many a second,
-// if no other instance sends them any.
-func placesUntil(d time.Duration, perSecond float64) int {
+// startsWithin returns how many requests start within d at endpoints with the given rate
+// limit, if no other instance sends them any.
+func startsWithin(d time.Duration, perSecond float64) int {
 	return int(perSecond * max(d, 0).Seconds())
 }
 
-// mostPermitRetryAfter bounds when a caller is to return for whom only endpoints with limits
-// are left: by then the unit may have been loaded elsewhere.
-const mostPermitRetryAfter = 4 * time.Second
+// maxPermitRetryAfter bounds the retry delay if only endpoints with rate limits are left:
+// by then the unit may have been loaded elsewhere.
+const maxPermitRetryAfter = 4 * time.Second
 
-// permitRetryAfter is when one more request can begin at endpoints that take so many a second.
+// permitRetryAfter returns when one more request can start at endpoints with the given
+// rate limit.
 func permitRetryAfter(perSecond float64) time.Duration {
-	return min(time.Duration(float64(time.Second)/perSecond), mostPermitRetryAfter)
+	return min(time.Duration(float64(time.Second)/perSecond), maxPermitRetryAfter)
 }
 
-// spread keeps those who were refused together from coming back together.
-func spread(d time.Duration) time.Duration {
+// addJitter adds a random delay, so that callers refused at the same time do not retry at
+// the same time.
+func addJitter(d time.Duration) time.Duration {
 	const most = 0.3
 	return d + time.Duration(float64(d)*most*rand.Float64())
 }
 
-// refusalOf is the refusal of a request that got no place; pickErr is why.
-func refusalOf(err, pickErr error) *AdmitError {
+// newAdmitError returns the error for a request that was not admitted; pickErr says why
+// there was no slot for it.
+func newAdmitError(err, pickErr error) *AdmitError {
 	refusal := &AdmitError{Status: http.StatusServiceUnavailable, RetryAfter: defaultRetryAfter, Err: err}
 	var refused *admission.RefusedError
 	if !errors.As(err, &refused) {
@@ -109,13 +113,13 @@
 	case refused.Reason == admission.ReasonQueueFull:
 		refusal.Status = http.StatusTooManyRequests
 	case refused.Reason == admission.ReasonTooManyAhead:
-		refusal.RetryAfter = roomRetryAfter
+		refusal.RetryAfter = noCapacityRetryAfter
 	case refused.Reason == admission.ReasonStopping:
-		refusal.RetryAfter = elsewhereRetryAfter
+		refusal.RetryAfter = stoppingRetryAfter
 	case errors.Is(pickErr, routing.ErrNoReplica):
-		refusal.RetryAfter = spread(loadRetryAfter)
+		refusal.RetryAfter = addJitter(noReplicaRetryAfter)
 	case errors.Is(pickErr, routing.ErrNoCapacity):
-		refusal.RetryAfter = spread(roomRetryAfter)
+		refusal.RetryAfter = addJitter(noCapacityRetryAfter)
 	}
 	return refusal
 }
--- a/pipeline/waiting_test.go
+++ b/pipeline/waiting_test.go
@@ -21,19 +21,19 @@
 	}
 }
 
-// TestHowLongRequestsWait goes through the reasons to wait longer or shorter.
+// Checks the waiting time of late, retried, patient and hurried requests.
 func TestHowLongRequestsWait(t *testing.T) {
 	after := func(x *Exchange, late bool) time.Duration { return x.startBy(late).Sub(x.Received) }
 	x := engineExchange()
 	require.False(t, x.late(x.Received))
-	require.Equal(t, 400*time.Millisecond, after(x, false), "to the target, while it can be met")
+	require.Equal(t, 400*time.Millisecond, after(x, false), "until the target, while it can be met")
 	require.True(t, x.late(x.Received.Add(400*time.Millisecond)))
-	require.Equal(t, 1040*time.Millisecond, after(x, true), "a late one for a part of the caller's patience")
+	require.Equal(t, 1040*time.Millisecond, after(x, true), "a late request for a part of the time that its caller waits")
 
-	back := engineExchange()
-	back.again = true
-	require.False(t, back.late(back.Received))
-	require.Equal(t, back.Target.Policy.Priority+againPriority, back.priority(), "who was refused before goes first")
+	retried := engineExchange()
+	retried.wasRefused = true
+	require.False(t, retried.late(retried.Received))
+	require.Equal(t, retried.Target.Policy.Priority+refusedPriority, retried.priority(), "a request that was refused before goes first")
 	require.Equal(t, x.Target.Policy.Priority, x.priority())
 
 	patient := engineExchange()
@@ -50,22 +50,22 @@
 	require.False(t, plain.late(plain.Received.Add(time.Hour)), "plain services have no order of urgency")
 }
 
-// TestRefusalsSayWhenToComeBack reads the answer for each reason.
-func TestRefusalsSayWhenToComeBack(t *testing.T) {
+// Checks status and retry delay for each reason of a refusal.
+func TestRefusalsGiveARetryDelay(t *testing.T) {
 	expired := &admission.RefusedError{Reason: admission.ReasonExpired}
 	for name, tc := range map[string]struct {
 		err, pick   error
 		status      int
 		least, most time.Duration
 	}{
-		"no replica": {expired, routing.ErrNoReplica, 503, loadRetryAfter, 2 * loadRetryAfter},
-		"no room":    {expired, routing.ErrNoCapacity, 503, roomRetryAfter, 2 * roomRetryAfter},
-		"queue full": {&admission.RefusedError{Reason: admission.ReasonQueueFull}, routing.ErrNoCapacity, 429, roomRetryAfter, 2 * defaultRetryAfter},
-		"stopping":   {&admission.RefusedError{Reason: admission.ReasonStopping}, routing.ErrNoCapacity, 503, elsewhereRetryAfter, elsewhereRetryAfter},
+		"no replica": {expired, routing.ErrNoReplica, 503, noReplicaRetryAfter, 2 * noReplicaRetryAfter},
+		"no room":    {expired, routing.ErrNoCapacity, 503, noCapacityRetryAfter, 2 * noCapacityRetryAfter},
+		"queue full": {&admission.RefusedError{Reason: admission.ReasonQueueFull}, routing.ErrNoCapacity, 429, noCapacityRetryAfter, 2 * defaultRetryAfter},
+		"stopping":   {&admission.RefusedError{Reason: admission.ReasonStopping}, routing.ErrNoCapacity, 503, stoppingRetryAfter, stoppingRetryAfter},
 		"other":      {errors.New("left"), nil, 503, defaultRetryAfter, defaultRetryAfter},
 	} {
 		var failure Failure
-		require.ErrorAs(t, refusalOf(tc.err, tc.pick), &failure, name)
+		require.ErrorAs(t, newAdmitError(tc.err, tc.pick), &failure, name)
 		a := failure.Answer()
 		require.Equal(t, tc.status, a.Status, name)
 		require.Equal(t, CodeNotRun, a.Code, name)
@@ -74,21 +74,21 @@
 	}
 }
 
-// TestAttemptsThatHaveNotRunDoNotCount leaves a request its one run after endpoints
-// have turned it away.
+// A request whose policy allows one attempt must still get it after endpoints have refused
+// it.
 func TestAttemptsThatHaveNotRunDoNotCount(t *testing.T) {
 	x := engineExchange()
 	x.Target.Policy.MaxAttempts = 1
 	e := &routing.Endpoint{Name: "e"}
 	x.Attempts = []Attempt{{NotStarted: true, Decision: routing.Decision{Endpoint: e}}}
-	require.True(t, x.triesLeft())
-	require.Empty(t, x.tried())
+	require.True(t, x.attemptsLeft())
+	require.Empty(t, x.triedEndpoints())
 	x.Attempts = append(x.Attempts, Attempt{Decision: routing.Decision{Endpoint: e}})
-	require.False(t, x.triesLeft())
-	require.Equal(t, []string{"e"}, x.tried())
+	require.False(t, x.attemptsLeft())
+	require.Equal(t, []string{"e"}, x.triedEndpoints())
 	x.Attempts = make([]Attempt, maxAttempts)
 	for i := range x.Attempts {
 		x.Attempts[i] = Attempt{NotStarted: true, Decision: routing.Decision{Endpoint: e}}
 	}
-	require.False(t, x.triesLeft(), "they are bounded all the same")
+	require.False(t, x.attemptsLeft(), "attempts that have not run are bounded too")
 }
