--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -34,7 +34,6 @@
 	// Concurrency is how many requests the endpoint runs at once.
 	Concurrency int
 
-	// ownInFlight counts this instance's attempts at the endpoint.
 	ownInFlight atomic.Int64
 	// ownPromptWork is the time, in nanoseconds, to read the prompts of this instance's
 	// attempts that have had no answer yet.
--- a/routing/prefill_test.go
+++ b/routing/latency_test.go
@@ -81,7 +81,6 @@
 	require.Less(t, r.prefill.promptWork("m", 1000), 30*time.Millisecond, "a single outlier changes little")
 }
 
-// The requests of other instances must count against the concurrency of an endpoint.
 func TestSlotsOfAllInstancesCount(t *testing.T) {
 	e := &Endpoint{Name: "a", Concurrency: 2}
 	r := timelyRouter(e)
