--- a/pipeline/outdated_test.go
+++ b/pipeline/outdated_test.go
@@ -14,8 +14,8 @@
 	"github.com/eiderspring/eiderspring/outcome"
 )
 
-// A caller got 404 for an existing name that this instance's outdated settings did not
-// contain yet. The answer must be a refusal with a retry.
+// A caller gets 404 for an existing name if this instance's outdated settings do not
+// contain it yet. The answer must be a refusal that allows a retry.
 func TestUnknownNameIsNotRejectedByOldSettings(t *testing.T) {
 	outdated := false
 	p := &Pipeline{cfg: Config{SettingsOutdated: func() bool { return outdated }}}
--- a/pipeline/termination.go
+++ b/pipeline/termination.go
@@ -45,35 +45,35 @@
 // add records that an attempt broke at an endpoint. Attempts that break there at about the
 // same time share one probe. Breaks at a leaving endpoint are ignored: a planned stop ends
 // the requests that run there, which says nothing about them.
-func (b *terminationDetector) add(e *routing.Endpoint, request brokenAttempt) {
-	if b.quarantine == nil || e.Leaving() {
+func (d *terminationDetector) add(e *routing.Endpoint, request brokenAttempt) {
+	if d.quarantine == nil || e.Leaving() {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	first := b.pending[e] == nil
-	b.pending[e] = append(b.pending[e], request)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	first := d.pending[e] == nil
+	d.pending[e] = append(d.pending[e], request)
 	if first {
-		time.AfterFunc(probeDelay, func() { b.probe(e) })
+		time.AfterFunc(probeDelay, func() { d.probe(e) })
 	}
 }
 
 // probe reports the pending requests of an endpoint to quarantine if the endpoint has
 // terminated.
-func (b *terminationDetector) probe(e *routing.Endpoint) {
+func (d *terminationDetector) probe(e *routing.Endpoint) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	open, err := b.isListening(ctx, e.Address)
-	b.mu.Lock()
-	requests := b.pending[e]
-	delete(b.pending, e)
-	b.mu.Unlock()
+	open, err := d.isListening(ctx, e.Address)
+	d.mu.Lock()
+	requests := d.pending[e]
+	delete(d.pending, e)
+	d.mu.Unlock()
 	if terminated := err == nil && !open || e.Replaced(); !terminated {
 		return
 	}
-	b.log.Info("endpoint terminated", "endpoint", e.Name, "address", e.Address, "requests", len(requests))
+	d.log.Info("endpoint terminated", "endpoint", e.Name, "address", e.Address, "requests", len(requests))
 	for _, r := range requests {
-		b.quarantine.RecordTermination(r.fingerprint, r.account, e.Name, e.StartedAtMS)
+		d.quarantine.RecordTermination(r.fingerprint, r.account, e.Name, e.StartedAtMS)
 	}
 }
 
--- a/pipeline/termination_test.go
+++ b/pipeline/termination_test.go
@@ -35,7 +35,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				keeper := quarantine.NewManager(quarantine.Config{Limits: quarantine.DefaultLimits, Now: time.Now, Log: logr.Discard()})
 				probes := 0
-				b := &terminationDetector{
+				detector := &terminationDetector{
 					quarantine: keeper, log: logr.Discard(), pending: map[*routing.Endpoint][]brokenAttempt{},
 					isListening: func(context.Context, string) (bool, error) { probes++; return tc.open, tc.err },
 				}
@@ -43,8 +43,8 @@
 				if tc.alter != nil {
 					tc.alter(e)
 				}
-				b.add(e, brokenAttempt{fingerprint: quarantine.Fingerprint{1}})
-				b.add(e, brokenAttempt{fingerprint: quarantine.Fingerprint{1}})
+				detector.add(e, brokenAttempt{fingerprint: quarantine.Fingerprint{1}})
+				detector.add(e, brokenAttempt{fingerprint: quarantine.Fingerprint{1}})
 				time.Sleep(time.Second)
 				synctest.Wait()
 				require.Equal(t, tc.want, keeper.Stats().Known)
--- a/pipeline/waiting.go
+++ b/pipeline/waiting.go
@@ -24,9 +24,9 @@
 }
 
 // refusedPriority is the number of priority levels that a retry after a refusal gains in
-// the queue. Placing such retries after all others, at the engine too, cost 1 to 3 in 100
-// of the worth of all answers (means of ten runs with 12 and 18 engines). Compared with no
-// gain at all the difference is within noise (35 runs each).
+// the queue. Placing such retries after all others, at the engine too, costs 1 to 3 in 100
+// of the worth of all answers (means of ten runs with 12 and 18 engines). The difference
+// from no gain at all is within noise (35 runs each).
 const refusedPriority = 1
 
 // priority orders the request among those that wait.
--- a/routing/plain_test.go
+++ b/routing/plain_test.go
@@ -39,87 +39,87 @@
 )
 
 func newPlainSim(seed uint64, instances int, policy Policy) *plainSim {
-	w := &plainSim{random: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1000, 0), queues: make([][]plainRequest, plainEndpoints), running: make([][]plainRequest, plainEndpoints)}
+	s := &plainSim{random: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1000, 0), queues: make([][]plainRequest, plainEndpoints), running: make([][]plainRequest, plainEndpoints)}
 	for range instances {
-		r := NewRouter(policy, w.random.Float64)
+		r := NewRouter(policy, s.random.Float64)
 		var own []*Endpoint
 		for j := range plainEndpoints {
 			own = append(own, &Endpoint{Name: string(rune('a' + j)), Pool: "plain", Concurrency: plainConcurrency})
 		}
 		r.SetView(&View{Pools: map[string][]*Endpoint{"plain": own}, Instances: instances})
-		w.routers, w.endpoints = append(w.routers, r), append(w.endpoints, own)
+		s.routers, s.endpoints = append(s.routers, r), append(s.endpoints, own)
 	}
-	return w
+	return s
 }
 
 // run sends requests at the given rate, in bursts of three.
-func (w *plainSim) run(perSecond float64, d time.Duration) {
+func (s *plainSim) run(perSecond float64, d time.Duration) {
 	due := 0.0
-	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(plainStep) {
-		w.serve()
-		if w.now.UnixNano()%int64(200*time.Millisecond) == 0 {
-			w.exchangeLoads()
+	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(plainStep) {
+		s.serve()
+		if s.now.UnixNano()%int64(200*time.Millisecond) == 0 {
+			s.exchangeLoads()
 		}
 		const burst = 3
-		for due += perSecond * plainStep.Seconds() * 2 * w.random.Float64(); due >= burst; due -= burst {
+		for due += perSecond * plainStep.Seconds() * 2 * s.random.Float64(); due >= burst; due -= burst {
 			for range burst {
-				w.send(w.random.IntN(len(w.routers)))
+				s.send(s.random.IntN(len(s.routers)))
 			}
 		}
 	}
 }
 
 // serve completes requests that are due and starts queued ones.
-func (w *plainSim) serve() {
+func (s *plainSim) serve() {
 	for j := range plainEndpoints {
-		w.running[j] = slices.DeleteFunc(w.running[j], func(r plainRequest) bool {
-			if r.ends.After(w.now) {
+		s.running[j] = slices.DeleteFunc(s.running[j], func(r plainRequest) bool {
+			if r.ends.After(s.now) {
 				return false
 			}
 			r.decision.Endpoint.ownInFlight.Add(-1)
-			if w.now.Sub(r.arrived) <= plainTarget {
-				w.inTime++
+			if s.now.Sub(r.arrived) <= plainTarget {
+				s.inTime++
 			}
 			return true
 		})
-		for len(w.running[j]) < plainConcurrency && len(w.queues[j]) > 0 {
-			next := w.queues[j][0]
-			w.queues[j] = w.queues[j][1:]
-			next.ends = w.now.Add(time.Duration((30 + 60*w.random.Float64()) * float64(time.Millisecond)))
-			w.running[j] = append(w.running[j], next)
+		for len(s.running[j]) < plainConcurrency && len(s.queues[j]) > 0 {
+			next := s.queues[j][0]
+			s.queues[j] = s.queues[j][1:]
+			next.ends = s.now.Add(time.Duration((30 + 60*s.random.Float64()) * float64(time.Millisecond)))
+			s.running[j] = append(s.running[j], next)
 		}
 	}
 }
 
 // exchangeLoads informs each instance of the other instances' load at each endpoint.
-func (w *plainSim) exchangeLoads() {
+func (s *plainSim) exchangeLoads() {
 	for j := range plainEndpoints {
 		var sum int64
-		for i := range w.endpoints {
-			sum += w.endpoints[i][j].OwnInFlight()
+		for i := range s.endpoints {
+			sum += s.endpoints[i][j].OwnInFlight()
 		}
-		for i := range w.endpoints {
-			w.endpoints[i][j].SetPeerLoad(PeerLoad{Running: sum - w.endpoints[i][j].OwnInFlight(), At: w.now})
+		for i := range s.endpoints {
+			s.endpoints[i][j].SetPeerLoad(PeerLoad{Running: sum - s.endpoints[i][j].OwnInFlight(), At: s.now})
 		}
 	}
 }
 
 // send sends a request from an instance. A request that finds no capacity, or is rejected,
 // is lost.
-func (w *plainSim) send(i int) {
-	w.sent++
-	d, err := w.routers[i].Pick(&Request{Pool: "plain", Now: w.now})
+func (s *plainSim) send(i int) {
+	s.sent++
+	d, err := s.routers[i].Pick(&Request{Pool: "plain", Now: s.now})
 	if err != nil {
 		return
 	}
 	j := int(d.Endpoint.Name[0] - 'a')
-	if len(w.queues[j]) >= plainQueue {
-		w.rejected++
+	if len(s.queues[j]) >= plainQueue {
+		s.rejected++
 		d.Endpoint.ownInFlight.Add(-1)
-		d.Endpoint.MarkFull(w.now)
+		d.Endpoint.MarkFull(s.now)
 		return
 	}
-	w.queues[j] = append(w.queues[j], plainRequest{arrived: w.now, decision: d})
+	s.queues[j] = append(s.queues[j], plainRequest{arrived: s.now, decision: d})
 }
 
 // Offers nine tenths of the capacity of three plain endpoints, at up to 295 instances
@@ -128,9 +128,9 @@
 func TestInstancesDoNotOverrunOnePlainEndpoint(t *testing.T) {
 	for _, instances := range []int{18, 90, 295} {
 		for seed := range uint64(3) {
-			w := newPlainSim(seed, instances, Policies()[PolicyTimely])
-			w.run(270, 20*time.Second)
-			require.GreaterOrEqual(t, float64(w.inTime)/float64(w.sent), 0.9, "%d instances, seed %d: %d rejected", instances, seed, w.rejected)
+			s := newPlainSim(seed, instances, Policies()[PolicyTimely])
+			s.run(270, 20*time.Second)
+			require.GreaterOrEqual(t, float64(s.inTime)/float64(s.sent), 0.9, "%d instances, seed %d: %d rejected", instances, seed, s.rejected)
 		}
 	}
 }
@@ -139,8 +139,8 @@
 func TestSlotsThatSeemFreeAreOverrun(t *testing.T) {
 	policy := Policies()[PolicyTimely]
 	policy.Plain = nil
-	w := newPlainSim(0, 90, policy)
-	w.run(270, 20*time.Second)
-	t.Logf("in time %.3f, rejected %.3f", float64(w.inTime)/float64(w.sent), float64(w.rejected)/float64(w.sent))
-	require.Less(t, float64(w.inTime)/float64(w.sent), 0.8)
+	s := newPlainSim(0, 90, policy)
+	s.run(270, 20*time.Second)
+	t.Logf("in time %.3f, rejected %.3f", float64(s.inTime)/float64(s.sent), float64(s.rejected)/float64(s.sent))
+	require.Less(t, float64(s.inTime)/float64(s.sent), 0.8)
 }
