--- a/evacuation/keeper.go
+++ b/evacuation/tracker.go
@@ -6,51 +6,53 @@
 	"slices"
 )
 
-// Version is a version of the store: a revision within one of its eras. The zero value is
-// before all others.
+// Version is a version of the store: a revision within one of its eras. The zero value
+// orders before all others.
 type Version struct{ Era, Revision int64 }
 
-// Compare is negative if v is before o, positive if it is after it.
+// Compare returns a negative number if v is older than o, a positive one if v is newer, and
+// 0 if they are equal.
 func (v Version) Compare(o Version) int {
 	return cmp.Or(cmp.Compare(v.Era, o.Era), cmp.Compare(v.Revision, o.Revision))
 }
 
-// Set is the evacuated failure domains as of a version, in order.
+// Set is the evacuated failure domains as of a version, in sorted order.
 type Set struct {
 	Version Version
 	Domains []string
 }
 
-// Event is an input of Keeper.
+// Event is an input of Tracker.
 type Event interface{ isEvent() }
 
-// Listed is the whole list of the store.
+// Listed carries the complete set as listed from the store.
 type Listed struct{ Set Set }
 
-// Changed is what has changed in the store between the last Listed or Changed and a version.
+// Changed carries what changed in the store between the last Listed or Changed event and
+// Version.
 type Changed struct {
 	Version Version
-	// Domains tells of each domain that changed whether it is evacuated now.
+	// Domains maps each changed domain to whether it is now evacuated.
 	Domains map[string]bool
 }
 
-// Announced is the word of another instance.
+// Announced carries the set that another instance announces.
 type Announced struct{ Set Set }
 
 func (Listed) isEvent()    {}
 func (Changed) isEvent()   {}
 func (Announced) isEvent() {}
 
-// Tracker keeps the set that is in force. Its zero value knows of none.
+// Tracker tracks the set that is in force. Its zero value has no evacuated domains.
 //
-// Invariants: the version in force never goes back; changes apply to what the own watch has
-// brought, never to the word of another.
+// Invariants: the version in force never decreases; changes apply to the set from this
+// instance's own watch, never to an announced set.
 type Tracker struct {
 	watched Set
 	inForce Set
 }
 
-// Step applies an event and tells whether other domains are evacuated than before.
+// Step applies an event and reports whether the set of evacuated domains changed.
 func (k *Tracker) Step(e Event) (changed bool) {
 	switch e := e.(type) {
 	case Listed:
@@ -66,10 +68,11 @@
 	}
 }
 
-// InForce is the set that is in force, which must not be changed.
+// InForce returns the set that is in force. The caller must not modify it.
 func (k *Tracker) InForce() Set { return k.inForce }
 
-// adopt puts a set in force unless a newer one is.
+// adopt puts s in force unless a newer set already is, and reports whether the evacuated
+// domains changed.
 func (k *Tracker) adopt(s Set) (changed bool) {
 	if s.Version.Compare(k.inForce.Version) < 0 {
 		return false
@@ -79,7 +82,7 @@
 	return changed
 }
 
-// apply returns the set behind some changes.
+// apply returns the set that results from applying c to s.
 func (s Set) apply(c Changed) Set {
 	domains := make(map[string]bool, len(s.Domains))
 	for _, d := range s.Domains {
--- a/evacuation/keeper_test.go
+++ b/evacuation/tracker_test.go
@@ -13,7 +13,8 @@
 	_ "github.com/eiderspring/eiderspring/internal/seeded"
 )
 
-// TestGolden runs the sessions in testdata: listed, changed and told with at=ERA/REVISION.
+// TestGolden runs the sessions in testdata. The commands listed, changed and announced take
+// at=ERA/REVISION.
 func TestGolden(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var k Tracker
@@ -30,18 +31,18 @@
 	})
 }
 
-// eventOf reads an event; the input holds domains, and for changed a + or - before each.
+// eventOf parses an event. The input lists domains; for changed, each has a + or - prefix.
 func eventOf(t *testing.T, d *datadriven.TestData, v Version) Event {
-	words := strings.Fields(d.Input)
+	domains := strings.Fields(d.Input)
 	switch d.Cmd {
 	case "listed":
-		return Listed{Set{v, words}}
-	case "told":
-		return Announced{Set{v, words}}
+		return Listed{Set{v, domains}}
+	case "announced":
+		return Announced{Set{v, domains}}
 	case "changed":
 		c := Changed{Version: v, Domains: map[string]bool{}}
-		for _, w := range words {
-			c.Domains[w[1:]] = w[0] == '+'
+		for _, signed := range domains {
+			c.Domains[signed[1:]] = signed[0] == '+'
 		}
 		return c
 	default:
@@ -50,8 +51,9 @@
 	}
 }
 
-// TestNewestSetIsInForce makes a history of one store, and lets an instance hear of it by its
-// watch and by words of others, some of them late: what is in force is the newest it has heard.
+// TestNewestSetIsInForce delivers versions of one store history to an instance, by its own
+// watch and by announcements of others, some of them delayed. It guards against an older set
+// replacing a newer one.
 func TestNewestSetIsInForce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := []Set{{Version: Version{Revision: 1}}}
@@ -66,7 +68,7 @@
 		watched, newest := -1, -1
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			at := rapid.IntRange(0, len(history)-1).Draw(t, "at")
-			if rapid.Bool().Draw(t, "told") {
+			if rapid.Bool().Draw(t, "announced") {
 				k.Step(Announced{history[at]})
 				newest = max(newest, at)
 			} else if at = max(at, watched); watched < 0 {
