--- a/losses/cause.go
+++ b/losses/cause.go
@@ -2,42 +2,43 @@
 
 import "strings"
 
-// Cause is why a request was not answered, or late.
+// Cause is why a request was not answered, or answered late.
 type Cause string
 
-// Causes, in the words of the log's reasons.
+// Causes, named after the reasons in the logs.
 const (
-	// Late is a whole answer whose first byte came behind the target.
+	// Late is a complete answer whose first byte arrived after the target time.
 	Late Cause = "late"
-	// NoReplica is a refusal as no endpoint held the unit.
+	// NoReplica is a refusal because no endpoint held the unit.
 	NoReplica Cause = "no-replica"
-	// NoRoom is a refusal as those that held it were full.
+	// NoRoom is a refusal because the endpoints that held the unit were full.
 	NoRoom Cause = "no-room"
-	// NoneLeft is a request of which every endpoint that held the unit was tried.
+	// NoneLeft is a request for which every endpoint that held the unit was tried.
 	NoneLeft Cause = "none-left"
-	// QueueFull is a refusal as too many waited.
+	// QueueFull is a refusal because too many requests were waiting.
 	QueueFull Cause = "queue-full"
-	// Stopping is a refusal by an instance that stopped.
+	// Stopping is a refusal by an instance that was shutting down.
 	Stopping Cause = "stopping"
-	// Rejected is an endpoint's own refusal, NotResident one for what it lacks.
+	// Rejected is a refusal by the endpoint itself, NotResident one because the endpoint does
+	// not hold the unit.
 	Rejected    Cause = "rejected"
 	NotResident Cause = "not-resident"
-	// Unreached is an endpoint to which no connection came about.
+	// Unreached is a failure to connect to the endpoint.
 	Unreached Cause = "unreached"
-	// CallerLeft is a caller who did not wait.
+	// CallerLeft is a caller that disconnected before the answer.
 	CallerLeft Cause = "caller-left"
-	// TimedOut is a request whose time was over.
+	// TimedOut is a request whose deadline expired.
 	TimedOut Cause = "timed-out"
-	// EndpointFailed is an answer that an endpoint broke off or lost.
+	// EndpointFailed is an answer that the endpoint aborted or lost.
 	EndpointFailed Cause = "endpoint-broke"
-	// Other is anything else.
+	// Other is any other cause.
 	Other Cause = "other"
 )
 
-// causes maps parts of an error's text to causes; the first that fits counts.
-var causes = []struct {
-	text  string
-	cause Cause
+// causePatterns maps substrings of an error's text to causes; the first match wins.
+var causePatterns = []struct {
+	substring string
+	cause     Cause
 }{
 	{"not admitted: stopping", Stopping},
 	{"queue_full", QueueFull},
@@ -57,9 +58,9 @@
 }
 
 func causeOf(text string) Cause {
-	for _, c := range causes {
-		if strings.Contains(text, c.text) {
-			return c.cause
+	for _, p := range causePatterns {
+		if strings.Contains(text, p.substring) {
+			return p.cause
 		}
 	}
 	return Other
--- a/losses/table.go
+++ b/losses/table.go
@@ -13,25 +13,26 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Options say what counts as a loss and how fine the table is.
+// Options define what counts as a loss and the resolution of the table.
 type Options struct {
-	// Target is the time to the first byte above which a request for a unit is late;
-	// 0 counts none as late.
+	// Target is the time to the first byte above which a request for a unit is late; with 0,
+	// no request is late.
 	Target time.Duration
-	// Window is the length of a row, by the arrival of requests.
+	// Window is the time that one row covers. Requests are assigned to rows by arrival time.
 	Window time.Duration
 }
 
-// Table counts the requests of each window of time.
+// Table counts requests and their losses by time window.
 type Table struct {
 	options Options
 	windows map[time.Time]*window
 	total   map[Cause]int
 }
 
+// window counts the requests of one row, and their losses by cause.
 type window struct {
-	asked  int
-	causes map[Cause]int
+	requests int
+	causes   map[Cause]int
 }
 
 // NewTable returns an empty table.
@@ -39,52 +40,52 @@
 	return &Table{options: o, windows: map[time.Time]*window{}, total: map[Cause]int{}}
 }
 
-// settled is what a line tells of a request that has ended.
-type settled struct {
-	at          time.Time
-	outcome     string
-	unit, err   string
-	first, took time.Duration
+// settledRequest is a request as its settle line describes it.
+type settledRequest struct {
+	at              time.Time
+	outcome         string
+	unit, err       string
+	firstByte, took time.Duration
 }
 
-// Outcomes that are no loss.
+// Outcomes that are not counted as losses.
 const (
 	outcomeComplete = "complete"
 	outcomeRejected = "rejected"
 )
 
-// Read takes the lines of a log; whatever stands before a line's time is passed over,
-// and so are lines of other events. It fails with an error of the reader, or with a
-// *LineError for a line that ends a request and cannot be read.
+// Read adds the requests of a log. It skips text before a line's time field and lines of
+// other events. It returns an error of the reader, or a *LineError for a settle line that
+// cannot be parsed.
 func (t *Table) Read(r io.Reader) error {
 	d := logfmt.NewDecoder(r)
 	for d.ScanRecord() {
-		var s settled
-		ends, err := s.scan(d)
+		var s settledRequest
+		settles, err := s.scan(d)
 		if err != nil {
 			return err
 		}
-		if ends {
+		if settles {
 			t.add(s)
 		}
 	}
 	return d.Err()
 }
 
-// LineError is a line of which a field cannot be read.
+// LineError reports a log line with a field that cannot be parsed.
 type LineError struct {
 	Field string
 	Err   error
 }
 
-// Error names the field.
+// Error returns the field and the cause.
 func (e *LineError) Error() string { return fmt.Sprintf("field %s: %v", e.Field, e.Err) }
 
 // Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// scan reads one line and tells whether it ends a request.
-func (s *settled) scan(d *logfmt.Decoder) (ends bool, err error) {
+// scan parses one line and reports whether it is a settle line.
+func (s *settledRequest) scan(d *logfmt.Decoder) (settles bool, err error) {
 	for d.ScanKeyval() {
 		key, value := string(d.Key()), string(d.Value())
 		var fieldErr error
@@ -92,7 +93,7 @@
 		case "time":
 			s.at, fieldErr = time.Parse(time.RFC3339Nano, value)
 		case "msg":
-			ends = value == "settle"
+			settles = value == "settle"
 		case "outcome":
 			s.outcome = value
 		case "unit":
@@ -100,7 +101,7 @@
 		case "error":
 			s.err = value
 		case "first_ms":
-			s.first, fieldErr = time.ParseDuration(value + "ms")
+			s.firstByte, fieldErr = time.ParseDuration(value + "ms")
 		case "took_ms":
 			s.took, fieldErr = time.ParseDuration(value + "ms")
 		}
@@ -108,15 +109,15 @@
 			err = &LineError{Field: key, Err: fieldErr}
 		}
 	}
-	if !ends {
+	if !settles {
 		return false, nil
 	}
 	return true, err
 }
 
-func (t *Table) add(s settled) {
+func (t *Table) add(s settledRequest) {
 	if s.outcome == outcomeRejected {
-		// Such a request was at fault itself.
+		// The request itself was invalid, which is not a loss.
 		return
 	}
 	arrived := s.at.Add(-s.took).Truncate(t.options.Window)
@@ -125,8 +126,8 @@
 		w = &window{causes: map[Cause]int{}}
 		t.windows[arrived] = w
 	}
-	w.asked++
-	cause := t.lost(s)
+	w.requests++
+	cause := t.lossOf(s)
 	if cause == "" {
 		return
 	}
@@ -134,19 +135,19 @@
 	t.total[cause]++
 }
 
-// lost is the cause of a loss, empty for none.
-func (t *Table) lost(s settled) Cause {
+// lossOf returns the cause if the request is a loss, and an empty Cause if it is not.
+func (t *Table) lossOf(s settledRequest) Cause {
 	if s.outcome != outcomeComplete {
 		return causeOf(s.err)
 	}
-	if t.options.Target > 0 && s.unit != "" && s.first > t.options.Target {
+	if t.options.Target > 0 && s.unit != "" && s.firstByte > t.options.Target {
 		return Late
 	}
 	return ""
 }
 
-// Write writes a row for each window, the columns being the causes that occur, the
-// most frequent first.
+// Write writes one row for each window. The columns are the causes that occur, the most
+// frequent first.
 func (t *Table) Write(w io.Writer) error {
 	columns := slices.SortedFunc(maps.Keys(t.total), func(a, b Cause) int {
 		return cmp.Or(cmp.Compare(t.total[b], t.total[a]), cmp.Compare(a, b))
@@ -159,7 +160,7 @@
 	fmt.Fprintln(out, strings.Join(names, "\t")+"\t")
 	for _, from := range slices.SortedFunc(maps.Keys(t.windows), time.Time.Compare) {
 		row := t.windows[from]
-		fmt.Fprintf(out, "%s\t%d\t", from.UTC().Format("15:04:05.0"), row.asked)
+		fmt.Fprintf(out, "%s\t%d\t", from.UTC().Format("15:04:05.0"), row.requests)
 		for _, c := range columns {
 			fmt.Fprintf(out, "%d\t", row.causes[c])
 		}
--- a/losses/table_test.go
+++ b/losses/table_test.go
@@ -36,7 +36,7 @@
 	var line *LineError
 	require.True(t, errors.As(err, &line))
 	require.Equal(t, "took_ms", line.Field)
-	require.NoError(t, table.Read(strings.NewReader("time=never msg=route\n")), "lines of other events are passed over")
+	require.NoError(t, table.Read(strings.NewReader("time=never msg=route\n")), "lines of other events are skipped")
 }
 
 func TestCauses(t *testing.T) {
