--- a/permit/cold.go
+++ b/permit/cold.go
@@ -2,67 +2,71 @@
 
 import "time"
 
-// An endpoint is cold for a while behind its start, and bears few requests then. That is kept
-// like a limit that the endpoint names, but for how it ends: by time, at each instance by what
-// that instance knows, as one that knows less must not end it for all. What the endpoint gets
-// then grows in steps: all instances would send it what waits at the same moment.
+// An endpoint is cold for a while after its start, and can bear few requests then. Its cold
+// limit is kept like a limit that the endpoint reports, except for its end: it ends by time,
+// at each instance by what that instance knows, because an instance that knows less must not
+// end it for all. What the endpoint gets then grows in steps, because otherwise all instances
+// would send it their waiting requests at the same moment.
 const (
-	// coldReserve is for how much longer an endpoint counts as cold than it says: what it
-	// says is as old as its way here.
-	coldReserve = 300 * time.Millisecond
-	// coldHeard is for how long the ask of another instance makes an endpoint cold here.
-	coldHeard = time.Second
-	// warmSteps is in how many steps an endpoint that is no longer cold gets more, warmStep
-	// how long each lasts, and warmGrowth how many times as much it brings.
-	warmSteps  = 2
-	warmStep   = 500 * time.Millisecond
-	warmGrowth = 2
+	// coldMargin is added to the cold time that an endpoint reports, which is outdated by the
+	// time that the report takes to arrive.
+	coldMargin = 300 * time.Millisecond
+	// coldByRequest is how long a permit request of another instance makes an endpoint cold here.
+	coldByRequest = time.Second
+	// warmUpSteps is the number of steps in which an endpoint that is no longer cold gets more,
+	// warmUpStepTime the length of a step, and warmUpGrowth the factor by which each multiplies
+	// the rate.
+	warmUpSteps    = 2
+	warmUpStepTime = 500 * time.Millisecond
+	warmUpGrowth   = 2
 )
 
-// RecordCold records that an endpoint stays cold for so long, in which it takes so many requests a
-// second from all instances together, and reports whether it was not cold before.
+// RecordCold records that an endpoint stays cold for the remaining time, in which it accepts
+// perSecond requests a second from all instances together, and reports whether it was not
+// cold before.
 func (l *Limiter) RecordCold(now time.Time, e LimitKey, perSecond float64, remaining time.Duration) (news bool) {
 	if l == nil || perSecond <= 0 || remaining <= 0 {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.coldUntil(now, e, perSecond, now.Add(remaining+coldReserve))
+	return l.recordCold(now, e, perSecond, now.Add(remaining+coldMargin))
 }
 
-// coldUntil records that an endpoint is cold until a moment at least.
-func (l *Limiter) coldUntil(now time.Time, e LimitKey, perSecond float64, until time.Time) (news bool) {
+// recordCold records that an endpoint is cold at least until a time.
+func (l *Limiter) recordCold(now time.Time, e LimitKey, perSecond float64, until time.Time) (news bool) {
 	e.Cold = true
-	news = l.said(now, now, e, perSecond, false)
+	news = l.record(now, now, e, perSecond, false)
 	known := l.limits[e]
 	if known == nil {
-		// There is no room for more.
+		// The table of limits is full.
 		return false
 	}
 	if until.After(known.coldUntil) {
 		known.coldUntil = until
 	}
 	if known.coldUntil.After(now) {
-		known.warmed = 0
+		known.warmUpStep = 0
 	}
 	return news
 }
 
-// hearCold takes the word of another instance on a cold endpoint. It never ends anything.
-func (l *Limiter) hearCold(now time.Time, e LimitKey, w LimitReport) (news bool) {
-	if w.Ended || w.PerSecond <= 0 {
+// receiveCold applies a report of another instance on a cold endpoint. It never ends a cold
+// limit.
+func (l *Limiter) receiveCold(now time.Time, e LimitKey, r LimitReport) (news bool) {
+	if r.Ended || r.PerSecond <= 0 {
 		return false
 	}
 	if known := l.limits[e]; known != nil && !known.ended {
-		// By the own list it is as cold as it is.
+		// This instance's own list already says how long the endpoint stays cold.
 		known.touchedAt = now
 		return false
 	}
-	return l.coldUntil(now, e, w.PerSecond, now.Add(coldHeard))
+	return l.recordCold(now, e, r.PerSecond, now.Add(coldByRequest))
 }
 
-// AdvanceWarmUp lets endpoints that are no longer cold get more, and returns those that have become
-// warm.
+// AdvanceWarmUp raises the rates of endpoints that are no longer cold, and returns those that
+// have become warm.
 func (l *Limiter) AdvanceWarmUp(now time.Time) (warm []LimitKey) {
 	if !l.AnyLimit() {
 		return nil
@@ -73,19 +77,19 @@
 		if !e.Cold || k.ended || now.Before(k.coldUntil) {
 			continue
 		}
-		k.warmed = int(now.Sub(k.coldUntil)/warmStep) + 1
-		if k.warmed > warmSteps && l.said(now, now, e, 0, true) {
+		k.warmUpStep = int(now.Sub(k.coldUntil)/warmUpStepTime) + 1
+		if k.warmUpStep > warmUpSteps && l.record(now, now, e, 0, true) {
 			warm = append(warm, e)
 		}
 	}
 	return warm
 }
 
-// warmth is how many times as much as a cold endpoint one gets that is warming up.
-func (k *limit) warmth() int {
-	times := 1
-	for range k.warmed {
-		times *= warmGrowth
+// warmUpFactor returns the factor by which the rate of the endpoint exceeds its cold rate.
+func (k *limit) warmUpFactor() int {
+	factor := 1
+	for range k.warmUpStep {
+		factor *= warmUpGrowth
 	}
-	return times
+	return factor
 }
--- a/permit/doc.go
+++ b/permit/doc.go
@@ -1,24 +1,24 @@
-// Package permit keeps the rate of requests that an endpoint names, summed over all
+// Package permit enforces the request rate limit that an endpoint reports, summed over all
 // instances.
 //
-// An endpoint in need tells with its answers how many requests a second it takes from all
-// instances together. Whoever hears that tells the others, and from then on a request goes
-// there only with a permit. Permits are issued by one instance for each endpoint, the first
-// of a rendezvous hash over the instances, from a token bucket at the named rate; those
-// that are not used within permitTime are void. An instance asks for one when a request
-// would take the endpoint and none is left; meanwhile the request goes to another replica
-// or waits.
+// An overloaded endpoint reports with its answers how many requests a second it accepts from
+// all instances together. The instance that receives such a limit reports it to the others,
+// and from then on a request is sent to the endpoint only with a permit. For each endpoint
+// one instance issues permits: the first of a rendezvous hash over the instances, from a
+// token bucket with the reported rate. Permits that are not used within permitLifetime
+// expire. An instance requests permits when a request would be sent to the endpoint and no
+// permit is available; meanwhile the request goes to another replica or waits.
 //
-// An issuer that does not answer is passed over for a while, and the next one of the hash
-// issues at a part of the rate: the first may be there for others. An instance that no
-// issuer answers goes on with half of an even part of the rate. All of these together stay
-// below one and a half times the limit. A rate of next to nothing is raised to leastRate, as
-// only an answer tells that the limit has ended.
+// An issuer that does not reply is skipped for a while, and the next one of the hash issues
+// at a fraction of the rate, because the first may still serve others. An instance that gets
+// no reply from any issuer continues with half of an even share of the rate. All of these
+// together stay below one and a half times the limit. A rate close to zero is raised to
+// minRate, because only an answer shows that the limit has ended.
 //
-// What an endpoint takes while it is cold is kept in the same way, but ends by time, and grows
-// in steps (Cold, Warm).
+// The rate that an endpoint accepts while it is cold is enforced in the same way, but ends by
+// time, and grows in steps (RecordCold, AdvanceWarmUp).
 //
-// Nothing is kept: an issuer begins with an empty bucket, and an endpoint that is started
-// again is another endpoint. Local is a state machine without goroutine, clock, random
+// Nothing is persisted: an issuer starts with an empty bucket, and a restarted endpoint
+// counts as another endpoint. Limiter is a state machine without goroutine, clock, random
 // source or I/O.
 package permit
--- a/permit/golden_test.go
+++ b/permit/golden_test.go
@@ -9,25 +9,25 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// session is two instances before one endpoint; what one sends reaches the other when the
-// session says so.
+// session is two instances and one endpoint. A message of one instance reaches the other
+// when the session delivers it.
 type session struct {
-	now    time.Time
-	locals map[string]*Limiter
-	asks   map[string]Request
-	grants map[string]Grant
+	now      time.Time
+	limiters map[string]*Limiter
+	requests map[string]Request
+	grants   map[string]Grant
 }
 
 var sessionEndpoint = LimitKey{Name: "e1"}
 
-// TestGolden runs the sessions in testdata. Instance a issues and b asks; at is in
-// milliseconds since the start.
+// TestGolden runs the sessions in testdata. Instance a issues permits and b requests them; at
+// is in milliseconds since the start.
 func TestGolden(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		s := &session{locals: map[string]*Limiter{}, asks: map[string]Request{}, grants: map[string]Grant{}}
+		s := &session{limiters: map[string]*Limiter{}, requests: map[string]Request{}, grants: map[string]Grant{}}
 		for _, name := range []string{"a", "b"} {
-			s.locals[name] = NewLimiter(name, 0, func() {})
-			s.locals[name].SetFleet(Fleet{Members: []string{"a"}, KnownCount: 1})
+			s.limiters[name] = NewLimiter(name, 0, func() {})
+			s.limiters[name].SetFleet(Fleet{Members: []string{"a"}, KnownCount: 1})
 		}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			var ms int
@@ -41,13 +41,13 @@
 }
 
 func (s *session) do(t *testing.T, d *datadriven.TestData, name string) string {
-	l := s.locals[name]
+	l := s.limiters[name]
 	switch d.Cmd {
-	case "named":
+	case "limit":
 		var perSecond float64
 		d.ScanArgs(t, "per-second", &perSecond)
 		return fmt.Sprintf("news=%v\n", l.RecordLimit(s.now, sessionEndpoint, perSecond))
-	case "unlimited":
+	case "no-limit":
 		var sent int
 		d.ScanArgs(t, "sent", &sent)
 		return fmt.Sprintf("news=%v\n", l.RecordNoLimit(s.now, sessionEndpoint, start.Add(time.Duration(sent)*time.Millisecond)))
@@ -57,27 +57,27 @@
 		}
 		l.RecordDemand(s.now, sessionEndpoint)
 		return "waits\n"
-	case "ask":
-		return s.ask(l, name)
-	case "answer":
-		g, answered := l.HandleRequest(s.now, s.asks["b"])
+	case "request-permits":
+		return s.requestPermits(l, name)
+	case "grant":
+		g, answered := l.HandleRequest(s.now, s.requests["b"])
 		s.grants["b"] = g
-		return fmt.Sprintf("answered=%v n=%d ended=%v\n", answered, g.N, g.Word.Ended)
-	case "granted":
-		return fmt.Sprintf("goes-on=%v\n", l.ReceiveGrant(s.now, "a", s.grants[name]))
+		return fmt.Sprintf("answered=%v n=%d ended=%v\n", answered, g.N, g.Report.Ended)
+	case "receive-grant":
+		return fmt.Sprintf("wakes=%v\n", l.ReceiveGrant(s.now, "a", s.grants[name]))
 	default:
 		t.Fatalf("unknown command %s", d.Cmd)
 		return ""
 	}
 }
 
-func (s *session) ask(l *Limiter, name string) string {
+func (s *session) requestPermits(l *Limiter, name string) string {
 	var b strings.Builder
-	asks, got := l.PendingRequests(s.now)
-	for _, a := range asks {
-		s.asks[name] = a.Ask
-		fmt.Fprintf(&b, "to=%s rank=%d n=%d per-second=%v age=%dms\n", a.To, a.Ask.Rank, a.Ask.N, a.Ask.Report.PerSecond, a.Ask.Report.AgeMS)
+	requests, issued := l.PendingRequests(s.now)
+	for _, r := range requests {
+		s.requests[name] = r.Ask
+		fmt.Fprintf(&b, "to=%s rank=%d n=%d per-second=%v age=%dms\n", r.To, r.Ask.Rank, r.Ask.N, r.Ask.Report.PerSecond, r.Ask.Report.AgeMS)
 	}
-	fmt.Fprintf(&b, "got=%v\n", got)
+	fmt.Fprintf(&b, "issued=%v\n", issued)
 	return b.String()
 }
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// simulation is instances before one endpoint that names a limit, in virtual time. Requests
-// come by chance, wait for a while and leave; what instances tell each other is late, and
-// some of it is lost.
+// simulation is a fleet of instances and one endpoint that reports a limit, in virtual time.
+// Requests arrive at random, wait for a while and leave; messages between instances are
+// delayed, and some are lost.
 type simulation struct {
 	random  *rand.Rand
 	now     time.Time
@@ -22,53 +22,55 @@
 	limited bool
 	nodes   []*simNode
 	pending []delivery
-	// demand is the requests a second of all instances, patience how long each waits.
+	// demand is the request rate of all instances per second, patience how long each request
+	// waits.
 	demand   float64
 	patience time.Duration
 	lossRate float64
-	// arrived is when requests reached the endpoint, told those of instances that it had
-	// told half a second before.
-	arrived, told []time.Time
-	// alone makes each instance go by an even part of the limit, the way without issuers.
-	alone bool
-	// packets counts what instances send about permits.
+	// arrived is when requests reached the endpoint; informed holds those of instances that
+	// had the limit from the endpoint for at least half a second.
+	arrived, informed []time.Time
+	// evenSplit limits each instance to an even part of the limit, without issuers.
+	evenSplit bool
+	// packets counts the messages that instances send about permits.
 	packets int
-	// fleets is what each instance knows of the others, until something changes.
+	// fleets caches what each instance knows of the others, until something changes.
 	fleets map[*simNode]Fleet
 }
 
 // simNode is one instance.
 type simNode struct {
 	name    string
-	local   *Limiter
+	limiter *Limiter
 	process int
-	// group is which instances it reaches; down ones reach nobody.
+	// group identifies the instances it can reach; an instance that is down reaches none.
 	group int
 	down  bool
-	// paused ones do nothing, and get what came meanwhile when they go on.
+	// paused instances do nothing, and get the messages of that time when they resume.
 	paused bool
 	weight float64
-	// waiting is until when each request waits.
+	// waiting holds until when each request waits.
 	waiting []time.Time
-	// toldAt is when the endpoint first told it of the limit, readyAt when it takes requests.
-	toldAt, readyAt time.Time
+	// informedAt is when the endpoint first reported the limit to it, readyAt when it accepts
+	// requests.
+	informedAt, readyAt time.Time
 }
 
-// delivery is something on its way to an instance.
+// delivery is a message in flight to an instance.
 type delivery struct {
 	at time.Time
 	to *simNode
-	// process is the one it is for.
+	// process is the addressee; another process of the instance does not get the message.
 	process int
 	do      func()
 }
 
 const (
-	simStep = 10 * time.Millisecond
-	simTell = 100 * time.Millisecond
-	// simReady is how long a new process takes until it is ready.
+	simStep         = 10 * time.Millisecond
+	simSendInterval = 100 * time.Millisecond
+	// simReady is how long a new process takes until it accepts requests.
 	simReady = 500 * time.Millisecond
-	// answers come so long behind their requests.
+	// simAnswer is the time from a request to its answer.
 	simAnswer = 200 * time.Millisecond
 )
 
@@ -87,29 +89,29 @@
 	return s
 }
 
-// begin starts a process of an instance, which knows nothing. It is heard at once and gets
-// requests simReady later.
+// begin starts a process of an instance, which knows nothing. It announces itself at once and
+// gets requests simReady later.
 func (s *simulation) begin(n *simNode) {
 	n.process++
-	n.down, n.waiting, n.toldAt, n.readyAt = false, nil, time.Time{}, s.now
-	n.local = NewLimiter(n.name, s.random.Uint64(), func() {})
+	n.down, n.waiting, n.informedAt, n.readyAt = false, nil, time.Time{}, s.now
+	n.limiter = NewLimiter(n.name, s.random.Uint64(), func() {})
 	if n.process == 1 {
 		return
 	}
 	n.readyAt = s.now.Add(simReady)
 	for _, other := range s.nodes {
-		s.send(n, other, func() { other.local.RecordContact(n.name, fmt.Sprint(n.process)) })
+		s.send(n, other, func() { other.limiter.RecordContact(n.name, fmt.Sprint(n.process)) })
 	}
 }
 
-// send delivers something a few milliseconds later, or never.
+// send delivers a message a few milliseconds later, or never.
 func (s *simulation) send(from, to *simNode, do func()) {
 	s.packets++
 	if from.down || to.down || from.group != to.group || s.random.Float64() < s.lossRate {
 		return
 	}
-	late := time.Duration(1+s.random.IntN(15)) * time.Millisecond
-	s.pending = append(s.pending, delivery{s.now.Add(late), to, to.process, do})
+	delay := time.Duration(1+s.random.IntN(15)) * time.Millisecond
+	s.pending = append(s.pending, delivery{s.now.Add(delay), to, to.process, do})
 }
 
 func (s *simulation) run(d time.Duration) {
@@ -138,7 +140,7 @@
 	}
 }
 
-// request lets requests come to instances, more to some than to others.
+// request sends requests to instances, more to some than to others.
 func (s *simulation) request() {
 	total := 0.0
 	for _, n := range s.nodes {
@@ -155,58 +157,59 @@
 	}
 }
 
-// changed tells that instances have ended, or reach others than before.
+// changed clears the cached fleets after instances have terminated, or reach others than before.
 func (s *simulation) changed() { s.fleets = map[*simNode]Fleet{} }
 
-// fleet is what an instance knows of the others: in a small fleet it hears who is there.
+// fleet returns what an instance knows of the others. In a small fleet it is in contact with
+// all that are running.
 func (s *simulation) fleet(n *simNode) Fleet {
 	if f, known := s.fleets[n]; known {
 		return f
 	}
-	s.fleets[n] = s.hears(n)
+	s.fleets[n] = s.contactsOf(n)
 	return s.fleets[n]
 }
 
-func (s *simulation) hears(n *simNode) Fleet {
+func (s *simulation) contactsOf(n *simNode) Fleet {
 	var f Fleet
-	heard := 0
+	contacts := 0
 	for _, other := range s.nodes {
-		there := !other.down && other.group == n.group
-		if there && other != n {
-			heard++
+		reachable := !other.down && other.group == n.group
+		if reachable && other != n {
+			contacts++
 		}
-		if there || len(s.nodes) > 16 {
+		if reachable || len(s.nodes) > 16 {
 			f.Members = append(f.Members, other.name)
 		}
 	}
 	f.KnownCount = len(s.nodes)
-	f.Isolated = heard == 0 && len(s.nodes) > 1
+	f.Isolated = contacts == 0 && len(s.nodes) > 1
 	return f
 }
 
 func (s *simulation) step(n *simNode) {
-	if s.now.Sub(start)%simTell == 0 {
-		s.tell(n)
+	if s.now.Sub(start)%simSendInterval == 0 {
+		s.report(n)
 	}
 	if len(n.waiting) == 0 {
 		return
 	}
-	n.local.SetFleet(s.fleet(n))
-	s.kick(n)
-	if s.alone {
-		s.evenPart(n)
+	n.limiter.SetFleet(s.fleet(n))
+	s.sendWaiting(n)
+	if s.evenSplit {
+		s.takeEvenPart(n)
 		return
 	}
-	asks, got := n.local.PendingRequests(s.now)
-	for _, a := range asks {
-		s.ask(n, a)
+	requests, issued := n.limiter.PendingRequests(s.now)
+	for _, r := range requests {
+		s.requestPermits(n, r)
 	}
-	if got {
-		s.kick(n)
+	if issued {
+		s.sendWaiting(n)
 	}
 }
 
-func (s *simulation) named(name string) *simNode {
+func (s *simulation) node(name string) *simNode {
 	for _, n := range s.nodes {
 		if n.name == name {
 			return n
@@ -215,105 +218,106 @@
 	return nil
 }
 
-func (s *simulation) ask(n *simNode, a OutgoingRequest) {
-	to := s.named(a.To)
+func (s *simulation) requestPermits(n *simNode, r OutgoingRequest) {
+	to := s.node(r.To)
 	s.send(n, to, func() {
-		to.local.SetFleet(s.fleet(to))
-		g, answered := to.local.HandleRequest(s.now, a.Ask)
+		to.limiter.SetFleet(s.fleet(to))
+		g, answered := to.limiter.HandleRequest(s.now, r.Ask)
 		if !answered {
 			return
 		}
 		s.send(to, n, func() {
-			if n.local.ReceiveGrant(s.now, to.name, g) {
-				s.kick(n)
+			if n.limiter.ReceiveGrant(s.now, to.name, g) {
+				s.sendWaiting(n)
 			}
 		})
 	})
 }
 
-// tell tells the others what the endpoint has said: all of them in a small fleet, the first
-// one in a large fleet, which tells all.
-func (s *simulation) tell(n *simNode) {
-	words := n.local.PendingReports(s.now, 500)
-	if len(words) == 0 {
+// report sends what the endpoint reported to all other instances in a small fleet, and in a
+// large one to the coordinator, which sends it to all.
+func (s *simulation) report(n *simNode) {
+	reports := n.limiter.PendingReports(s.now, 500)
+	if len(reports) == 0 {
 		return
 	}
-	hub := s.nodes[0]
+	coordinator := s.nodes[0]
 	for _, other := range s.nodes {
-		if other != n && (len(s.nodes) <= 16 || n == hub || other == hub) {
-			s.send(n, other, func() { other.local.ReceiveReports(s.now, words) })
+		if other != n && (len(s.nodes) <= 16 || n == coordinator || other == coordinator) {
+			s.send(n, other, func() { other.limiter.ReceiveReports(s.now, reports) })
 		}
 	}
 }
 
-// evenPart is the way without issuers: each instance goes by its part of the limit.
-func (s *simulation) evenPart(n *simNode) {
-	n.local.mu.Lock()
-	defer n.local.mu.Unlock()
-	k := n.local.limits[s.e]
-	if k == nil || !k.stock.due(s.now) {
+// takeEvenPart is the alternative without issuers: each instance keeps to its even part of the
+// limit.
+func (s *simulation) takeEvenPart(n *simNode) {
+	n.limiter.mu.Lock()
+	defer n.limiter.mu.Unlock()
+	k := n.limiter.limits[s.e]
+	if k == nil || !k.pool.due(s.now) {
 		return
 	}
-	k.stock.even.fill(s.now, k.perSecond/float64(len(s.nodes)))
-	n.local.received(s.now, k, k.stock.even.take(1), s.now)
+	k.pool.fallback.fill(s.now, k.perSecond/float64(len(s.nodes)))
+	n.limiter.addGranted(s.now, k, k.pool.fallback.take(1), s.now)
 }
 
-// kick sends what waits, as far as it may go.
-func (s *simulation) kick(n *simNode) {
+// sendWaiting sends the waiting requests, as far as permits allow.
+func (s *simulation) sendWaiting(n *simNode) {
 	for len(n.waiting) > 0 {
 		if !s.now.Before(n.waiting[0]) {
 			n.waiting = n.waiting[1:]
 			continue
 		}
-		if !n.local.Ready(s.now, s.e) {
-			n.local.RecordDemand(s.now, s.e)
+		if !n.limiter.Ready(s.now, s.e) {
+			n.limiter.RecordDemand(s.now, s.e)
 			return
 		}
-		n.local.Take(s.now, s.e)
+		n.limiter.Take(s.now, s.e)
 		n.waiting = n.waiting[1:]
 		s.serve(n)
 	}
 }
 
-// serve is a request at the endpoint, whose answer comes later.
+// serve runs a request at the endpoint, whose answer arrives later.
 func (s *simulation) serve(n *simNode) {
-	if !n.toldAt.IsZero() && s.now.Sub(n.toldAt) >= 500*time.Millisecond {
-		s.told = append(s.told, s.now)
+	if !n.informedAt.IsZero() && s.now.Sub(n.informedAt) >= 500*time.Millisecond {
+		s.informed = append(s.informed, s.now)
 	}
 	s.arrived = append(s.arrived, s.now)
 	sentAt := s.now
 	s.pending = append(s.pending, delivery{s.now.Add(simAnswer), n, n.process, func() {
 		if !s.limited {
-			n.local.RecordNoLimit(s.now, s.e, sentAt)
+			n.limiter.RecordNoLimit(s.now, s.e, sentAt)
 			return
 		}
-		if n.toldAt.IsZero() {
-			n.toldAt = s.now
+		if n.informedAt.IsZero() {
+			n.informedAt = s.now
 		}
-		n.local.RecordLimit(s.now, s.e, s.limit)
+		n.limiter.RecordLimit(s.now, s.e, s.limit)
 	}})
 }
 
-// seeds is how many seeds the tests with faults play.
+// seeds is the number of seeds that the fault tests run with.
 var seeds = flag.Uint64("seeds", 1, "seeds for the tests of faults")
 
-// window is the time in which what exceeds a limit is counted.
+// window is the length of the sliding window in which requests are counted.
 const window = 4 * time.Second
 
-// most is the largest number of requests of a list within the window, since a moment.
-func most(list []time.Time, since time.Time) int {
+// peak returns the largest number of requests of a list within any window since a time.
+func peak(list []time.Time, since time.Time) int {
 	list = list[sort.Search(len(list), func(i int) bool { return !list[i].Before(since) }):]
-	most, from := 0, 0
+	highest, from := 0, 0
 	for i, at := range list {
 		for at.Sub(list[from]) >= window {
 			from++
 		}
-		most = max(most, i-from+1)
+		highest = max(highest, i-from+1)
 	}
-	return most
+	return highest
 }
 
-// used is the part of the limit that was used since a moment.
+// used returns the fraction of the limit that was used since a time.
 func (s *simulation) used(since time.Time) float64 {
 	n := 0
 	for _, at := range s.arrived {
@@ -324,86 +328,91 @@
 	return float64(n) / (s.limit * s.now.Sub(since).Seconds())
 }
 
-// allowed is what told instances may send in the window.
+// allowed returns how many requests may reach the endpoint in the window once all instances
+// know the limit.
 func (s *simulation) allowed() float64 { return 1.5*s.limit*window.Seconds() + 5 }
 
-// contact is the time in which instances that are in touch learn what one knows.
-const contact = 3 * time.Second
+// propagationTime is the time in which a report reaches all instances that are in contact.
+const propagationTime = 3 * time.Second
 
-// TestLimitHoldsAtEachSize names limits to fleets of several sizes, with demand for more.
+// TestLimitHoldsAtEachSize has an endpoint report limits to fleets of several sizes whose
+// demand exceeds them. It guards against too many requests at the endpoint, and against a
+// limit that is largely unused.
 func TestLimitHoldsAtEachSize(t *testing.T) {
 	for _, instances := range []int{1, 6, 18, 90, 295} {
 		for _, perSecond := range []float64{0, 0.2, 1.1, 30, 400} {
 			t.Run(fmt.Sprintf("%d instances, %v a second", instances, perSecond), func(t *testing.T) {
 				t.Parallel()
 				s := newSimulation(uint64(instances), instances, perSecond)
-				s.run(contact)
+				s.run(propagationTime)
 				known := s.now
 				s.run(20 * time.Second)
-				require.LessOrEqual(t, float64(most(s.arrived, known)), s.allowed(), "in %v", window)
+				require.LessOrEqual(t, float64(peak(s.arrived, known)), s.allowed(), "in %v", window)
 				if perSecond >= 1 {
-					require.GreaterOrEqual(t, s.used(known), 0.85, "part of the limit that is used")
+					require.GreaterOrEqual(t, s.used(known), 0.85, "fraction of the limit that is used")
 				}
 				if perSecond == 0 {
-					require.Positive(t, most(s.arrived, known), "somebody hears when it ends")
+					require.Positive(t, peak(s.arrived, known), "requests still reveal when it ends")
 				}
-				t.Logf("most %d, allowed %.1f; used %.2f; %.1f packets a second", most(s.arrived, known), s.allowed(), s.used(known), float64(s.packets)/s.now.Sub(start).Seconds())
+				t.Logf("most %d, allowed %.1f; used %.2f; %.1f packets a second", peak(s.arrived, known), s.allowed(), s.used(known), float64(s.packets)/s.now.Sub(start).Seconds())
 			})
 		}
 	}
 }
 
-// TestEvenPartsServeFewer compares the other way that was weighed: each instance keeps to
-// its even part of the limit. A request comes to one that has nothing left while others
-// have, and small parts add up to permits only slowly.
+// TestEvenPartsServeFewer compares issuers with the alternative in which each instance keeps
+// to an even part of the limit. That serves fewer requests: a request arrives at an instance
+// that has nothing left while others have, and small parts yield a permit only slowly.
 func TestEvenPartsServeFewer(t *testing.T) {
 	for _, tc := range []struct {
 		instances int
 		perSecond float64
 	}{{6, 1.1}, {90, 1.1}, {295, 1.1}, {295, 30}} {
 		used := map[bool]float64{}
-		for _, alone := range []bool{false, true} {
+		for _, evenSplit := range []bool{false, true} {
 			s := newSimulation(1, tc.instances, tc.perSecond)
-			s.alone, s.demand = alone, 2*tc.perSecond
-			s.run(contact)
+			s.evenSplit, s.demand = evenSplit, 2*tc.perSecond
+			s.run(propagationTime)
 			known := s.now
 			s.run(20 * time.Second)
-			used[alone] = s.used(known)
+			used[evenSplit] = s.used(known)
 		}
 		t.Logf("%d instances, %v a second: permits use %.2f of the limit, even parts %.2f", tc.instances, tc.perSecond, used[false], used[true])
 		require.Greater(t, used[false], used[true])
 	}
 }
 
-// first returns the instance that issues permits.
-func (s *simulation) first() *simNode {
-	return s.named(s.nodes[0].local.ranked(s.e)[0])
+// firstIssuer returns the instance that issues permits.
+func (s *simulation) firstIssuer() *simNode {
+	return s.node(s.nodes[0].limiter.rankedIssuers(s.e)[0])
 }
 
-// usable is the part of the limit that is to be used at least. In a large fleet nobody knows
-// that the first issuers are gone while they are listed, so that those behind them go on with
-// their parts, and half of a fleet does not know that the other half is gone.
+// usable returns the fraction of the limit that must be used at least. In a large fleet no
+// instance knows that the first issuers are down while they are listed, so that the issuers
+// after them continue with their fractions, and half of a fleet does not know that the other
+// half is down.
 func (s *simulation) usable() float64 {
 	const least = 0.85
-	for rank, name := range s.nodes[0].local.ranked(s.e) {
-		if !s.named(name).down {
-			return least * rankPart[rank] * s.fleet(s.named(name)).part()
+	for rank, name := range s.nodes[0].limiter.rankedIssuers(s.e) {
+		if !s.node(name).down {
+			return least * rankFractions[rank] * s.fleet(s.node(name)).issueFraction()
 		}
 	}
 	return 0
 }
 
-// TestLimitHoldsThroughFaults lets what may happen to instances happen while all want more
-// than the limit, and counts all requests that reach the endpoint.
+// TestLimitHoldsThroughFaults injects faults of instances and of the network while demand
+// exceeds the limit. It guards against too many requests at the endpoint, and against a limit
+// that stays unused after the fault.
 func TestLimitHoldsThroughFaults(t *testing.T) {
 	for name, fault := range map[string]func(s *simulation){
 		"the issuer is killed": func(s *simulation) {
-			s.first().down = true
+			s.firstIssuer().down = true
 			s.changed()
 			s.run(10 * time.Second)
 		},
 		"the issuer is killed and starts again": func(s *simulation) {
-			n := s.first()
+			n := s.firstIssuer()
 			n.down = true
 			s.changed()
 			s.run(time.Second)
@@ -412,7 +421,7 @@
 			s.run(10 * time.Second)
 		},
 		"the issuer is paused": func(s *simulation) {
-			n := s.first()
+			n := s.firstIssuer()
 			n.paused = true
 			s.run(6 * time.Second)
 			n.paused = false
@@ -420,7 +429,7 @@
 		},
 		"one issuer after another is killed": func(s *simulation) {
 			for range 3 {
-				s.first().down = true
+				s.firstIssuer().down = true
 				s.changed()
 				s.run(2 * time.Second)
 			}
@@ -435,7 +444,7 @@
 			s.run(5 * time.Second)
 		},
 		"the issuer is cut off from the others": func(s *simulation) {
-			n := s.first()
+			n := s.firstIssuer()
 			n.group = 1
 			s.changed()
 			s.run(10 * time.Second)
@@ -469,7 +478,7 @@
 			s.limit *= 10
 			s.run(5 * time.Second)
 			s.limit /= 10
-			s.run(contact)
+			s.run(propagationTime)
 			s.arrived = nil
 			s.run(10 * time.Second)
 		},
@@ -480,16 +489,16 @@
 					t.Parallel()
 					for seed := range *seeds {
 						s := newSimulation(seed, instances, perSecond)
-						s.run(2 * contact)
+						s.run(2 * propagationTime)
 						known := s.now
 						fault(s)
-						require.LessOrEqual(t, float64(most(s.arrived, known)), s.allowed(), "seed %d, in %v", seed, window)
+						require.LessOrEqual(t, float64(peak(s.arrived, known)), s.allowed(), "seed %d, in %v", seed, window)
 						s.lossRate = 0.02
 						s.run(10 * time.Second)
 						recovered := s.now
 						s.run(30 * time.Second)
 						whole := 1 / (perSecond * s.now.Sub(recovered).Seconds())
-						require.GreaterOrEqual(t, s.used(recovered)+whole, s.usable(), "seed %d, part of the limit that is used again", seed)
+						require.GreaterOrEqual(t, s.used(recovered)+whole, s.usable(), "seed %d, fraction of the limit that is used again", seed)
 					}
 				})
 			}
@@ -497,37 +506,38 @@
 	}
 }
 
-// TestEndOfALimitIsHeard ends a limit: somebody hears it by a request that had a permit, and
-// all go on without.
-func TestEndOfALimitIsHeard(t *testing.T) {
+// TestEndOfALimitReachesAll guards against instances that keep requesting permits after the
+// limit has ended: an answer to a request with a permit reveals the end, and the report of it
+// reaches all.
+func TestEndOfALimitReachesAll(t *testing.T) {
 	for _, perSecond := range []float64{0, 0.2, 1.1, 30} {
 		s := newSimulation(3, 18, perSecond)
-		s.run(2 * contact)
+		s.run(2 * propagationTime)
 		s.limited = false
 		s.run(10 * time.Second)
 		for _, n := range s.nodes {
-			require.True(t, n.local.Ready(s.now, s.e), "%s, %v a second", n.name, perSecond)
-			require.False(t, n.local.AnyLimit(), "%s, %v a second", n.name, perSecond)
+			require.True(t, n.limiter.Ready(s.now, s.e), "%s, %v a second", n.name, perSecond)
+			require.False(t, n.limiter.AnyLimit(), "%s, %v a second", n.name, perSecond)
 		}
 	}
 }
 
-// TestLimitComesAndGoes names and ends a limit by turns.
+// TestLimitComesAndGoes starts and ends a limit repeatedly; it must hold each time.
 func TestLimitComesAndGoes(t *testing.T) {
 	s := newSimulation(4, 9, 2)
 	for range 4 {
 		s.limited = true
-		s.run(contact)
+		s.run(propagationTime)
 		known := s.now
 		s.run(6 * time.Second)
-		require.LessOrEqual(t, float64(most(s.arrived, known)), s.allowed())
+		require.LessOrEqual(t, float64(peak(s.arrived, known)), s.allowed())
 		s.limited = false
 		s.run(4 * time.Second)
 	}
 }
 
-// TestEachInstanceByItselfExceedsTheLimit is the fault that permits prevent: each instance
-// keeps the whole limit by itself, and only the sum is too much.
+// TestEachInstanceByItselfExceedsTheLimit shows the failure that permits prevent: each instance
+// keeps to the whole limit by itself, and the sum exceeds it.
 func TestEachInstanceByItselfExceedsTheLimit(t *testing.T) {
 	s := newSimulation(5, 9, 1.1)
 	for i, n := range s.nodes {
@@ -537,8 +547,8 @@
 	for _, n := range s.nodes {
 		s.fleets[n] = Fleet{Members: []string{n.name}, KnownCount: 1}
 	}
-	s.run(contact)
+	s.run(propagationTime)
 	known := s.now
 	s.run(10 * time.Second)
-	require.Greater(t, float64(most(s.arrived, known)), s.allowed())
+	require.Greater(t, float64(peak(s.arrived, known)), s.allowed())
 }
