--- a/allowance/doc.go
+++ b/allowance/doc.go
@@ -1,17 +1,17 @@
-// Package allowance bounds what each account may ask of all instances together.
+// Package allowance limits what each account may request from all instances together.
 //
-// Each instance counts what its callers ask for and what it has admitted (Local), and tells
-// both. One instance, the holder of the lease, adds them up (Ledger): a token bucket for
-// each account with the account's rate and burst, from which it works out which share of
-// all that is asked can be admitted. It tells that share to all. Below the limit the share
-// is 1, however unevenly the callers are spread over the instances. Beyond it each
-// instance admits that share of its requests, drawn one by one, so that none is favoured
-// for its size or its place.
+// Each instance counts what its callers request and what it has admitted (Limiter), and
+// reports both. One instance, the lease holder, aggregates them (Aggregator): a token bucket
+// for each account with the account's rate and burst, from which it derives which share of
+// all requests can be admitted. It announces that share to all instances. Below the limit the
+// share is 1, however unevenly the callers are spread over the instances. Above it each
+// instance admits that share of its requests by a random choice for each request, so that no
+// request is favoured for its size or its position.
 //
-// An instance that hears no share for a while goes by what it admitted when it last heard
-// one, for a short time, and then by an even part of the rate. The ledger goes on counting
-// an instance that falls silent for longer than that, so that the sum holds also with
-// instances that are cut off.
+// An instance that receives no share for a while continues at the rate that it admitted when
+// it last received one, for a short time, and then at an even part of the rate. The
+// aggregator keeps charging for an instance that falls silent for longer than that, so that
+// the sum also holds with instances that are cut off.
 //
-// Both are state machines without goroutine, clock, random source or I/O.
+// Limiter and Aggregator are state machines without goroutine, clock, random source or I/O.
 package allowance
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -12,45 +12,46 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// simulation is instances, one of which adds up, in virtual time. Requests come by chance;
-// what instances tell each other is late, and some of it is lost.
+// simulation is a fleet of instances, one of which aggregates, in virtual time. Requests
+// arrive at random; messages between instances are delayed, and some are lost.
 type simulation struct {
 	random    *rand.Rand
 	now       time.Time
 	limit     settings.Allowance
 	tolerance Tolerance
-	locals    []*Limiter
+	limiters  []*Limiter
 	processes []int
-	// adder is the instance that adds up, -1 for none, and ledger its sums.
-	adder  int
-	reign  int
-	ledger *Aggregator
-	// cut instances neither hear nor are heard.
+	// holder is the instance that aggregates, -1 for none, and aggregator its state. reign
+	// counts the holders.
+	holder     int
+	reign      int
+	aggregator *Aggregator
+	// cut instances neither send nor receive messages.
 	cut []bool
-	// weights is how the requests are spread over the instances.
+	// weights is the distribution of requests over the instances.
 	weights []float64
-	// offered is what is asked for a second, cost what one request counts.
+	// offered is the requested rate per second, cost the mean cost of a request.
 	offered, cost float64
 	due           float64
 	pending       []delivery
 	// admitted is what has been admitted in each step; refused counts the rest.
-	admitted         []float64
-	asked, refused   float64
-	withoutWords     bool
-	lateBy, lossRate float64
+	admitted           []float64
+	requested, refused float64
+	withoutShares      bool
+	maxDelay, lossRate float64
 }
 
-// delivery is something on its way.
+// delivery is a message in flight.
 type delivery struct {
 	at time.Time
 	do func()
 }
 
 const (
-	simStep = 20 * time.Millisecond
-	tellGap = 100 * time.Millisecond
-	wordGap = 200 * time.Millisecond
-	account = "desk"
+	simStep       = 20 * time.Millisecond
+	usageInterval = 100 * time.Millisecond
+	shareInterval = 200 * time.Millisecond
+	account       = "desk"
 )
 
 var tolerance = Tolerance{Window: 8 * time.Second, OverFraction: 0.1, Slack: 17_000}
@@ -58,10 +59,10 @@
 func newSimulation(seed uint64, instances int, limit settings.Allowance) *simulation {
 	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), limit: limit, tolerance: tolerance,
-		processes: make([]int, instances), cut: make([]bool, instances), cost: 2400, lateBy: 0.1, lossRate: 0.02, adder: -1,
+		processes: make([]int, instances), cut: make([]bool, instances), cost: 2400, maxDelay: 0.1, lossRate: 0.02, holder: -1,
 	}
 	for i := range instances {
-		s.locals = append(s.locals, nil)
+		s.limiters = append(s.limiters, nil)
 		s.start(i)
 		// A few instances have most of the callers.
 		s.weights = append(s.weights, math.Pow(s.random.Float64(), 4))
@@ -69,47 +70,47 @@
 	return s
 }
 
-// start begins a new process of an instance.
+// start starts a new process of an instance.
 func (s *simulation) start(i int) {
 	s.processes[i]++
 	l := NewLimiter(s.tolerance, s.random.Float64)
-	l.SetInstanceCount(len(s.locals))
+	l.SetInstanceCount(len(s.limiters))
 	l.SetLimits(Limits{HashAccount(account): s.limit})
-	s.locals[i] = l
+	s.limiters[i] = l
 }
 
 // setLimit changes the limit everywhere.
 func (s *simulation) setLimit(a settings.Allowance) {
 	s.limit = a
-	for _, l := range s.locals {
+	for _, l := range s.limiters {
 		l.SetLimits(Limits{HashAccount(account): a})
 	}
-	if s.ledger != nil {
-		s.ledger.SetLimits(Limits{HashAccount(account): a})
+	if s.aggregator != nil {
+		s.aggregator.SetLimits(Limits{HashAccount(account): a})
 	}
 }
 
-// take makes an instance the one that adds up; -1 for none.
-func (s *simulation) take(i int) {
-	s.adder = i
+// appoint makes an instance the one that aggregates; -1 for none.
+func (s *simulation) appoint(i int) {
+	s.holder = i
 	s.reign++
 	if i < 0 {
 		return
 	}
-	s.ledger = NewAggregator(s.now, s.tolerance)
-	s.ledger.SetLimits(Limits{HashAccount(account): s.limit})
-	s.ledger.CarryOverDebts(s.locals[i].LastShares(s.now))
+	s.aggregator = NewAggregator(s.now, s.tolerance)
+	s.aggregator.SetLimits(Limits{HashAccount(account): s.limit})
+	s.aggregator.CarryOverDebts(s.limiters[i].LastShares(s.now))
 }
 
 func (s *simulation) process(i int) string { return fmt.Sprintf("%d/%d", i, s.processes[i]) }
 
-// send delivers something later, or never.
+// send delivers a message after a delay, or never.
 func (s *simulation) send(from, to int, do func()) {
 	if s.cut[from] != s.cut[to] || s.cut[from] && from != to || s.random.Float64() < s.lossRate {
 		return
 	}
-	late := time.Duration(s.random.Float64() * s.lateBy * float64(time.Second))
-	s.pending = append(s.pending, delivery{s.now.Add(late), do})
+	delay := time.Duration(s.random.Float64() * s.maxDelay * float64(time.Second))
+	s.pending = append(s.pending, delivery{s.now.Add(delay), do})
 }
 
 func (s *simulation) run(d time.Duration) {
@@ -131,21 +132,21 @@
 	}
 	s.admitted = append(s.admitted, 0)
 	for s.due += s.offered * simStep.Seconds() * 2 * s.random.Float64(); s.due >= s.cost; s.due -= s.cost {
-		s.ask()
+		s.request()
 	}
-	if s.adder < 0 || s.withoutWords {
+	if s.holder < 0 || s.withoutShares {
 		return
 	}
-	if now.UnixNano()%int64(tellGap) == 0 {
-		s.tell()
+	if now.UnixNano()%int64(usageInterval) == 0 {
+		s.reportUsage()
 	}
-	if now.UnixNano()%int64(wordGap) == 0 {
-		s.word()
+	if now.UnixNano()%int64(shareInterval) == 0 {
+		s.announceShares()
 	}
 }
 
-// ask lets one request come to some instance.
-func (s *simulation) ask() {
+// request sends one request to a random instance.
+func (s *simulation) request() {
 	total := 0.0
 	for _, w := range s.weights {
 		total += w
@@ -155,75 +156,75 @@
 		at -= s.weights[i]
 	}
 	cost := s.cost * (0.2 + 1.6*s.random.Float64())
-	s.asked += cost
-	if ok, after := s.locals[i].Admit(s.now, account, cost); ok {
+	s.requested += cost
+	if ok, after := s.limiters[i].Admit(s.now, account, cost); ok {
 		s.admitted[len(s.admitted)-1] += cost
 	} else {
 		s.refused += cost
-		if after < leastRetryAfter || after > mostRetryAfter {
+		if after < minRetryAfter || after > maxRetryAfter {
 			panic(after)
 		}
 	}
 }
 
-func (s *simulation) tell() {
-	reign, ledger := s.reign, s.ledger
-	for i, l := range s.locals {
-		usage, adder := l.PendingUsage(8)
+func (s *simulation) reportUsage() {
+	reign, aggregator := s.reign, s.aggregator
+	for i, l := range s.limiters {
+		usage, id := l.PendingUsage(8)
 		process, instance := s.process(i), fmt.Sprint(i)
-		s.send(i, s.adder, func() {
+		s.send(i, s.holder, func() {
 			if s.reign != reign {
 				return
 			}
-			if adder != s.adderMark() {
+			if id != s.aggregatorID() {
 				usage = nil
 			}
-			ledger.RecordUsage(s.now, instance, process, usage)
+			aggregator.RecordUsage(s.now, instance, process, usage)
 		})
 	}
 }
 
-func (s *simulation) adderMark() AggregatorID {
-	return HolderAggregatorID(fmt.Sprintf("%s reign %d", s.process(s.adder), s.reign))
+func (s *simulation) aggregatorID() AggregatorID {
+	return HolderAggregatorID(fmt.Sprintf("%s reign %d", s.process(s.holder), s.reign))
 }
 
-func (s *simulation) word() {
-	adder := s.adderMark()
-	words, told := s.ledger.Shares(s.now)
-	if !told {
-		s.locals[s.adder].RelinquishShares(s.now)
+func (s *simulation) announceShares() {
+	id := s.aggregatorID()
+	shares, majority := s.aggregator.Shares(s.now)
+	if !majority {
+		s.limiters[s.holder].RelinquishShares(s.now)
 		return
 	}
-	for i, l := range s.locals {
-		s.send(s.adder, i, func() { l.ReceiveShares(s.now, adder, words) })
+	for i, l := range s.limiters {
+		s.send(s.holder, i, func() { l.ReceiveShares(s.now, id, shares) })
 	}
 }
 
-// most is the most that was admitted in any window from a moment on.
-func (s *simulation) most() float64 {
+// peak returns the largest cost that was admitted in any window since the list was cleared.
+func (s *simulation) peak() float64 {
 	steps := int(tolerance.Window / simStep)
-	sum, most := 0.0, 0.0
+	sum, peak := 0.0, 0.0
 	for i, a := range s.admitted {
 		if sum += a; i >= steps {
 			sum -= s.admitted[i-steps]
 		}
-		most = max(most, sum)
+		peak = max(peak, sum)
 	}
-	return most
+	return peak
 }
 
-// bound is what the rule allows in a window.
+// bound returns the cost that the limit and its tolerance allow in a window.
 func bound(a settings.Allowance) float64 {
 	return (a.PerSecond*tolerance.Window.Seconds()+a.Burst)*(1+tolerance.OverFraction) + tolerance.Slack
 }
 
-// refusedShare is the share of what was asked that was not admitted since reset.
-func (s *simulation) refusedShare() float64 { return s.refused / max(s.asked, 1) }
+// refusedShare returns the share of the requested cost that was not admitted since reset.
+func (s *simulation) refusedShare() float64 { return s.refused / max(s.requested, 1) }
 
-func (s *simulation) reset() { s.asked, s.refused = 0, 0 }
+func (s *simulation) reset() { s.requested, s.refused = 0, 0 }
 
-// sizes are those of the fleets that are simulated, limits those of a large account and a
-// small one, in tokens a second.
+// sizes are the sizes of the simulated fleets, limits those of a large account and a small
+// one, in tokens per second.
 var (
 	sizes  = []int{6, 18, 90, 295}
 	limits = []settings.Allowance{
@@ -245,43 +246,43 @@
 	}
 }
 
-// belowLimit asks for five ninths of the limit for 20 s, unevenly, after the instances have
-// found together.
+// belowLimit offers five ninths of the limit for 20 s, spread unevenly, after the instances
+// are in contact.
 func belowLimit(s *simulation) {
-	s.take(0)
+	s.appoint(0)
 	s.run(time.Second)
 	s.offered = s.limit.PerSecond / 1.8
 	s.reset()
 	s.run(20 * time.Second)
 }
 
-// mostRefused is the share that may be refused below the limit: 2 in 100.
-const mostRefused = 0.02
+// maxRefused is the share that may be refused below the limit: 2 in 100.
+const maxRefused = 0.02
 
-// TestBelowTheLimitNobodyIsRefused is the ordinary load, spread unevenly.
+// TestBelowTheLimitNobodyIsRefused offers a load below the limit, spread unevenly. It guards
+// against refusals at instances that get more than an even part.
 func TestBelowTheLimitNobodyIsRefused(t *testing.T) {
 	eachFleet(t, 5, func(t *testing.T, s *simulation) {
 		belowLimit(s)
-		require.LessOrEqual(t, s.refusedShare(), mostRefused)
+		require.LessOrEqual(t, s.refusedShare(), maxRefused)
 	})
 }
 
-// TestEvenSharesRefuseBelowTheLimit is the simple way: each instance admits an even part of
-// the limit, and nothing is told. It refuses callers who are within their limit.
+// TestEvenSharesRefuseBelowTheLimit shows why shares are announced: without them each instance
+// admits an even part of the limit, and refuses callers that are within their limit.
 func TestEvenSharesRefuseBelowTheLimit(t *testing.T) {
 	for _, n := range sizes[2:] {
 		s := newSimulation(1, n, limits[0])
-		s.withoutWords = true
+		s.withoutShares = true
 		belowLimit(s)
 		t.Logf("%d instances: %.3f refused", n, s.refusedShare())
 		require.Greater(t, s.refusedShare(), 0.2)
 	}
 }
 
-// hot asks for several times the limit from one moment on, after an ordinary load; between
-// the two something happens.
-func hot(s *simulation, times float64, happens func()) {
-	s.take(0)
+// overload offers several times the limit after a load below it; happens runs between the two.
+func overload(s *simulation, times float64, happens func()) {
+	s.appoint(0)
 	s.run(time.Second)
 	s.offered = s.limit.PerSecond / 1.8
 	s.run(4 * time.Second)
@@ -290,12 +291,12 @@
 	s.run(12 * time.Second)
 }
 
-// TestHotAccountKeepsToItsLimit asks for four times the limit at once. The account still
-// gets nearly all that it may have.
+// TestHotAccountKeepsToItsLimit raises the load to four times the limit at once. It guards
+// against exceeding the limit, and against admitting much less than the limit.
 func TestHotAccountKeepsToItsLimit(t *testing.T) {
 	eachFleet(t, 5, func(t *testing.T, s *simulation) {
-		hot(s, 4.2, func() { s.admitted = nil })
-		require.LessOrEqual(t, s.most(), bound(s.limit))
+		overload(s, 4.2, func() { s.admitted = nil })
+		require.LessOrEqual(t, s.peak(), bound(s.limit))
 		total := 0.0
 		for _, a := range s.admitted {
 			total += a
@@ -304,116 +305,118 @@
 	})
 }
 
-// replaceAdder lets the next holder of the lease add up some seconds after the adder has ended
-// or was cut off. Where no instance has heard an adder, one stands in for it before.
-func (s *simulation) replaceAdder() {
+// replaceHolder lets the next lease holder aggregate some seconds after the previous one has
+// terminated or was cut off. Where no instance has received from an aggregator, one stands in
+// before that.
+func (s *simulation) replaceHolder() {
 	s.run(time.Duration(300+600*s.random.Float64()) * time.Millisecond)
-	replaced := s.adder < 0 || s.cut[s.adder]
-	orphans := 0
-	for _, l := range s.locals {
+	replaced := s.holder < 0 || s.cut[s.holder]
+	withoutAggregator := 0
+	for _, l := range s.limiters {
 		if l.NoAggregator() {
-			orphans++
+			withoutAggregator++
 		}
 	}
-	if replaced && orphans == len(s.locals) {
-		s.take(3)
+	if replaced && withoutAggregator == len(s.limiters) {
+		s.appoint(3)
 	}
 	s.run(time.Duration(1000+2000*s.random.Float64()) * time.Millisecond)
 	if replaced {
-		s.take(2)
+		s.appoint(2)
 	}
 }
 
-// TestFewAreRefusedBehindAStartOfAll starts all instances anew under the ordinary load.
-func TestFewAreRefusedBehindAStartOfAll(t *testing.T) {
+// TestFewAreRefusedAfterARestartOfAll restarts all instances under a load below the limit. It
+// guards against refusals while the levels of a new aggregator start at zero.
+func TestFewAreRefusedAfterARestartOfAll(t *testing.T) {
 	eachFleet(t, 3, func(t *testing.T, s *simulation) {
-		s.take(0)
+		s.appoint(0)
 		s.run(time.Second)
 		s.offered = s.limit.PerSecond / 1.8
 		s.run(8 * time.Second)
-		troubles["all begin anew"](s)
+		faults["all restart"](s)
 		s.run(time.Second)
-		s.take(3)
+		s.appoint(3)
 		s.run(500 * time.Millisecond)
 		s.reset()
 		s.run(3 * time.Second)
-		require.LessOrEqual(t, s.refusedShare(), mostRefusedInStart)
+		require.LessOrEqual(t, s.refusedShare(), maxRefusedAfterRestart)
 	})
 }
 
-// mostRefusedInStart is the share that may be refused within 3 s from half a second behind
-// the moment at which one instance adds up: levels begin with nothing.
-const mostRefusedInStart = 0.1
+// maxRefusedAfterRestart is the share that may be refused within 3 s, from half a second after
+// an instance starts to aggregate: levels start at zero.
+const maxRefusedAfterRestart = 0.1
 
-// troubles are what may happen just before an account turns hot.
-var troubles = map[string]func(s *simulation){
-	"the adder ends": func(s *simulation) {
+// faults are injected just before the load of an account exceeds its limit.
+var faults = map[string]func(s *simulation){
+	"the aggregator terminates": func(s *simulation) {
 		s.start(0)
-		s.take(-1)
+		s.appoint(-1)
 	},
 	"a third is cut off": func(s *simulation) {
 		for i := 1; i < len(s.cut); i += 3 {
 			s.cut[i] = true
 		}
 	},
-	"half begins anew": func(s *simulation) {
-		for i := 0; i < len(s.locals); i += 2 {
+	"half restarts": func(s *simulation) {
+		for i := 0; i < len(s.limiters); i += 2 {
 			s.start(i)
 		}
-		s.take(-1)
+		s.appoint(-1)
 	},
-	"the adder is cut off": func(s *simulation) { s.cut[0] = true },
-	"all begin anew": func(s *simulation) {
-		for i := range s.locals {
+	"the aggregator is cut off": func(s *simulation) { s.cut[0] = true },
+	"all restart": func(s *simulation) {
+		for i := range s.limiters {
 			s.start(i)
 		}
-		s.take(-1)
+		s.appoint(-1)
 	},
 }
 
-// TestLimitHoldsInTrouble has trouble and a hot account together. Another instance adds up
-// some seconds later.
+// TestLimitHoldsInTrouble combines a fault with an overloaded account. Another instance
+// aggregates some seconds later. It guards against exceeding the limit in between.
 func TestLimitHoldsInTrouble(t *testing.T) {
-	for name, trouble := range troubles {
+	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			eachFleet(t, 3, func(t *testing.T, s *simulation) {
-				s.take(0)
+				s.appoint(0)
 				s.run(time.Second)
 				s.offered = s.limit.PerSecond / 1.8
 				s.run(8 * time.Second)
-				trouble(s)
+				fault(s)
 				s.offered = s.limit.PerSecond * 4.2
-				s.replaceAdder()
+				s.replaceHolder()
 				s.run(12 * time.Second)
-				require.LessOrEqual(t, s.most(), bound(s.limit))
+				require.LessOrEqual(t, s.peak(), bound(s.limit))
 			})
 		})
 	}
 }
 
-// TestLowerLimitBinds lowers the limit far below what is asked for, while it is.
+// TestLowerLimitBinds lowers the limit far below the load while the load lasts.
 func TestLowerLimitBinds(t *testing.T) {
 	eachFleet(t, 3, func(t *testing.T, s *simulation) {
-		hot(s, 0.5, func() {})
+		overload(s, 0.5, func() {})
 		lower := s.limit
 		lower.PerSecond, lower.Burst = lower.PerSecond/10, lower.Burst/10
 		s.setLimit(lower)
 		s.run(tolerance.Window)
 		s.admitted = nil
 		s.run(20 * time.Second)
-		require.LessOrEqual(t, s.most(), bound(lower))
+		require.LessOrEqual(t, s.peak(), bound(lower))
 	})
 }
 
-// TestRefundIsGivenBack admits requests that do not run.
+// TestRefundIsGivenBack admits requests that do not run, whose cost must not count.
 func TestRefundIsGivenBack(t *testing.T) {
 	s := newSimulation(1, 6, limits[1])
-	s.take(0)
+	s.appoint(0)
 	s.run(time.Second)
 	refused := 0
 	for range 200 {
-		if ok, _ := s.locals[1].Admit(s.now, account, 4000); ok {
-			s.locals[1].Refund(s.now, account, 4000)
+		if ok, _ := s.limiters[1].Admit(s.now, account, 4000); ok {
+			s.limiters[1].Refund(s.now, account, 4000)
 		} else {
 			refused++
 		}
@@ -422,7 +425,7 @@
 	require.LessOrEqual(t, refused, 200/4, "offered is ten times the limit, and nothing of it runs")
 }
 
-// TestWithoutLimitNothingIsBound asks without an allowance, and of a nil Local.
+// TestWithoutLimitNothingIsBound admits requests without an allowance, and at a nil Limiter.
 func TestWithoutLimitNothingIsBound(t *testing.T) {
 	l := NewLimiter(tolerance, func() float64 { return 0 })
 	for range 1000 {
@@ -434,7 +437,7 @@
 	require.True(t, ok)
 }
 
-// BenchmarkAdmit is what a request costs.
+// BenchmarkAdmit measures the cost of admission for one request.
 func BenchmarkAdmit(b *testing.B) {
 	l := NewLimiter(tolerance, rand.Float64)
 	l.SetLimits(Limits{HashAccount(account): limits[0]})
@@ -446,7 +449,8 @@
 	}
 }
 
-// TestEvenPartAdmitsAtLeastOneRequest has an allowance whose even part is below one request.
+// TestEvenPartAdmitsAtLeastOneRequest has an allowance whose even part is below one request:
+// a bucket that can never hold the cost of a request must not refuse all.
 func TestEvenPartAdmitsAtLeastOneRequest(t *testing.T) {
 	l := NewEvenLimiter()
 	l.SetInstanceCount(6)
