--- a/quarantine/digest_bench_test.go
+++ b/quarantine/digest_bench_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// BenchmarkHearDigest is what each packet of another instance costs, by how many requests
-// are known.
-func BenchmarkHearDigest(b *testing.B) {
+// BenchmarkReceiveDigest measures the cost of comparing the digest in each packet of another
+// instance, by the number of records.
+func BenchmarkReceiveDigest(b *testing.B) {
 	for _, bc := range []struct {
 		name  string
 		known int
@@ -14,11 +14,11 @@
 		b.Run(bc.name, func(b *testing.B) {
 			l := NewTracker(limits)
 			for i := range bc.known {
-				l.Ended(at(0), request(i), uint64(i), 0)
+				l.RecordTermination(at(0), request(i), uint64(i), 0)
 			}
 			same := l.Digest(at(1))
 			for b.Loop() {
-				l.HearDigest(at(1), same)
+				l.ReceiveDigest(at(1), same)
 			}
 		})
 	}
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,14 +1,15 @@
-// Package quarantine keeps requests that end the endpoints which run them from ending
-// more of them.
+// Package quarantine prevents requests that terminate the endpoints which run them from
+// terminating more of them.
 //
-// A request is known by its Fingerprint, whichever instance its attempts come to. Ledger
-// is the core: which endpoints have ended under which request, by what this instance has
-// seen and by the words of others, and so which requests are held back. It has no clock
-// and no lock; Keeper is its shell, which also knows the requests in progress.
+// A request is identified by its Fingerprint, whichever instance its attempts arrive at.
+// Tracker is the core: it tracks which endpoints have terminated under which request, from
+// what this instance has observed and from the reports of others, and so which requests are
+// held back. It has no clock and no lock; Manager wraps it and also tracks the requests in
+// flight.
 //
-// An endpoint runs many requests at once and all of them end with it, so one ending
-// proves nothing of a request. Three things tell the innocent apart: a request is held
-// only once several different endpoints have ended under it; any whole success
-// clears it, at all instances; and what is held is tried again after a time that is not
-// the same for any two requests, so that one that was held beside another runs alone.
+// An endpoint runs many requests at once and all of them fail with it, so that one termination
+// proves nothing about a request. Three rules protect innocent requests: a request is held
+// only once several different endpoints have terminated under it; any complete success clears
+// it, at all instances; and a held request is retried after a time that differs between
+// requests, so that one that was held together with another runs alone.
 package quarantine
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -8,30 +8,30 @@
 	"sync"
 )
 
-// FingerprintBytes is the size of a Fingerprint. Two given requests share one with a
+// FingerprintBytes is the size of a Fingerprint. Two given requests have the same one with a
 // probability of 2^-128; among the 10^11 requests that a large fleet serves in a year
-// (2,000 a second) any two do with one of 1.5 * 10^-17.
+// (2,000 per second), the probability that any two have is 1.5 * 10^-17.
 const FingerprintBytes = 16
 
-// Fingerprint stands for a request across its attempts, whatever the connection,
-// session, attempt or header that it comes with, and at any instance. It is of a
-// cryptographic hash, so that nobody finds a request of their own with the fingerprint
-// of somebody else's.
+// Fingerprint identifies a request across its attempts, independent of connection, session,
+// attempt, headers and instance. It is a truncated cryptographic hash, so that no caller can
+// construct a request with the fingerprint of another caller's request.
 type Fingerprint [FingerprintBytes]byte
 
-// String gives the fingerprint in hexadecimal digits, as logs show it.
+// String returns the fingerprint in hexadecimal digits, as logs show it.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// FingerprintOf returns the fingerprint of a request: of its client account, method,
-// target and whole body. The account is empty where callers have none: their addresses
-// do not stand for them, as one caller's attempts may come from several.
+// FingerprintOf returns the fingerprint of a request, from its client account, method, target
+// and whole body. The account is empty where callers have none. Caller addresses do not
+// replace it, as the attempts of one caller may come from several addresses.
 func FingerprintOf(account, method, target string, body []byte) Fingerprint {
 	h := hashers.Get().(*hasher)
 	defer hashers.Put(h)
 	h.hash.Reset()
 	h.head = h.head[:0]
 	for _, part := range [...]string{account, method, target} {
-		// Each part's length stands before it, so that no two requests run together.
+		// Each part is prefixed with its length, so that different parts never concatenate to
+		// the same input.
 		h.head = binary.BigEndian.AppendUint64(h.head, uint64(len(part)))
 		h.head = append(h.head, part...)
 	}
@@ -40,7 +40,7 @@
 	return Fingerprint(h.hash.Sum(h.sum[:0])[:FingerprintBytes])
 }
 
-// hasher is kept between requests, which spares its allocations.
+// hasher is pooled between requests to avoid allocations.
 type hasher struct {
 	hash hash.Hash
 	head []byte
--- a/quarantine/bench_test.go
+++ b/quarantine/lookup_bench_test.go
@@ -7,11 +7,11 @@
 	"github.com/go-logr/logr"
 )
 
-// BenchmarkLookup is what a request costs that nothing is known of, with a body of 4 KiB.
+// BenchmarkLookup measures the cost of a request without a record, with a body of 4 KiB.
 func BenchmarkLookup(b *testing.B) {
-	k := NewManager(Config{Limits: limits, Now: time.Now, Log: logr.Discard()})
+	m := NewManager(Config{Limits: limits, Now: time.Now, Log: logr.Discard()})
 	for i := range 100 {
-		k.RecordTermination(request(i), "", "e", int64(i))
+		m.RecordTermination(request(i), "", "e", int64(i))
 	}
 	body := make([]byte, 4<<10)
 	b.Run("identity", func(b *testing.B) {
@@ -24,7 +24,7 @@
 		b.ReportAllocs()
 		flight := &InFlight{}
 		for b.Loop() {
-			if err := k.Begin(flight, FingerprintOf("account", "POST", "/path/of/a/request", body), nil); err != nil {
+			if err := m.Begin(flight, FingerprintOf("account", "POST", "/path/of/a/request", body), nil); err != nil {
 				b.Fatal(err)
 			}
 			flight.End()
--- /dev/null
+++ b/quarantine/tracker.go
@@ -0,0 +1,494 @@
+package quarantine
+
+import (
+	"cmp"
+	"encoding/binary"
+	"math"
+	"math/bits"
+	"slices"
+	"strconv"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// Limits define when a request is held back, and for how long.
+type Limits struct {
+	// Terminations is how many endpoints must have terminated under a request for it to be
+	// held; with 0, none is held. A low number also holds requests that merely ran at the same
+	// time as another.
+	Terminations int
+	// Hold is the minimum time of the first hold. Each further termination doubles the hold, at
+	// most maxDoublings times.
+	Hold time.Duration
+}
+
+// DefaultLimits hold a request for two to three minutes after its third termination. That is
+// long compared to the seconds in which an endpoint restarts, so that a request that
+// terminates every endpoint costs one endpoint in that time and fewer later, and short for a
+// caller whose request was held wrongly.
+var DefaultLimits = Limits{Terminations: 3, Hold: 2 * time.Minute}
+
+const (
+	// maxDoublings bounds the growth of a hold, and maxTerminations the terminations kept for a
+	// request.
+	maxDoublings    = 4
+	maxTerminations = 8
+	// retentionDoublings is how often the first hold is doubled to give the time for which a
+	// termination counts.
+	retentionDoublings = 7
+	// maxRecords bounds the number of records, of some 400 bytes each. An endpoint runs 64
+	// requests at once, so that 64 terminations within the retention fit. The oldest records of
+	// requests that are not held are evicted first.
+	maxRecords = 4096
+	// differenceLifetime is how long a differing digest of another instance counts, longer than
+	// the half second between two hints. In that time all reports are sent again, each once in
+	// resendInterval and up to maxResent in a packet. So an instance that has just started, or
+	// was cut off, knows all within seconds.
+	differenceLifetime = 1200 * time.Millisecond
+	resendInterval     = time.Second
+	maxResent          = 8
+)
+
+// termination is the termination of one endpoint under a request.
+type termination struct {
+	incarnation uint64
+	at          time.Time
+}
+
+// record is what is known of a request.
+type record struct {
+	terminations []termination
+	succeededAt  time.Time
+	// sendsLeft is how many more times the report is to be sent, sentAt when it was last sent.
+	sendsLeft int
+	sentAt    time.Time
+}
+
+// Tracker tracks which endpoints have terminated under which requests.
+//
+// Invariants: a termination counts once, however often and in whichever order it is reported;
+// a termination before the last success of the request does not count.
+type Tracker struct {
+	limits  Limits
+	records map[Fingerprint]*record
+	// pending is what is to be reported, oldest first.
+	pending []Fingerprint
+	// order holds every known request in the order of creation, and resendIndex is the index of
+	// the one that was last sent again.
+	order       []Fingerprint
+	resendIndex int
+	// differedAt is when a differing digest of another instance was last received.
+	differedAt time.Time
+	// digest is that of the terminations as of the last change. It is valid until digestUntil,
+	// when the first of them expires; zero if it must be computed.
+	digest      uint64
+	digestUntil time.Time
+}
+
+// NewTracker returns a tracker without records.
+func NewTracker(l Limits) *Tracker { return &Tracker{limits: l, records: map[Fingerprint]*record{}} }
+
+// IncarnationHash returns the hash of an incarnation of an endpoint, from its name and start
+// time in milliseconds.
+func IncarnationHash(name string, startedAtMS int64) uint64 {
+	return xxhash.Sum64String(name + "@" + strconv.FormatInt(startedAtMS, 10))
+}
+
+// SetLimits replaces the limits. Limits that hold no request drop all records, which releases
+// all requests.
+func (l *Tracker) SetLimits(limits Limits) {
+	l.limits = limits
+	l.invalidateDigest()
+	if limits.Terminations == 0 {
+		clear(l.records)
+		l.pending, l.order = nil, nil
+	}
+}
+
+// retention returns how long a termination counts: as long as six of the longest holds, so
+// that a request that terminates an endpoint with every retry is still held for about the
+// longest time.
+func (l *Tracker) retention() time.Duration { return l.limits.Retention() }
+
+// RecordTermination records that an endpoint has terminated under a request, and schedules the
+// report to be sent the given number of times. It returns the number of terminations.
+func (l *Tracker) RecordTermination(now time.Time, f Fingerprint, incarnation uint64, sends int) int {
+	if l.limits.Terminations == 0 {
+		return 0
+	}
+	r := l.record(now, f)
+	if r.add(termination{incarnation, now}) == terminationAdded {
+		l.changed(f, r, sends)
+	}
+	return len(r.terminations)
+}
+
+// RecordSuccess records that a request was answered successfully and completely, and schedules
+// the report to be sent the given number of times. A success shows that the request does not
+// terminate endpoints. It returns false if the request has no terminations.
+func (l *Tracker) RecordSuccess(now time.Time, f Fingerprint, sends int) bool {
+	r := l.records[f]
+	if r == nil || len(r.terminations) == 0 {
+		return false
+	}
+	r.recordSuccess(now)
+	l.changed(f, r, sends)
+	return true
+}
+
+// ReceiveReport applies a report of another instance, and schedules it to be sent the given
+// number of times if it is new. It returns false for an invalid report.
+func (l *Tracker) ReceiveReport(now time.Time, report Report, sends int) bool {
+	if l.limits.Terminations == 0 {
+		return true
+	}
+	if !report.valid(l.retention()) {
+		return false
+	}
+	f := Fingerprint(report.Fingerprint)
+	r := l.record(now, f)
+	changed := false
+	if report.ServedMS > 0 {
+		changed = r.recordSuccess(now.Add(-milliseconds(report.ServedMS - 1)))
+	}
+	for i, incarnation := range report.Incarnations {
+		switch r.add(termination{incarnation, now.Add(-milliseconds(report.AgesMS[i]))}) {
+		case terminationAdded:
+			changed = true
+		case terminationMadeOlder:
+			l.invalidateDigest()
+		}
+	}
+	if changed {
+		l.changed(f, r, sends)
+	}
+	return true
+}
+
+func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
+
+// changed records a change of a request, and schedules its report.
+func (l *Tracker) changed(f Fingerprint, r *record, sends int) {
+	l.invalidateDigest()
+	if r.sendsLeft == 0 && sends > 0 {
+		l.pending = append(l.pending, f)
+	}
+	r.sendsLeft = max(r.sendsLeft, sends)
+}
+
+// addResult is the result of adding a termination to a record.
+type addResult int
+
+// Results of adding a termination.
+const (
+	// terminationIgnored means that nothing changed: the termination is known, or does not count.
+	terminationIgnored addResult = iota
+	// terminationMadeOlder means that a known termination turned out to be older.
+	terminationMadeOlder
+	// terminationAdded means that the termination is new.
+	terminationAdded
+)
+
+// add adds a termination.
+func (r *record) add(e termination) addResult {
+	if !e.at.After(r.succeededAt) {
+		return terminationIgnored
+	}
+	if i := slices.IndexFunc(r.terminations, func(known termination) bool { return known.incarnation == e.incarnation }); i >= 0 {
+		if !e.at.Before(r.terminations[i].at) {
+			return terminationIgnored
+		}
+		// The time in transit of a report makes a termination seem later than it was: the
+		// earliest time is the most accurate.
+		r.terminations[i].at = e.at
+		return terminationMadeOlder
+	}
+	r.terminations = append(r.terminations, e)
+	slices.SortFunc(r.terminations, func(a, b termination) int { return a.at.Compare(b.at) })
+	if len(r.terminations) > maxTerminations {
+		r.terminations = slices.Delete(r.terminations, 0, 1)
+	}
+	return terminationAdded
+}
+
+// recordSuccess records a complete answer. It reports whether that cleared any termination.
+func (r *record) recordSuccess(at time.Time) bool {
+	if !at.After(r.succeededAt) {
+		return false
+	}
+	r.succeededAt = at
+	before := len(r.terminations)
+	r.terminations = slices.DeleteFunc(r.terminations, func(e termination) bool { return !e.at.After(at) })
+	return len(r.terminations) < before
+}
+
+// lastEvent returns the time of the last event of the request.
+func (r *record) lastEvent() time.Time {
+	if n := len(r.terminations); n > 0 {
+		return r.terminations[n-1].at
+	}
+	return r.succeededAt
+}
+
+// record returns the record of a request, and creates it if there is none.
+func (l *Tracker) record(now time.Time, f Fingerprint) *record {
+	r := l.records[f]
+	if r == nil {
+		l.evict(now)
+		r = &record{}
+		l.records[f] = r
+		l.order = append(l.order, f)
+	}
+	if len(r.terminations) > 0 && now.Sub(r.terminations[0].at) >= l.retention() {
+		r.terminations = slices.DeleteFunc(r.terminations, func(e termination) bool { return now.Sub(e.at) >= l.retention() })
+		l.invalidateDigest()
+	}
+	return r
+}
+
+// evict drops expired records if the table is full and, if that is not enough, an eighth of
+// the rest: the oldest of requests that are not held, or else of all.
+func (l *Tracker) evict(now time.Time) {
+	if len(l.records) < maxRecords {
+		return
+	}
+	l.drop(func(f Fingerprint) bool { return now.Sub(l.records[f].lastEvent()) >= l.retention() })
+	if len(l.records) < maxRecords {
+		return
+	}
+	oldest := slices.Clone(l.order)
+	slices.SortStableFunc(oldest, func(a, b Fingerprint) int {
+		return cmp.Or(cmp.Compare(l.heldRank(a), l.heldRank(b)), l.records[a].lastEvent().Compare(l.records[b].lastEvent()))
+	})
+	for _, f := range oldest[:maxRecords/8] {
+		delete(l.records, f)
+	}
+	l.drop(func(Fingerprint) bool { return false })
+}
+
+// heldRank returns 1 for a request that enough endpoints have terminated under to hold it, 0
+// for others.
+func (l *Tracker) heldRank(f Fingerprint) int {
+	if len(l.records[f].terminations) >= l.limits.Terminations {
+		return 1
+	}
+	return 0
+}
+
+// drop deletes the records that picks selects, and removes from order all requests without a
+// record.
+func (l *Tracker) drop(picks func(Fingerprint) bool) {
+	l.invalidateDigest()
+	l.order = slices.DeleteFunc(l.order, func(f Fingerprint) bool {
+		if l.records[f] != nil && picks(f) {
+			delete(l.records, f)
+		}
+		return l.records[f] == nil
+	})
+}
+
+// Retention returns how long a termination counts.
+func (l Limits) Retention() time.Duration { return l.Hold << retentionDoublings }
+
+// TerminationCount returns how many endpoints have terminated under a request.
+func (l *Tracker) TerminationCount(now time.Time, f Fingerprint) int {
+	r := l.records[f]
+	if r == nil || now.Sub(r.lastEvent()) >= l.retention() {
+		return 0
+	}
+	return len(r.terminations)
+}
+
+// HoldRemaining returns how much longer a request is held back; 0 if it is not.
+func (l *Tracker) HoldRemaining(now time.Time, f Fingerprint) time.Duration {
+	r := l.records[f]
+	if r == nil || l.limits.Terminations == 0 || len(r.terminations) < l.limits.Terminations {
+		return 0
+	}
+	return max(r.lastEvent().Add(l.holdTime(f, len(r.terminations))).Sub(now), 0)
+}
+
+// OneAtATime reports whether only one request with this fingerprint may be in flight, because
+// one more termination would hold it, or hold it again: copies that are sent at the same time
+// would terminate an endpoint each.
+func (l *Tracker) OneAtATime(now time.Time, f Fingerprint) bool {
+	return l.limits.Terminations > 0 && l.TerminationCount(now, f) >= max(l.limits.Terminations-1, 1)
+}
+
+// holdTime returns how long a request is held after so many terminations. It is extended by up
+// to a half, depending on the fingerprint: requests that were in flight together when
+// endpoints terminated are retried one by one, so that the innocent ones among them succeed.
+func (l *Tracker) holdTime(f Fingerprint, terminations int) time.Duration {
+	part := float64(binary.BigEndian.Uint32(f[:4])) / math.MaxUint32
+	first := l.limits.Hold + time.Duration(float64(l.limits.Hold)/2*part)
+	return first << min(terminations-l.limits.Terminations, maxDoublings)
+}
+
+// HeldCount returns how many requests are held back.
+func (l *Tracker) HeldCount(now time.Time) int {
+	n := 0
+	for _, f := range l.order {
+		if l.HoldRemaining(now, f) > 0 {
+			n++
+		}
+	}
+	return n
+}
+
+// HeldReports returns the reports of the requests that are held back now.
+func (l *Tracker) HeldReports(now time.Time) []Report {
+	var reports []Report
+	for _, f := range l.order {
+		if l.HoldRemaining(now, f) > 0 {
+			reports = append(reports, l.records[f].report(now, f))
+		}
+	}
+	return reports
+}
+
+// Len returns the number of records.
+func (l *Tracker) Len() int { return len(l.records) }
+
+// Digest returns a digest of all terminations that count: instances with the same digest know
+// the same terminations. It is 0 for none. It is cached until a change, as every packet that
+// is sent or received needs it and computing it over 1,000 requests takes 48 us.
+func (l *Tracker) Digest(now time.Time) uint64 {
+	if !now.Before(l.digestUntil) {
+		l.digest, l.digestUntil = l.computeDigest(now)
+	}
+	return l.digest
+}
+
+// invalidateDigest makes the next call of Digest compute it again.
+func (l *Tracker) invalidateDigest() { l.digestUntil = time.Time{} }
+
+// computeDigest computes the digest, and until when it is valid if nothing changes.
+func (l *Tracker) computeDigest(now time.Time) (sum uint64, until time.Time) {
+	until = now.Add(l.retention())
+	for _, f := range l.order {
+		for _, e := range l.records[f].terminations {
+			expires := e.at.Add(l.retention())
+			if !now.Before(expires) {
+				continue
+			}
+			sum ^= (binary.BigEndian.Uint64(f[:8]) ^ bits.RotateLeft64(e.incarnation, 17)) * digestFactor
+			if expires.Before(until) {
+				until = expires
+			}
+		}
+	}
+	return sum, until
+}
+
+// digestFactor is odd, so that multiplication keeps different terminations different.
+const digestFactor = 0x9E3779B97F4A7C15
+
+// ReceiveDigest compares the digest of another instance, and reports whether that instance
+// knows other terminations.
+func (l *Tracker) ReceiveDigest(now time.Time, digest uint64) bool {
+	if l.limits.Terminations == 0 || digest == l.Digest(now) {
+		return false
+	}
+	l.differedAt = now
+	return true
+}
+
+// HasPendingReports reports whether PendingReports may return any reports.
+func (l *Tracker) HasPendingReports(now time.Time) bool {
+	return len(l.pending) > 0 || l.peerDiffers(now)
+}
+
+// peerDiffers reports whether another instance recently knew other terminations.
+func (l *Tracker) peerDiffers(now time.Time) bool {
+	return len(l.order) > 0 && !l.differedAt.IsZero() && now.Sub(l.differedAt) < differenceLifetime
+}
+
+// PendingReports returns the reports to send now, of at most room bytes: new ones first, then,
+// where another instance knows other terminations, those not sent recently.
+func (l *Tracker) PendingReports(now time.Time, room int) []Report {
+	b := batch{now: now, room: room}
+	l.addPending(&b)
+	if l.peerDiffers(now) {
+		l.addResent(&b)
+	}
+	return b.reports
+}
+
+// addPending adds the reports of changes. Those that do not fit come first the next time,
+// followed by those that are to be sent more than once.
+func (l *Tracker) addPending(b *batch) {
+	var again []Fingerprint
+	for len(l.pending) > 0 {
+		f := l.pending[0]
+		r := l.records[f]
+		if r != nil && !b.add(f, r) {
+			break
+		}
+		l.pending = l.pending[1:]
+		if r == nil {
+			continue
+		}
+		if r.sendsLeft--; r.sendsLeft > 0 {
+			again = append(again, f)
+		}
+	}
+	l.pending = append(l.pending, again...)
+}
+
+// addResent adds reports that were not sent recently, starting where the last call stopped.
+// They include cleared requests, as the other instance may have missed that.
+func (l *Tracker) addResent(b *batch) {
+	resent := 0
+	for range l.order {
+		l.resendIndex = (l.resendIndex + 1) % len(l.order)
+		r := l.records[l.order[l.resendIndex]]
+		if b.now.Sub(r.sentAt) < resendInterval {
+			continue
+		}
+		if resent == maxResent || !b.add(l.order[l.resendIndex], r) {
+			l.resendIndex = (l.resendIndex + len(l.order) - 1) % len(l.order)
+			return
+		}
+		resent++
+	}
+}
+
+// batch is the reports of one packet.
+type batch struct {
+	now     time.Time
+	room    int
+	reports []Report
+}
+
+// add adds the report of a request. It returns false if there is no room.
+func (b *batch) add(f Fingerprint, r *record) bool {
+	report := r.report(b.now, f)
+	if report.size() > b.room {
+		return false
+	}
+	b.room -= report.size()
+	r.sentAt = b.now
+	b.reports = append(b.reports, report)
+	return true
+}
+
+// Report returns the report of a request, and the zero Report if there is no record.
+func (l *Tracker) Report(now time.Time, f Fingerprint) Report {
+	if r := l.records[f]; r != nil {
+		return r.report(now, f)
+	}
+	return Report{}
+}
+
+func (r *record) report(now time.Time, f Fingerprint) Report {
+	report := Report{Fingerprint: slices.Clone(f[:])}
+	if !r.succeededAt.IsZero() {
+		report.ServedMS = max(now.Sub(r.succeededAt).Milliseconds(), 0) + 1
+	}
+	for _, e := range r.terminations {
+		report.Incarnations = append(report.Incarnations, e.incarnation)
+		report.AgesMS = append(report.AgesMS, max(now.Sub(e.at).Milliseconds(), 0))
+	}
+	return report
+}
