--- a/allowance/aggregator.go
+++ b/allowance/aggregator.go
@@ -83,46 +83,46 @@
 
 // CarryOverDebts takes over by how much accounts have exceeded their limits, from the last
 // shares of the previous aggregator.
-func (l *Aggregator) CarryOverDebts(shares []Share) {
-	l.debts = make(map[AccountHash]float64, len(shares))
+func (g *Aggregator) CarryOverDebts(shares []Share) {
+	g.debts = make(map[AccountHash]float64, len(shares))
 	for _, s := range shares {
-		l.debts[s.Account] = float64(max(-s.Level, 0))
+		g.debts[s.Account] = float64(max(-s.Level, 0))
 	}
 }
 
 // SetLimits replaces the limits. It cuts levels that exceed a new burst.
-func (l *Aggregator) SetLimits(limits Limits) {
-	l.limits = limits
-	for hash, a := range l.accounts {
+func (g *Aggregator) SetLimits(limits Limits) {
+	g.limits = limits
+	for hash, a := range g.accounts {
 		limit, known := limits[hash]
 		if !known {
-			delete(l.accounts, hash)
+			delete(g.accounts, hash)
 			continue
 		}
-		a.level = min(a.level, l.tolerance.burst(limit))
+		a.level = min(a.level, g.tolerance.burst(limit))
 	}
 }
 
-func (l *Aggregator) account(now time.Time, hash AccountHash, limit settings.Allowance) *aggregatedAccount {
-	a := l.accounts[hash]
+func (g *Aggregator) account(now time.Time, hash AccountHash, limit settings.Allowance) *aggregatedAccount {
+	a := g.accounts[hash]
 	if a == nil {
-		level := min(limit.PerSecond*now.Sub(l.startedAt).Seconds(), l.tolerance.burst(limit)) - l.debts[hash]
-		a = &aggregatedAccount{level: level, at: now, offeredTime: offeredTime(limit, l.tolerance), instances: map[string]*instanceUsage{}}
-		l.accounts[hash] = a
+		level := min(limit.PerSecond*now.Sub(g.startedAt).Seconds(), g.tolerance.burst(limit)) - g.debts[hash]
+		a = &aggregatedAccount{level: level, at: now, offeredTime: offeredTime(limit, g.tolerance), instances: map[string]*instanceUsage{}}
+		g.accounts[hash] = a
 	}
 	return a
 }
 
 // RecordUsage applies the usage report of a process of an instance.
-func (l *Aggregator) RecordUsage(now time.Time, instance, process string, usage []Usage) {
-	l.lastContact[instance] = now
+func (g *Aggregator) RecordUsage(now time.Time, instance, process string, usage []Usage) {
+	g.lastContact[instance] = now
 	for _, u := range usage {
-		limit, limited := l.limits[u.Account]
+		limit, limited := g.limits[u.Account]
 		if !limited {
 			continue
 		}
-		a := l.account(now, u.Account, limit)
-		a.advance(now, limit, l.tolerance)
+		a := g.account(now, u.Account, limit)
+		a.advance(now, limit, g.tolerance)
 		t := a.instances[instance]
 		if t == nil || t.process != process {
 			t = &instanceUsage{process: process, lastContact: now, chargedUntil: now}
@@ -130,7 +130,7 @@
 		}
 		a.charge(now, t, u)
 	}
-	for _, a := range l.accounts {
+	for _, a := range g.accounts {
 		if t := a.instances[instance]; t != nil && t.process == process {
 			t.decay(now)
 			t.lastContact, t.chargedUntil, t.reported = now, now, true
@@ -220,22 +220,22 @@
 // Shares returns the share of each account that was reported. It returns false if fewer than
 // half of the recently reporting instances still report: another instance may then aggregate
 // for the others.
-func (l *Aggregator) Shares(now time.Time) (shares []Share, majority bool) {
-	maps.DeleteFunc(l.lastContact, func(_ string, at time.Time) bool { return now.Sub(at) >= recentWindow })
+func (g *Aggregator) Shares(now time.Time) (shares []Share, majority bool) {
+	maps.DeleteFunc(g.lastContact, func(_ string, at time.Time) bool { return now.Sub(at) >= recentWindow })
 	reporting := 0
-	for _, at := range l.lastContact {
+	for _, at := range g.lastContact {
 		if now.Sub(at) < majorityWindow {
 			reporting++
 		}
 	}
-	if 2*reporting < len(l.lastContact) {
+	if 2*reporting < len(g.lastContact) {
 		return nil, false
 	}
-	shares = make([]Share, 0, len(l.accounts))
-	for hash, a := range l.accounts {
-		limit := l.limits[hash]
-		a.advance(now, limit, l.tolerance)
-		shares = append(shares, a.announce(hash, limit, l.tolerance))
+	shares = make([]Share, 0, len(g.accounts))
+	for hash, a := range g.accounts {
+		limit := g.limits[hash]
+		a.advance(now, limit, g.tolerance)
+		shares = append(shares, a.announce(hash, limit, g.tolerance))
 	}
 	slices.SortFunc(shares, func(a, b Share) int { return cmp.Compare(a.Account, b.Account) })
 	return shares, true
--- a/allowance/limiter.go
+++ b/allowance/limiter.go
@@ -332,7 +332,8 @@
 	l.aggregator = 0
 }
 
-// NoAggregator reports whether this process has never received shares of an aggregator.
+// NoAggregator reports whether this process follows no aggregator: it has received no shares
+// since it started, or since it relinquished them.
 func (l *Limiter) NoAggregator() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -352,10 +353,10 @@
 	return shares
 }
 
-// PendingUsage returns up to limit usages that have changed and have not yet been sent often
+// PendingUsage returns up to maxUsages usages that have changed and have not yet been sent often
 // enough, and the aggregator that they are for.
-func (l *Limiter) PendingUsage(limit int) ([]Usage, AggregatorID) {
-	if l == nil || limit <= 0 {
+func (l *Limiter) PendingUsage(maxUsages int) ([]Usage, AggregatorID) {
+	if l == nil || maxUsages <= 0 {
 		return nil, 0
 	}
 	l.mu.Lock()
@@ -371,7 +372,7 @@
 	}
 	// Accounts after the last one sent go first.
 	slices.SortFunc(changed, func(a, b AccountHash) int { return cmp.Compare(a-l.next, b-l.next) })
-	changed = changed[:min(len(changed), limit)]
+	changed = changed[:min(len(changed), maxUsages)]
 	usage := make([]Usage, 0, len(changed))
 	for _, hash := range changed {
 		l.accounts[hash].sendsLeft--
--- a/quarantine/manager.go
+++ b/quarantine/manager.go
@@ -95,27 +95,27 @@
 
 // Begin registers a request, unless it is held back: then it returns a *HeldError. If the
 // request is held before End, Held returns the reason and cancel is called.
-func (k *Manager) Begin(flight *InFlight, f Fingerprint, cancel context.CancelFunc) error {
-	if k == nil {
+func (m *Manager) Begin(flight *InFlight, f Fingerprint, cancel context.CancelFunc) error {
+	if m == nil {
 		return nil
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.now()
-	left := k.tracker.HoldRemaining(now, f)
-	if left == 0 && k.inFlight[f] != nil && k.tracker.OneAtATime(now, f) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.now()
+	left := m.tracker.HoldRemaining(now, f)
+	if left == 0 && m.inFlight[f] != nil && m.tracker.OneAtATime(now, f) {
 		left = duplicateHold
 	}
 	if left > 0 {
-		k.rejected++
-		return &HeldError{Fingerprint: f, Terminations: k.tracker.TerminationCount(now, f), Remaining: left}
+		m.rejected++
+		return &HeldError{Fingerprint: f, Terminations: m.tracker.TerminationCount(now, f), Remaining: left}
 	}
-	flight.manager, flight.fingerprint, flight.cancel, flight.listed = k, f, cancel, true
-	flight.next = k.inFlight[f]
+	flight.manager, flight.fingerprint, flight.cancel, flight.listed = m, f, cancel, true
+	flight.next = m.inFlight[f]
 	if flight.next != nil {
 		flight.next.previous = flight
 	}
-	k.inFlight[f] = flight
+	m.inFlight[f] = flight
 	return nil
 }
 
@@ -149,143 +149,143 @@
 }
 
 // RecordTermination records that an endpoint has terminated under a request.
-func (k *Manager) RecordTermination(f Fingerprint, account, endpoint string, startedAtMS int64) {
-	if k == nil {
+func (m *Manager) RecordTermination(f Fingerprint, account, endpoint string, startedAtMS int64) {
+	if m == nil {
 		return
 	}
-	k.mu.Lock()
-	before := k.tracker.HoldRemaining(k.now(), f)
-	n := k.tracker.RecordTermination(k.now(), f, IncarnationHash(endpoint, startedAtMS), ownReportSends)
-	k.log.Info("request suspected", "fingerprint", f.String(), "caller", account, "endpoint", endpoint, "endings", n)
-	if k.applyHold(f, before, "own") {
-		k.persist(k.tracker.Report(k.now(), f))
+	m.mu.Lock()
+	before := m.tracker.HoldRemaining(m.now(), f)
+	n := m.tracker.RecordTermination(m.now(), f, IncarnationHash(endpoint, startedAtMS), ownReportSends)
+	m.log.Info("request suspected", "fingerprint", f.String(), "caller", account, "endpoint", endpoint, "endings", n)
+	if m.applyHold(f, before, "own") {
+		m.persist(m.tracker.Report(m.now(), f))
 	}
-	k.mu.Unlock()
-	k.wake()
+	m.mu.Unlock()
+	m.wake()
 }
 
 // applyHold cancels the copies of a request in flight if the request is newly held, where
 // before is its remaining hold time before the change. It reports whether it is newly held.
-func (k *Manager) applyHold(f Fingerprint, before time.Duration, by string) bool {
-	now := k.now()
-	left := k.tracker.HoldRemaining(now, f)
+func (m *Manager) applyHold(f Fingerprint, before time.Duration, by string) bool {
+	now := m.now()
+	left := m.tracker.HoldRemaining(now, f)
 	if left == 0 || before > 0 {
 		return false
 	}
-	held := &HeldError{Fingerprint: f, Terminations: k.tracker.TerminationCount(now, f), Remaining: left}
+	held := &HeldError{Fingerprint: f, Terminations: m.tracker.TerminationCount(now, f), Remaining: left}
 	cancelled := 0
-	for flight := k.inFlight[f]; flight != nil; flight = k.inFlight[f] {
+	for flight := m.inFlight[f]; flight != nil; flight = m.inFlight[f] {
 		flight.remove()
 		flight.held.Store(held)
 		flight.cancel()
 		cancelled++
 	}
-	k.cancelled += int64(cancelled)
-	k.log.Info("request held back", "fingerprint", f.String(), "endings", held.Terminations, "hold_ms", left.Milliseconds(), "by", by, "cancelled", cancelled)
+	m.cancelled += int64(cancelled)
+	m.log.Info("request held back", "fingerprint", f.String(), "endings", held.Terminations, "hold_ms", left.Milliseconds(), "by", by, "cancelled", cancelled)
 	return true
 }
 
 // RecordSuccess records that a request was answered successfully and completely.
-func (k *Manager) RecordSuccess(f Fingerprint) {
-	if k == nil {
+func (m *Manager) RecordSuccess(f Fingerprint) {
+	if m == nil {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.tracker.RecordSuccess(k.now(), f, ownReportSends) {
-		k.log.Info("request cleared", "fingerprint", f.String())
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.tracker.RecordSuccess(m.now(), f, ownReportSends) {
+		m.log.Info("request cleared", "fingerprint", f.String())
 	}
 }
 
 // Digest returns a digest of the terminations known here; 0 for none.
-func (k *Manager) Digest() uint64 {
-	if k == nil {
+func (m *Manager) Digest() uint64 {
+	if m == nil {
 		return 0
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.tracker.Digest(k.now())
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.tracker.Digest(m.now())
 }
 
 // ReceiveDigest compares the digest of another instance. If it differs from that of this
 // instance, all reports are sent again. It reports whether it differs.
-func (k *Manager) ReceiveDigest(digest uint64) bool {
-	if k == nil {
+func (m *Manager) ReceiveDigest(digest uint64) bool {
+	if m == nil {
 		return false
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.tracker.ReceiveDigest(k.now(), digest)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.tracker.ReceiveDigest(m.now(), digest)
 }
 
 // ReceiveReports applies the reports of another instance. With forward set, those that are new
 // here are sent on to the others.
-func (k *Manager) ReceiveReports(reports []Report, forward bool) {
-	if k == nil || len(reports) == 0 {
+func (m *Manager) ReceiveReports(reports []Report, forward bool) {
+	if m == nil || len(reports) == 0 {
 		return
 	}
 	sends := 0
 	if forward {
 		sends = forwardedReportSends
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for _, r := range reports {
 		var before time.Duration
 		if len(r.Fingerprint) == FingerprintBytes {
-			before = k.tracker.HoldRemaining(k.now(), Fingerprint(r.Fingerprint))
+			before = m.tracker.HoldRemaining(m.now(), Fingerprint(r.Fingerprint))
 		}
-		if !k.tracker.ReceiveReport(k.now(), r, sends) {
-			k.log.Info("invalid report of a suspected request rejected", "bytes", len(r.Fingerprint), "endings", len(r.Incarnations))
+		if !m.tracker.ReceiveReport(m.now(), r, sends) {
+			m.log.Info("invalid report of a suspected request rejected", "bytes", len(r.Fingerprint), "endings", len(r.Incarnations))
 			continue
 		}
-		k.applyHold(Fingerprint(r.Fingerprint), before, "told")
+		m.applyHold(Fingerprint(r.Fingerprint), before, "told")
 	}
 }
 
 // HasPendingReports reports whether PendingReports may return any reports.
-func (k *Manager) HasPendingReports() bool {
-	if k == nil {
+func (m *Manager) HasPendingReports() bool {
+	if m == nil {
 		return false
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.tracker.HasPendingReports(k.now())
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.tracker.HasPendingReports(m.now())
 }
 
 // PendingReports returns the reports to send to the other instances now, of at most room
 // bytes.
-func (k *Manager) PendingReports(room int) []Report {
-	if k == nil {
+func (m *Manager) PendingReports(room int) []Report {
+	if m == nil {
 		return nil
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.tracker.PendingReports(k.now(), room)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.tracker.PendingReports(m.now(), room)
 }
 
 // HeldReports returns the reports of the requests that are held back now.
-func (k *Manager) HeldReports() []Report {
-	if k == nil {
+func (m *Manager) HeldReports() []Report {
+	if m == nil {
 		return nil
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.tracker.HeldReports(k.now())
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.tracker.HeldReports(m.now())
 }
 
 // SetLimits replaces the limits. Limits that hold no request release all.
-func (k *Manager) SetLimits(l Limits) {
-	if k == nil {
+func (m *Manager) SetLimits(l Limits) {
+	if m == nil {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if l == k.tracker.limits {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if l == m.tracker.limits {
 		return
 	}
-	k.tracker.SetLimits(l)
-	k.log.Info("quarantine limits", "endings", l.Terminations, "hold_ms", l.Hold.Milliseconds(), "known", k.tracker.Len())
+	m.tracker.SetLimits(l)
+	m.log.Info("quarantine limits", "endings", l.Terminations, "hold_ms", l.Hold.Milliseconds(), "known", m.tracker.Len())
 }
 
 // Stats counts what a Manager knows and has done.
@@ -300,11 +300,11 @@
 }
 
 // Stats returns the counts.
-func (k *Manager) Stats() Stats {
-	if k == nil {
+func (m *Manager) Stats() Stats {
+	if m == nil {
 		return Stats{}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return Stats{Known: k.tracker.Len(), Held: k.tracker.HeldCount(k.now()), Rejected: k.rejected, Cancelled: k.cancelled}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return Stats{Known: m.tracker.Len(), Held: m.tracker.HeldCount(m.now()), Rejected: m.rejected, Cancelled: m.cancelled}
 }
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -97,29 +97,29 @@
 
 // SetLimits replaces the limits. Limits that hold no request drop all records, which releases
 // all requests.
-func (l *Tracker) SetLimits(limits Limits) {
-	l.limits = limits
-	l.invalidateDigest()
+func (t *Tracker) SetLimits(limits Limits) {
+	t.limits = limits
+	t.invalidateDigest()
 	if limits.Terminations == 0 {
-		clear(l.records)
-		l.pending, l.order = nil, nil
+		clear(t.records)
+		t.pending, t.order = nil, nil
 	}
 }
 
 // retention returns how long a termination counts: as long as six of the longest holds, so
 // that a request that terminates an endpoint with every retry is still held for about the
 // longest time.
-func (l *Tracker) retention() time.Duration { return l.limits.Retention() }
+func (t *Tracker) retention() time.Duration { return t.limits.Retention() }
 
 // RecordTermination records that an endpoint has terminated under a request, and schedules the
 // report to be sent the given number of times. It returns the number of terminations.
-func (l *Tracker) RecordTermination(now time.Time, f Fingerprint, incarnation uint64, sends int) int {
-	if l.limits.Terminations == 0 {
+func (t *Tracker) RecordTermination(now time.Time, f Fingerprint, incarnation uint64, sends int) int {
+	if t.limits.Terminations == 0 {
 		return 0
 	}
-	r := l.record(now, f)
+	r := t.record(now, f)
 	if r.add(termination{incarnation, now}) == terminationAdded {
-		l.changed(f, r, sends)
+		t.changed(f, r, sends)
 	}
 	return len(r.terminations)
 }
@@ -127,27 +127,27 @@
 // RecordSuccess records that a request was answered successfully and completely, and schedules
 // the report to be sent the given number of times. A success shows that the request does not
 // terminate endpoints. It returns false if the request has no terminations.
-func (l *Tracker) RecordSuccess(now time.Time, f Fingerprint, sends int) bool {
-	r := l.records[f]
+func (t *Tracker) RecordSuccess(now time.Time, f Fingerprint, sends int) bool {
+	r := t.records[f]
 	if r == nil || len(r.terminations) == 0 {
 		return false
 	}
 	r.recordSuccess(now)
-	l.changed(f, r, sends)
+	t.changed(f, r, sends)
 	return true
 }
 
 // ReceiveReport applies a report of another instance, and schedules it to be sent the given
 // number of times if it is new. It returns false for an invalid report.
-func (l *Tracker) ReceiveReport(now time.Time, report Report, sends int) bool {
-	if l.limits.Terminations == 0 {
+func (t *Tracker) ReceiveReport(now time.Time, report Report, sends int) bool {
+	if t.limits.Terminations == 0 {
 		return true
 	}
-	if !report.valid(l.retention()) {
+	if !report.valid(t.retention()) {
 		return false
 	}
 	f := Fingerprint(report.Fingerprint)
-	r := l.record(now, f)
+	r := t.record(now, f)
 	changed := false
 	if report.ServedMS > 0 {
 		changed = r.recordSuccess(now.Add(-milliseconds(report.ServedMS - 1)))
@@ -157,11 +157,11 @@
 		case terminationAdded:
 			changed = true
 		case terminationMadeOlder:
-			l.invalidateDigest()
+			t.invalidateDigest()
 		}
 	}
 	if changed {
-		l.changed(f, r, sends)
+		t.changed(f, r, sends)
 	}
 	return true
 }
@@ -169,10 +169,10 @@
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 // changed records a change of a request, and schedules its report.
-func (l *Tracker) changed(f Fingerprint, r *record, sends int) {
-	l.invalidateDigest()
+func (t *Tracker) changed(f Fingerprint, r *record, sends int) {
+	t.invalidateDigest()
 	if r.sendsLeft == 0 && sends > 0 {
-		l.pending = append(l.pending, f)
+		t.pending = append(t.pending, f)
 	}
 	r.sendsLeft = max(r.sendsLeft, sends)
 }
@@ -232,45 +232,45 @@
 }
 
 // record returns the record of a request, and creates it if there is none.
-func (l *Tracker) record(now time.Time, f Fingerprint) *record {
-	r := l.records[f]
+func (t *Tracker) record(now time.Time, f Fingerprint) *record {
+	r := t.records[f]
 	if r == nil {
-		l.evict(now)
+		t.evict(now)
 		r = &record{}
-		l.records[f] = r
-		l.order = append(l.order, f)
+		t.records[f] = r
+		t.order = append(t.order, f)
 	}
-	if len(r.terminations) > 0 && now.Sub(r.terminations[0].at) >= l.retention() {
-		r.terminations = slices.DeleteFunc(r.terminations, func(e termination) bool { return now.Sub(e.at) >= l.retention() })
-		l.invalidateDigest()
+	if len(r.terminations) > 0 && now.Sub(r.terminations[0].at) >= t.retention() {
+		r.terminations = slices.DeleteFunc(r.terminations, func(e termination) bool { return now.Sub(e.at) >= t.retention() })
+		t.invalidateDigest()
 	}
 	return r
 }
 
 // evict drops expired records if the table is full and, if that is not enough, an eighth of
 // the rest: the oldest of requests that are not held, or else of all.
-func (l *Tracker) evict(now time.Time) {
-	if len(l.records) < maxRecords {
+func (t *Tracker) evict(now time.Time) {
+	if len(t.records) < maxRecords {
 		return
 	}
-	l.drop(func(f Fingerprint) bool { return now.Sub(l.records[f].lastEvent()) >= l.retention() })
-	if len(l.records) < maxRecords {
+	t.drop(func(f Fingerprint) bool { return now.Sub(t.records[f].lastEvent()) >= t.retention() })
+	if len(t.records) < maxRecords {
 		return
 	}
-	oldest := slices.Clone(l.order)
+	oldest := slices.Clone(t.order)
 	slices.SortStableFunc(oldest, func(a, b Fingerprint) int {
-		return cmp.Or(cmp.Compare(l.heldRank(a), l.heldRank(b)), l.records[a].lastEvent().Compare(l.records[b].lastEvent()))
+		return cmp.Or(cmp.Compare(t.heldRank(a), t.heldRank(b)), t.records[a].lastEvent().Compare(t.records[b].lastEvent()))
 	})
 	for _, f := range oldest[:maxRecords/8] {
-		delete(l.records, f)
+		delete(t.records, f)
 	}
-	l.drop(func(Fingerprint) bool { return false })
+	t.drop(func(Fingerprint) bool { return false })
 }
 
 // heldRank returns 1 for a request that enough endpoints have terminated under to hold it, 0
 // for others.
-func (l *Tracker) heldRank(f Fingerprint) int {
-	if len(l.records[f].terminations) >= l.limits.Terminations {
+func (t *Tracker) heldRank(f Fingerprint) int {
+	if len(t.records[f].terminations) >= t.limits.Terminations {
 		return 1
 	}
 	return 0
@@ -278,13 +278,13 @@
 
 // drop deletes the records that picks selects, and removes from order all requests without a
 // record.
-func (l *Tracker) drop(picks func(Fingerprint) bool) {
-	l.invalidateDigest()
-	l.order = slices.DeleteFunc(l.order, func(f Fingerprint) bool {
-		if l.records[f] != nil && picks(f) {
-			delete(l.records, f)
+func (t *Tracker) drop(picks func(Fingerprint) bool) {
+	t.invalidateDigest()
+	t.order = slices.DeleteFunc(t.order, func(f Fingerprint) bool {
+		if t.records[f] != nil && picks(f) {
+			delete(t.records, f)
 		}
-		return l.records[f] == nil
+		return t.records[f] == nil
 	})
 }
 
@@ -292,44 +292,44 @@
 func (l Limits) Retention() time.Duration { return l.Hold << retentionDoublings }
 
 // TerminationCount returns how many endpoints have terminated under a request.
-func (l *Tracker) TerminationCount(now time.Time, f Fingerprint) int {
-	r := l.records[f]
-	if r == nil || now.Sub(r.lastEvent()) >= l.retention() {
+func (t *Tracker) TerminationCount(now time.Time, f Fingerprint) int {
+	r := t.records[f]
+	if r == nil || now.Sub(r.lastEvent()) >= t.retention() {
 		return 0
 	}
 	return len(r.terminations)
 }
 
 // HoldRemaining returns how much longer a request is held back; 0 if it is not.
-func (l *Tracker) HoldRemaining(now time.Time, f Fingerprint) time.Duration {
-	r := l.records[f]
-	if r == nil || l.limits.Terminations == 0 || len(r.terminations) < l.limits.Terminations {
+func (t *Tracker) HoldRemaining(now time.Time, f Fingerprint) time.Duration {
+	r := t.records[f]
+	if r == nil || t.limits.Terminations == 0 || len(r.terminations) < t.limits.Terminations {
 		return 0
 	}
-	return max(r.lastEvent().Add(l.holdTime(f, len(r.terminations))).Sub(now), 0)
+	return max(r.lastEvent().Add(t.holdTime(f, len(r.terminations))).Sub(now), 0)
 }
 
 // OneAtATime reports whether only one request with this fingerprint may be in flight, because
 // one more termination would hold it, or hold it again: copies that are sent at the same time
 // would terminate an endpoint each.
-func (l *Tracker) OneAtATime(now time.Time, f Fingerprint) bool {
-	return l.limits.Terminations > 0 && l.TerminationCount(now, f) >= max(l.limits.Terminations-1, 1)
+func (t *Tracker) OneAtATime(now time.Time, f Fingerprint) bool {
+	return t.limits.Terminations > 0 && t.TerminationCount(now, f) >= max(t.limits.Terminations-1, 1)
 }
 
 // holdTime returns how long a request is held after so many terminations. It is extended by up
 // to a half, depending on the fingerprint: requests that were in flight together when
 // endpoints terminated are retried one by one, so that the innocent ones among them succeed.
-func (l *Tracker) holdTime(f Fingerprint, terminations int) time.Duration {
+func (t *Tracker) holdTime(f Fingerprint, terminations int) time.Duration {
 	part := float64(binary.BigEndian.Uint32(f[:4])) / math.MaxUint32
-	first := l.limits.Hold + time.Duration(float64(l.limits.Hold)/2*part)
-	return first << min(terminations-l.limits.Terminations, maxDoublings)
+	first := t.limits.Hold + time.Duration(float64(t.limits.Hold)/2*part)
+	return first << min(terminations-t.limits.Terminations, maxDoublings)
 }
 
 // HeldCount returns how many requests are held back.
-func (l *Tracker) HeldCount(now time.Time) int {
+func (t *Tracker) HeldCount(now time.Time) int {
 	n := 0
-	for _, f := range l.order {
-		if l.HoldRemaining(now, f) > 0 {
+	for _, f := range t.order {
+		if t.HoldRemaining(now, f) > 0 {
 			n++
 		}
 	}
@@ -337,38 +337,38 @@
 }
 
 // HeldReports returns the reports of the requests that are held back now.
-func (l *Tracker) HeldReports(now time.Time) []Report {
+func (t *Tracker) HeldReports(now time.Time) []Report {
 	var reports []Report
-	for _, f := range l.order {
-		if l.HoldRemaining(now, f) > 0 {
-			reports = append(reports, l.records[f].report(now, f))
+	for _, f := range t.order {
+		if t.HoldRemaining(now, f) > 0 {
+			reports = append(reports, t.records[f].report(now, f))
 		}
 	}
 	return reports
 }
 
 // Len returns the number of records.
-func (l *Tracker) Len() int { return len(l.records) }
+func (t *Tracker) Len() int { return len(t.records) }
 
 // Digest returns a digest of all terminations that count: instances with the same digest know
 // the same terminations. It is 0 for none. It is cached until a change, as every packet that
 // is sent or received needs it and computing it over 1,000 requests takes 48 us.
-func (l *Tracker) Digest(now time.Time) uint64 {
-	if !now.Before(l.digestUntil) {
-		l.digest, l.digestUntil = l.computeDigest(now)
+func (t *Tracker) Digest(now time.Time) uint64 {
+	if !now.Before(t.digestUntil) {
+		t.digest, t.digestUntil = t.computeDigest(now)
 	}
-	return l.digest
+	return t.digest
 }
 
 // invalidateDigest makes the next call of Digest compute it again.
-func (l *Tracker) invalidateDigest() { l.digestUntil = time.Time{} }
+func (t *Tracker) invalidateDigest() { t.digestUntil = time.Time{} }
 
 // computeDigest computes the digest, and until when it is valid if nothing changes.
-func (l *Tracker) computeDigest(now time.Time) (sum uint64, until time.Time) {
-	until = now.Add(l.retention())
-	for _, f := range l.order {
-		for _, e := range l.records[f].terminations {
-			expires := e.at.Add(l.retention())
+func (t *Tracker) computeDigest(now time.Time) (sum uint64, until time.Time) {
+	until = now.Add(t.retention())
+	for _, f := range t.order {
+		for _, e := range t.records[f].terminations {
+			expires := e.at.Add(t.retention())
 			if !now.Before(expires) {
 				continue
 			}
@@ -386,46 +386,46 @@
 
 // ReceiveDigest compares the digest of another instance, and reports whether that instance
 // knows other terminations.
-func (l *Tracker) ReceiveDigest(now time.Time, digest uint64) bool {
-	if l.limits.Terminations == 0 || digest == l.Digest(now) {
+func (t *Tracker) ReceiveDigest(now time.Time, digest uint64) bool {
+	if t.limits.Terminations == 0 || digest == t.Digest(now) {
 		return false
 	}
-	l.differedAt = now
+	t.differedAt = now
 	return true
 }
 
 // HasPendingReports reports whether PendingReports may return any reports.
-func (l *Tracker) HasPendingReports(now time.Time) bool {
-	return len(l.pending) > 0 || l.peerDiffers(now)
+func (t *Tracker) HasPendingReports(now time.Time) bool {
+	return len(t.pending) > 0 || t.peerDiffers(now)
 }
 
 // peerDiffers reports whether another instance recently knew other terminations.
-func (l *Tracker) peerDiffers(now time.Time) bool {
-	return len(l.order) > 0 && !l.differedAt.IsZero() && now.Sub(l.differedAt) < differenceLifetime
+func (t *Tracker) peerDiffers(now time.Time) bool {
+	return len(t.order) > 0 && !t.differedAt.IsZero() && now.Sub(t.differedAt) < differenceLifetime
 }
 
 // PendingReports returns the reports to send now, of at most room bytes: new ones first, then,
 // where another instance knows other terminations, those not sent recently.
-func (l *Tracker) PendingReports(now time.Time, room int) []Report {
+func (t *Tracker) PendingReports(now time.Time, room int) []Report {
 	b := batch{now: now, room: room}
-	l.addPending(&b)
-	if l.peerDiffers(now) {
-		l.addResent(&b)
+	t.addPending(&b)
+	if t.peerDiffers(now) {
+		t.addResent(&b)
 	}
 	return b.reports
 }
 
 // addPending adds the reports of changes. Those that do not fit come first the next time,
 // followed by those that are to be sent more than once.
-func (l *Tracker) addPending(b *batch) {
+func (t *Tracker) addPending(b *batch) {
 	var again []Fingerprint
-	for len(l.pending) > 0 {
-		f := l.pending[0]
-		r := l.records[f]
+	for len(t.pending) > 0 {
+		f := t.pending[0]
+		r := t.records[f]
 		if r != nil && !b.add(f, r) {
 			break
 		}
-		l.pending = l.pending[1:]
+		t.pending = t.pending[1:]
 		if r == nil {
 			continue
 		}
@@ -433,21 +433,21 @@
 			again = append(again, f)
 		}
 	}
-	l.pending = append(l.pending, again...)
+	t.pending = append(t.pending, again...)
 }
 
 // addResent adds reports that were not sent recently, starting where the last call stopped.
 // They include cleared requests, as the other instance may have missed that.
-func (l *Tracker) addResent(b *batch) {
+func (t *Tracker) addResent(b *batch) {
 	resent := 0
-	for range l.order {
-		l.resendIndex = (l.resendIndex + 1) % len(l.order)
-		r := l.records[l.order[l.resendIndex]]
+	for range t.order {
+		t.resendIndex = (t.resendIndex + 1) % len(t.order)
+		r := t.records[t.order[t.resendIndex]]
 		if b.now.Sub(r.sentAt) < resendInterval {
 			continue
 		}
-		if resent == maxResent || !b.add(l.order[l.resendIndex], r) {
-			l.resendIndex = (l.resendIndex + len(l.order) - 1) % len(l.order)
+		if resent == maxResent || !b.add(t.order[t.resendIndex], r) {
+			t.resendIndex = (t.resendIndex + len(t.order) - 1) % len(t.order)
 			return
 		}
 		resent++
@@ -474,8 +474,8 @@
 }
 
 // Report returns the report of a request, and the zero Report if there is no record.
-func (l *Tracker) Report(now time.Time, f Fingerprint) Report {
-	if r := l.records[f]; r != nil {
+func (t *Tracker) Report(now time.Time, f Fingerprint) Report {
+	if r := t.records[f]; r != nil {
 		return r.report(now, f)
 	}
 	return Report{}
