--- a/peer/datagram.go
+++ b/peer/datagram.go
@@ -9,16 +9,16 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// Datagrams sends and receives sealed hints. The gnet form is UDP; tests use
-// an in-memory one.
+// Datagrams sends and receives encrypted datagrams. ListenUDP returns an
+// implementation over UDP; tests use an in-memory one.
 type Datagrams interface {
-	// Send sends one datagram to an address; a loss is not reported.
+	// Send sends one datagram to an address. It does not report losses.
 	Send(address string, data []byte)
-	// Close ends receiving.
+	// Close stops receiving.
 	Close()
 }
 
-// udp is the gnet form of Datagrams.
+// udp implements Datagrams with gnet.
 type udp struct {
 	gnet.BuiltinEventEngine
 	engine  gnet.Engine
@@ -27,8 +27,8 @@
 	socket  *net.UDPConn
 }
 
-// ListenUDP receives datagrams on an address of the form IP:PORT. receive is
-// called on gnet's event loop and must not keep the bytes.
+// ListenUDP receives datagrams on an address of the form IP:PORT. It calls receive
+// on gnet's event loop; receive must not retain the slice.
 func ListenUDP(address string, receive func([]byte)) (Datagrams, error) {
 	u := &udp{receive: receive, booted: make(chan struct{})}
 	socket, err := net.ListenUDP("udp", nil)
@@ -68,10 +68,10 @@
 	return gnet.None
 }
 
-// sealOverhead is by how much sealing may lengthen a datagram.
+// sealOverhead bounds the bytes that sealing adds to a datagram.
 const sealOverhead = 64
 
-// Send implements Datagrams. Addresses are IP numbers.
+// Send implements Datagrams. An address that is not of the form IP:PORT is ignored.
 func (u *udp) Send(address string, data []byte) {
 	if to, err := netip.ParseAddrPort(address); err == nil {
 		_, _ = u.socket.WriteToUDPAddrPort(data, to)
@@ -81,19 +81,19 @@
 // Close implements Datagrams.
 func (u *udp) Close() {
 	u.socket.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), loopsEnd)
+	ctx, cancel := context.WithTimeout(context.Background(), engineStopTimeout)
 	defer cancel()
-	// An error says that the loops have not ended yet; they do so by themselves.
+	// An error means that the event loops are still running; they end on their own.
 	_ = u.engine.Stop(ctx)
 }
 
-// loopsEnd is how long the end of gnet's loops is waited for. They end within a
-// millisecond, but gnet looks only every half second, by which a planned stop whose last
-// request ran for long missed the end of its grace.
-const loopsEnd = 20 * time.Millisecond
+// engineStopTimeout bounds the wait for gnet's event loops to end. They end within a
+// millisecond, but gnet polls for that only every half second, which would make a planned
+// stop with a long last request exceed its grace period.
+const engineStopTimeout = 20 * time.Millisecond
 
-// silentLogger drops gnet's own log lines: events of the link are logged by
-// those who use it.
+// silentLogger discards gnet's log lines; users of Datagrams log the events that
+// matter.
 type silentLogger struct{}
 
 func (silentLogger) Debugf(string, ...any) {}
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,12 +1,13 @@
-// Package peer is the link between instances.
+// Package peer implements the communication between instances.
 //
-// Small datagrams over gnet carry hints: which revision of the settings the
-// sender has in force, how new its platform's list is, and how long ago anyone
-// it knows of heard the object API. They are sealed with a key and protected from
-// replay; a lost one costs only time. Streams over quic-go with mutual TLS carry what must arrive: the
-// root and the chunks of the settings.
+// Small UDP datagrams over gnet carry hints: the settings revision in force at
+// the sender, the version of the platform's list that it has, and the time
+// since the object API last answered any instance that it knows of. Datagrams
+// are encrypted and authenticated with a shared key and protected from replay;
+// a lost one only delays the information. QUIC streams over quic-go with mutual
+// TLS carry what must arrive: the root and the chunks of the settings.
 //
-// An instance talks to a bounded number of others, whatever the size of the
-// fleet. Gossip is the deciding part, a state machine without clock, goroutine
-// or I/O.
+// Each instance sends hints to a bounded number of neighbours, whatever the
+// size of the fleet. Gossip decides what is sent and fetched; it is a state
+// machine without clock, goroutine or I/O.
 package peer
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -10,35 +10,37 @@
 // Event is an input of Gossip.
 type Event interface{ isEvent() }
 
-// LiveInstances is the instances on the platform's list, this one included.
+// LiveInstances carries the names on the platform's list, this instance included.
 type LiveInstances struct{ Names []string }
 
-// RevisionInForce is the revision in force here.
+// RevisionInForce carries the settings revision in force at this instance.
 type RevisionInForce struct{ Revision int64 }
 
-// ListReceived is the version of an answer of the platform's list, and the version on
-// whose word it was asked for, 0 if on none.
+// ListReceived reports an answer of the platform's list. Version is the version of the
+// answer. Asked is the version reported by another instance that caused the call, 0 if
+// none did.
 type ListReceived struct{ Version, Asked int64 }
 
-// StoreAnswered says that the object API has answered this instance.
+// StoreAnswered reports that the object API has answered this instance.
 type StoreAnswered struct{}
 
-// Received is a hint that was opened, and when by the time of day; zero stands for the
-// time of the step.
+// Received is a decrypted hint. At is the wall-clock time of its receipt; zero means the
+// time passed to Step.
 type Received struct {
 	Hint Hint
 	At   time.Time
-	// Reply asks to tell the sender at once.
+	// Reply requests an immediate hint to the sender.
 	Reply bool
 }
 
-// Leave says that this instance makes a planned stop.
+// Leave reports that this instance has begun a planned stop.
 type Leave struct{}
 
-// SendNow asks to tell the neighbours at once, as there is news besides the revision.
+// SendNow requests immediate hints to all neighbours, because something besides the
+// revision has changed.
 type SendNow struct{}
 
-// Tick lets time pass.
+// Tick is sent periodically so that Gossip can act on the passage of time.
 type Tick struct{}
 
 func (LiveInstances) isEvent()   {}
@@ -53,26 +55,28 @@
 // Action is an output of Gossip.
 type Action interface{ isAction() }
 
-// Send asks to send a hint to an instance.
+// Send requests that a hint be sent to an instance.
 type Send struct {
 	To   string
 	Hint Hint
 }
 
-// Fetch asks to fetch a newer revision, from the named instance or the store.
+// Fetch requests that a newer settings revision be fetched, from the named instance or
+// the store.
 type Fetch struct {
 	From     string
 	Revision int64
 }
 
-// RefreshList asks to give up a call to the platform's list that waits, and to ask at once:
-// an instance has that version, and this one has not.
+// RefreshList requests that the pending call to the platform's list be abandoned and a
+// new one be made at once, because another instance has this version of the list and this
+// one does not.
 type RefreshList struct{ Version int64 }
 
-// PeerLeaving says that an instance makes a planned stop.
+// PeerLeaving reports that another instance has begun a planned stop.
 type PeerLeaving struct{ Name string }
 
-// EndingsReceived are the words of a neighbour on requests under which endpoints ended.
+// EndingsReceived carries a neighbour's reports of requests during which endpoints ended.
 type EndingsReceived struct{ Reports []quarantine.Report }
 
 func (EndingsReceived) isAction() {}
@@ -81,16 +85,17 @@
 func (RefreshList) isAction()     {}
 func (PeerLeaving) isAction()     {}
 
-// GossipConfig sets up a Gossip.
+// GossipConfig configures a Gossip. A zero duration means its default.
 type GossipConfig struct {
-	// Name and Process name this instance and its process.
+	// Name identifies this instance, Process its current process.
 	Name, Process string
-	// Interval is the time between hints to each neighbour.
+	// Interval is the time between periodic hints to each neighbour.
 	Interval time.Duration
-	// MinFetchInterval is the least time between two fetches of the same revision.
+	// MinFetchInterval is the minimum time between two fetches of the same revision.
 	MinFetchInterval time.Duration
-	// ListGrace is how long the own call to the platform's list has to bring what
-	// another instance has; MinListInterval is the least time between two asks for it.
+	// ListGrace is the time in which this instance's pending call to the platform's
+	// list should return the version that another instance has. MinListInterval is
+	// the minimum time between two RefreshList actions.
 	ListGrace, MinListInterval time.Duration
 }
 
@@ -98,39 +103,41 @@
 const (
 	DefaultGossipInterval   = 500 * time.Millisecond
 	DefaultMinFetchInterval = 300 * time.Millisecond
-	// DefaultListGrace is many times what lies between the list's answers to two
-	// calls that wait, so that an ask means that the own call hangs.
+	// DefaultListGrace is many times the usual difference between the answers to two
+	// pending calls of the list, so that a RefreshList means that the own call hangs.
 	DefaultListGrace = 250 * time.Millisecond
-	// DefaultMinListInterval is half of the time that there is for a leaving endpoint.
+	// DefaultMinListInterval is half of the time in which all instances must stop
+	// routing to a leaving endpoint.
 	DefaultMinListInterval = time.Second
 )
 
-// mostListPause bounds the pause between asks that are not answered, in ListEvery.
-const mostListPause = 4
+// maxListBackoff bounds the backoff between unanswered refreshes, as a multiple of
+// MinListInterval.
+const maxListBackoff = 4
 
-// Gossip spreads the newest revision, the word that the store was heard, and how new
-// the platform's list is that each instance has.
+// Gossip propagates the newest settings revision, the time of the object API's last
+// answer, and the version of the platform's list that each instance has.
 //
-// Invariants: revision never falls; storeAt and peerAt never go back.
+// Invariants: revision, storeAnsweredAt and peerContactAt never decrease.
 type Gossip struct {
 	cfg        GossipConfig
 	neighbours []string
 	revision   int64
 	seq        uint64
 	sentAt     time.Time
-	// storeAt is when the object API last answered any instance known of, by
-	// this instance's clock; peerAt is when a peer was last heard.
-	storeAt, peerAt time.Time
-	leaving         bool
-	guard           replayGuard
-	fetching        int64
-	fetchedAt       time.Time
-	list            listWord
-	// listNews says that the neighbours were not told yet of the list held here.
-	listNews bool
+	// storeAnsweredAt is when the object API last answered any known instance, by this
+	// instance's clock; peerContactAt is when the last hint of a peer was received.
+	storeAnsweredAt, peerContactAt time.Time
+	leaving                        bool
+	guard                          replayGuard
+	fetching                       int64
+	fetchedAt                      time.Time
+	list                           listTracker
+	// listChanged is set while the neighbours have not been sent the list's version.
+	listChanged bool
 }
 
-// NewGossip returns a gossip that knows of nobody.
+// NewGossip returns a Gossip without neighbours.
 func NewGossip(cfg GossipConfig) *Gossip {
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultGossipInterval
@@ -144,28 +151,28 @@
 	if cfg.MinListInterval == 0 {
 		cfg.MinListInterval = DefaultMinListInterval
 	}
-	return &Gossip{cfg: cfg, guard: newReplayGuard(), list: listWord{grace: cfg.ListGrace, every: cfg.MinListInterval}}
+	return &Gossip{cfg: cfg, guard: newReplayGuard(), list: listTracker{grace: cfg.ListGrace, minInterval: cfg.MinListInterval}}
 }
 
-// Step applies an event and returns what to do.
+// Step applies an event and returns the actions to take.
 func (g *Gossip) Step(now time.Time, e Event) []Action {
 	switch e := e.(type) {
 	case LiveInstances:
-		g.live(e.Names)
+		g.setLive(e.Names)
 	case RevisionInForce:
 		if e.Revision > g.revision {
 			g.revision = e.Revision
-			return g.tell(now)
+			return g.sendAll(now)
 		}
 	case StoreAnswered:
-		g.storeAt = now
+		g.storeAnsweredAt = now
 	case ListReceived:
-		g.listNews = g.list.held(now, e.Version, e.Asked) || g.listNews
+		g.listChanged = g.list.received(now, e.Version, e.Asked) || g.listChanged
 	case Leave:
 		g.leaving = true
-		return g.tell(now)
+		return g.sendAll(now)
 	case SendNow:
-		return g.tell(now)
+		return g.sendAll(now)
 	case Received:
 		return g.received(now, e)
 	case Tick:
@@ -174,32 +181,32 @@
 	return nil
 }
 
-// tick tells the neighbours when it is time, or when there is a newer list; many
-// changes of the list between two ticks are told once.
+// tick sends hints when the interval has passed or the list has changed. Several
+// changes of the list between two ticks cause only one round of hints.
 func (g *Gossip) tick(now time.Time) []Action {
 	var actions []Action
-	if g.list.due(now) {
-		actions = append(actions, RefreshList{Version: g.list.told})
+	if g.list.refreshDue(now) {
+		actions = append(actions, RefreshList{Version: g.list.newestReported})
 	}
-	if g.listNews || now.Sub(g.sentAt) >= g.cfg.Interval {
-		actions = append(actions, g.tell(now)...)
+	if g.listChanged || now.Sub(g.sentAt) >= g.cfg.Interval {
+		actions = append(actions, g.sendAll(now)...)
 	}
 	return actions
 }
 
-// LastPeerContact returns when a peer was last heard.
-func (g *Gossip) LastPeerContact() time.Time { return g.peerAt }
+// LastPeerContact returns when the last hint of a peer was received.
+func (g *Gossip) LastPeerContact() time.Time { return g.peerContactAt }
 
-// LastStoreAnswer returns when the object API last answered any instance known of.
-func (g *Gossip) LastStoreAnswer() time.Time { return g.storeAt }
+// LastStoreAnswer returns when the object API last answered any known instance.
+func (g *Gossip) LastStoreAnswer() time.Time { return g.storeAnsweredAt }
 
-func (g *Gossip) live(names []string) {
+func (g *Gossip) setLive(names []string) {
 	g.neighbours = Neighbours(g.cfg.Name, names)
 	live := make(map[string]bool, len(names))
 	for _, n := range names {
 		live[n] = true
 	}
-	g.guard.forget(live)
+	g.guard.retain(live)
 }
 
 func (g *Gossip) received(now time.Time, r Received) []Action {
@@ -207,11 +214,11 @@
 	if h.From == g.cfg.Name || !g.guard.fresh(cmp.Or(r.At, now), h) {
 		return nil
 	}
-	g.peerAt = now
-	if heard := now.Add(-time.Duration(h.StoreAgeMS) * time.Millisecond); h.StoreAgeMS >= 0 && heard.After(g.storeAt) {
-		g.storeAt = heard
+	g.peerContactAt = now
+	if answered := now.Add(-time.Duration(h.StoreAgeMS) * time.Millisecond); h.StoreAgeMS >= 0 && answered.After(g.storeAnsweredAt) {
+		g.storeAnsweredAt = answered
 	}
-	g.list.hear(now, h.List)
+	g.list.observeReport(now, h.List)
 	var actions []Action
 	if len(h.Endings) > 0 {
 		actions = append(actions, EndingsReceived{Reports: h.Endings})
@@ -224,15 +231,15 @@
 		g.fetching, g.fetchedAt = h.Revision, now
 		actions = append(actions, Fetch{From: h.From, Revision: h.Revision})
 	case h.Revision < g.revision || r.Reply:
-		// The sender is behind; tell it at once.
+		// The sender has an older revision, or a reply is requested.
 		actions = append(actions, g.send(now, h.From))
 	}
 	return actions
 }
 
-// tell sends a hint to every neighbour.
-func (g *Gossip) tell(now time.Time) []Action {
-	g.sentAt, g.listNews = now, false
+// sendAll sends a hint to every neighbour.
+func (g *Gossip) sendAll(now time.Time) []Action {
+	g.sentAt, g.listChanged = now, false
 	actions := make([]Action, 0, len(g.neighbours))
 	for _, to := range g.neighbours {
 		actions = append(actions, g.send(now, to))
@@ -243,12 +250,12 @@
 func (g *Gossip) send(now time.Time, to string) Action {
 	g.seq++
 	age := int64(-1)
-	if !g.storeAt.IsZero() {
-		age = now.Sub(g.storeAt).Milliseconds()
+	if !g.storeAnsweredAt.IsZero() {
+		age = now.Sub(g.storeAnsweredAt).Milliseconds()
 	}
 	return Send{To: to, Hint: Hint{
 		Version: HintVersion, From: g.cfg.Name, Process: g.cfg.Process, Seq: g.seq, SentMS: now.UnixMilli(),
 		Revision: g.revision, StoreAgeMS: age, Leaving: g.leaving,
-		List: g.list.own,
+		List: g.list.ownVersion,
 	}}
 }
--- a/peer/hint.go
+++ b/peer/hint.go
@@ -9,43 +9,43 @@
 	"github.com/eiderspring/eiderspring/quarantine"
 )
 
-// HintVersion is the version of the hint's form. A neighbouring release may
-// add fields, which this one ignores; another version is refused.
+// HintVersion is the version of the hint's encoding. A neighbouring release may add
+// fields, which are ignored; a hint of another version is rejected.
 const HintVersion = 1
 
-// MaxHintBytes bounds an encoded hint.
+// MaxHintBytes is the maximum size of an encoded hint.
 const MaxHintBytes = 1200
 
-// Hint is what an instance tells its neighbours.
+// Hint is the message that an instance sends to its neighbours.
 type Hint struct {
 	Version int `cbor:"1,keyasint"`
-	// From and Process name the sender and its process.
+	// From identifies the sender, Process its current process.
 	From    string `cbor:"2,keyasint"`
 	Process string `cbor:"3,keyasint"`
-	// Seq grows with every datagram of the process.
+	// Seq increases with every datagram of the process.
 	Seq uint64 `cbor:"4,keyasint"`
 	// SentMS is the sender's wall clock, in Unix milliseconds.
 	SentMS int64 `cbor:"5,keyasint"`
-	// Revision is that of the settings in force at the sender.
+	// Revision is the settings revision in force at the sender.
 	Revision int64 `cbor:"6,keyasint"`
-	// StoreAgeMS is how long ago the object API last answered any instance
-	// that the sender knows of, in milliseconds.
+	// StoreAgeMS is the time since the object API last answered any instance that
+	// the sender knows of, in milliseconds; negative if that is not known.
 	StoreAgeMS int64 `cbor:"7,keyasint"`
-	// Leaving tells that the sender makes a planned stop.
+	// Leaving is set when the sender has begun a planned stop.
 	Leaving bool `cbor:"8,keyasint,omitempty"`
-	// List is the version of the platform's list that the sender has; a release that
-	// does not tell it leaves it 0, which asks for nothing.
+	// List is the version of the platform's list that the sender has. Releases without
+	// this field send 0, which has no effect.
 	List int64 `cbor:"9,keyasint,omitempty"`
-	// Endings are requests under which endpoints have ended.
+	// Endings reports requests during which endpoints have ended.
 	Endings []quarantine.Report `cbor:"10,keyasint,omitempty"`
-	// EndingsDigest stands for all that the sender knows of them.
+	// EndingsDigest is a digest of all such reports that the sender has.
 	EndingsDigest uint64 `cbor:"11,keyasint,omitempty"`
 }
 
-// Errors of decoding a hint.
+// Errors of decoding a message.
 var (
-	ErrTooLarge = errors.New("hint is too large")
-	ErrVersion  = errors.New("hint is of another version")
+	ErrTooLarge = errors.New("message is too large")
+	ErrVersion  = errors.New("message has an unsupported version")
 )
 
 var hintDecoder = mustDecoder()
@@ -58,10 +58,11 @@
 	return mode
 }
 
-// EncodeHint returns the hint's encoding.
+// EncodeHint encodes a hint as CBOR (RFC 8949).
 func EncodeHint(h Hint) ([]byte, error) { return cbor.Marshal(h) }
 
-// DecodeHint reads a hint.
+// DecodeHint decodes a hint. It returns ErrTooLarge for more than MaxHintBytes and
+// ErrVersion for another version.
 func DecodeHint(data []byte) (Hint, error) {
 	var h Hint
 	if len(data) > MaxHintBytes {
--- a/peer/identity.go
+++ b/peer/identity.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// Identity holds the certificates of the streams' mutual TLS. Every key is the
-// seed of a certificate authority that all holders of the key derive alike;
-// a process signs its own certificate with each. So whoever has a key, and
-// nobody else, is a peer, and keys rotate as they do for datagrams.
+// Identity holds the certificates for mutual TLS on streams. Each key is the seed
+// of a certificate authority, which all holders of the key derive identically; a
+// process signs a certificate of its own with each. Only holders of a key are
+// therefore accepted as peers, and keys rotate as they do for datagrams.
 type Identity struct {
 	certificates []tls.Certificate
 	roots        *x509.CertPool
@@ -23,19 +23,20 @@
 
 const (
 	serverName = "eiderspring-peer"
-	// certificateLife is long enough for any process; a key is withdrawn by
+	// certificateLifetime exceeds the lifetime of any process; keys are revoked by
 	// rotation, not by expiry.
-	certificateLife = 365 * 24 * time.Hour
+	certificateLifetime = 365 * 24 * time.Hour
 )
 
-// authorityStart and authorityEnd are fixed, so that every process derives the
-// same authority.
+// authorityStart and authorityEnd are constants so that every process derives the
+// same authority certificate.
 var (
 	authorityStart = time.Date(2020, 1, 1, 0, 0, 0, 0, time.UTC)
 	authorityEnd   = time.Date(2120, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// NewIdentity derives the certificates for the keys, the newest first.
+// NewIdentity derives the certificates for the keys, which are ordered from newest to
+// oldest.
 func NewIdentity(keys [][]byte, now time.Time) (*Identity, error) {
 	id := &Identity{roots: x509.NewCertPool()}
 	for _, key := range keys {
@@ -84,7 +85,7 @@
 	}
 	template := &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: serverName}, DNSNames: []string{serverName},
-		NotBefore: now.Add(-maxClockSkew), NotAfter: now.Add(certificateLife),
+		NotBefore: now.Add(-maxClockSkew), NotAfter: now.Add(certificateLifetime),
 		KeyUsage:    x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
@@ -92,7 +93,7 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}, err
 }
 
-// protocolName is negotiated by both sides; it carries the version.
+// protocolName is the ALPN protocol (RFC 7301), including its version.
 const protocolName = "eiderspring/1"
 
 func (id *Identity) serverConfig() *tls.Config {
--- a/peer/neighbours.go
+++ b/peer/neighbours.go
@@ -7,25 +7,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxNeighbours bounds the instances that one instance sends hints to.
+// MaxNeighbours is the maximum number of instances that one instance sends hints to.
 const MaxNeighbours = 8
 
-// Neighbours returns the instances that self sends hints to: on a circle of
-// the names' hashes, those 1, 2, 4, 8 and so on places ahead. News then reaches
-// n instances in about log2(n) steps, and every instance receives from as many
-// as it sends to. It is empty if self is not among the live instances.
+// Neighbours returns the instances that self sends hints to: on a ring ordered by
+// the hashes of the names, those 1, 2, 4, 8 and so on positions ahead. A change
+// then reaches n instances in about log2(n) steps, and every instance receives from
+// as many as it sends to. It returns nil if self is not among the live instances.
 func Neighbours(self string, live []string) []string {
-	circle := slices.Clone(live)
-	slices.SortFunc(circle, func(a, b string) int {
+	ring := slices.Clone(live)
+	slices.SortFunc(ring, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 	})
-	at := slices.Index(circle, self)
-	if at < 0 {
+	position := slices.Index(ring, self)
+	if position < 0 {
 		return nil
 	}
 	var neighbours []string
-	for step := 1; step < len(circle) && len(neighbours) < MaxNeighbours; step *= 2 {
-		neighbours = append(neighbours, circle[(at+step)%len(circle)])
+	for step := 1; step < len(ring) && len(neighbours) < MaxNeighbours; step *= 2 {
+		neighbours = append(neighbours, ring[(position+step)%len(ring)])
 	}
 	return neighbours
 }
--- a/peer/packet.go
+++ b/peer/packet.go
@@ -11,89 +11,92 @@
 	"github.com/eiderspring/eiderspring/quarantine"
 )
 
-// PacketVersion is the version of the packet's form. A neighbouring release
-// may add fields, which this one ignores; another version is refused.
+// PacketVersion is the version of the packet's encoding. A neighbouring release may add
+// fields, which are ignored; a packet of another version is rejected.
 const PacketVersion = 1
 
-// MaxPacketBytes bounds an encoded packet, so that it fits one datagram unfragmented:
-// of 1,500 bytes of an Ethernet frame 28 are headers of IP and UDP and about 40 the seal.
+// MaxPacketBytes is the maximum size of an encoded packet. It fits one unfragmented
+// datagram: of the 1,500 bytes of an Ethernet frame, IP and UDP headers take 28 and the
+// encryption about 40.
 const MaxPacketBytes = 1400
 
-// Packet is what an instance tells others several times a second: what it has
-// under way at endpoints, what it is asked for, and, from the instance that
-// places units, where they are. A lost packet costs only time.
+// Packet is the message that an instance sends to others several times a second. It
+// reports the sender's load at endpoints, the demand for units and, from the instance
+// that places units, their placement. A lost packet only delays the information.
 type Packet struct {
 	Version int `cbor:"1,keyasint"`
-	// From names the sender, Process this run of it, and Address where it
+	// From identifies the sender and Process its current process; Address is where it
 	// receives packets.
 	From    string `cbor:"2,keyasint"`
 	Process string `cbor:"3,keyasint"`
 	Address string `cbor:"4,keyasint"`
-	// Seq grows with every packet of the process.
+	// Seq increases with every packet of the process.
 	Seq uint64 `cbor:"5,keyasint"`
-	// Loads replaces what the sender told before.
+	// Loads replaces the loads that the sender reported before.
 	Loads []EndpointLoad `cbor:"6,keyasint,omitempty"`
-	// Demands are units that were asked for lately.
+	// Demands lists the units that were requested recently.
 	Demands []UnitDemand `cbor:"7,keyasint,omitempty"`
-	// Placements come from the instance that places units. A packet with some, or
-	// with Totals, tells nothing of the sender's own.
+	// Placements are sent by the instance that places units. A packet with Placements
+	// or Totals carries no load or demand of the sender itself.
 	Placements []Placement `cbor:"8,keyasint,omitempty"`
-	// Suspects are endpoints at which requests of the sender have failed lately.
+	// Suspects are endpoints at which requests of the sender have failed recently.
 	Suspects []string `cbor:"10,keyasint,omitempty"`
-	// Totals is what all instances together have under way, from the instance that
-	// gathers it in a large fleet; Instances is how many it has heard lately.
+	// Totals is the load of all instances together, sent by the coordinator of a large
+	// fleet; Instances is the number of instances it has received from recently.
 	Totals    []EndpointLoad `cbor:"11,keyasint,omitempty"`
 	Instances int            `cbor:"12,keyasint,omitempty"`
-	// Revision is that of the settings in force at the sender.
+	// Revision is the settings revision in force at the sender.
 	Revision int64 `cbor:"13,keyasint,omitempty"`
-	// Withdrawn are endpoints that have begun to leave, or have gone, lately.
+	// Withdrawn are endpoints that have recently begun to leave or been removed.
 	Withdrawn []string `cbor:"14,keyasint,omitempty"`
-	// Refused are marks of requests that the sender, or in a large fleet anybody,
-	// has refused since its last packet.
+	// Refused are the session hashes of requests that the sender, or in a large fleet
+	// any instance, has refused since the sender's last packet.
 	Refused []uint32 `cbor:"15,keyasint,omitempty"`
-	// StoreCurrent tells, with Instances, that the store has answered the sender
-	// lately, so that it knows of newer settings and leaving endpoints.
+	// StoreCurrent, sent with Instances, is set when the store has answered the sender
+	// recently, so that the sender knows of newer settings and leaving endpoints.
 	StoreCurrent bool `cbor:"16,keyasint,omitempty"`
-	// Replaced are endpoints at whose addresses other incarnations have answered.
+	// Replaced are endpoints at whose address another incarnation has answered.
 	Replaced []string `cbor:"17,keyasint,omitempty"`
-	// PlacedStarts, WithdrawnStarts and GoneStarts are when the endpoints of
-	// Placements, Withdrawn and Gone were started, in the same order; absent where
-	// none of them tells.
+	// PlacedStarts, WithdrawnStarts and ReplacedStarts are the start times of the
+	// endpoints in Placements, Withdrawn and Replaced, in the same order, in Unix
+	// milliseconds; absent if none of the endpoints reports one.
 	PlacedStarts    []int64 `cbor:"18,keyasint,omitempty"`
 	WithdrawnStarts []int64 `cbor:"19,keyasint,omitempty"`
 	ReplacedStarts  []int64 `cbor:"20,keyasint,omitempty"`
-	// EndpointsDigest stands, with Current, for who the endpoints are that the sender lists,
-	// and in what state: whoever comes to the same number lists the same.
+	// EndpointsDigest, sent with StoreCurrent, is a digest of the endpoints that the
+	// sender lists and of their states. Equal digests mean equal lists.
 	EndpointsDigest uint64 `cbor:"21,keyasint,omitempty"`
-	// Leaving tells that the sender makes a planned stop.
+	// Leaving is set when the sender has begun a planned stop.
 	Leaving bool `cbor:"9,keyasint,omitempty"`
-	// Endings are requests under which endpoints have ended.
+	// Endings reports requests during which endpoints have ended.
 	Endings []quarantine.Report `cbor:"22,keyasint,omitempty"`
-	// EndingsDigest stands for all that the sender knows of them.
+	// EndingsDigest is a digest of all such reports that the sender has.
 	EndingsDigest uint64 `cbor:"23,keyasint,omitempty"`
-	// ConfirmRequest is a token that the instance which places units answers with Echo, to the process
-	// EchoTo, once it knows that revision Confirmed of the settings was the newest after it
-	// had heard the ConfirmRequest. Such an answer tells nothing else.
+	// ConfirmRequest is the token of a confirmation request. The instance that places units
+	// returns it as ConfirmReply to the process ConfirmReplyTo once it knows that settings
+	// revision ConfirmedRevision was the newest after it received the request. Such a reply
+	// carries nothing else.
 	ConfirmRequest    uint64 `cbor:"24,keyasint,omitempty"`
 	ConfirmReply      uint64 `cbor:"25,keyasint,omitempty"`
 	ConfirmReplyTo    string `cbor:"26,keyasint,omitempty"`
 	ConfirmedRevision int64  `cbor:"27,keyasint,omitempty"`
-	// Usage is what accounts have asked of the sender, for the process UsageFor.
+	// Usage is the accounts' usage at the sender, addressed to the aggregator UsageFor.
 	Usage    []allowance.Usage      `cbor:"28,keyasint,omitempty"`
 	UsageFor allowance.AggregatorID `cbor:"29,keyasint,omitempty"`
-	// Allowances tells, with Instances, what accounts may have, by the process Adder.
+	// Allowances, sent with Instances, are the accounts' shares as computed by Aggregator.
 	Allowances []allowance.Share      `cbor:"30,keyasint,omitempty"`
 	Aggregator allowance.AggregatorID `cbor:"31,keyasint,omitempty"`
-	// NoAggregator tells that the sender has never heard a process that adds up.
+	// NoAggregator is set when the sender has never received from an aggregator.
 	NoAggregator bool `cbor:"33,keyasint,omitempty"`
-	// Limits is what endpoints have said lately of the requests that they take.
+	// Limits are the request limits that endpoints have reported recently.
 	Limits []permit.LimitReport `cbor:"34,keyasint,omitempty"`
-	// PermitRequests asks for permits, Grants answers. Such a packet tells nothing else, and
-	// has an Echo, by which releases without permits leave it alone.
+	// PermitRequests requests permits, Grants answers such requests. A packet with either
+	// carries nothing else but a ConfirmReply, which makes releases without permits ignore
+	// it.
 	PermitRequests []permit.Request `cbor:"35,keyasint,omitempty"`
 	Grants         []permit.Grant   `cbor:"36,keyasint,omitempty"`
-	// Evacuated are the failure domains that are evacuated, as of a revision of the store
-	// in one of its eras; a packet without the revision says nothing of them.
+	// Evacuated are the evacuated failure domains as of the given revision and era of the
+	// store; a packet without a revision carries no information about them.
 	Evacuated         []string `cbor:"37,keyasint,omitempty"`
 	EvacuatedEra      int64    `cbor:"38,keyasint,omitempty"`
 	EvacuatedRevision int64    `cbor:"39,keyasint,omitempty"`
@@ -101,23 +104,24 @@
 	Era int64 `cbor:"32,keyasint,omitempty"`
 }
 
-// EndpointLoad is what one instance has under way at an endpoint.
+// EndpointLoad is the load in flight of one instance at an endpoint.
 type EndpointLoad struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint string
-	// Running is requests, PrefillMicros the work of reading the prompts of those that
-	// have had no answer, in microseconds.
+	// Running is the number of requests, PrefillMicros the estimated time to process the
+	// prompts of those without an answer yet, in microseconds.
 	Running, PrefillMicros int64
 }
 
-// EncodedSize is what the entry takes in a packet.
+// EncodedSize returns the entry's size in a packet in bytes.
 func (l EndpointLoad) EncodedSize() int {
-	return 1 + textBytes(l.Endpoint) + cborHead(l.Running) + cborHead(l.PrefillMicros)
+	return 1 + cborTextSize(l.Endpoint) + cborHeadSize(l.Running) + cborHeadSize(l.PrefillMicros)
 }
 
-// cborHead is the length of the head of a CBOR item with an argument of 0 or more: the
-// whole of an integer, and what goes before the bytes of a text (RFC 8949, section 3).
-func cborHead(argument int64) int {
+// cborHeadSize returns the size in bytes of the head of a CBOR item with a non-negative
+// argument: a whole integer, or the part of a text string before its bytes (RFC 8949,
+// section 3).
+func cborHeadSize(argument int64) int {
 	switch {
 	case argument < 24:
 		return 1
@@ -132,47 +136,47 @@
 	}
 }
 
-// UnitDemand is what one instance is asked for.
+// UnitDemand is the demand for one unit at one instance.
 type UnitDemand struct {
 	_    struct{} `cbor:",toarray"`
 	Unit string
-	// Work is the tokens asked for since the process began.
+	// Work is the number of tokens requested since the process began.
 	Work float64
-	// Waiting is the requests that wait for a replica.
+	// Waiting is the number of requests that wait for a replica.
 	Waiting int
 }
 
-// Placement is what an endpoint holds, by the word of the instance that places
+// Placement lists the units on an endpoint, as reported by the instance that places
 // units there.
 type Placement struct {
 	_ struct{} `cbor:",toarray"`
-	// Epoch is that of the instance's lease.
+	// Epoch is the epoch of the reporting instance's lease.
 	Epoch    int64
 	Endpoint string
-	// Units are what it holds, Draining those of them that get no new requests.
+	// Units are the units on the endpoint, Draining those of them that get no new requests.
 	Units, Draining []string
-	// StartedAtMS is when the endpoint was started, 0 where it does not tell. On the
-	// wire it stands in PlacedStarts, as neighbouring releases refuse an array that is
-	// longer than theirs.
+	// StartedAtMS is when the endpoint was started, in Unix milliseconds; 0 if it does
+	// not report that. On the wire it is in Packet.PlacedStarts, because neighbouring
+	// releases reject an array that is longer than theirs.
 	StartedAtMS int64 `cbor:"-"`
 }
 
-// EncodedSize is what the entry takes in a packet, at most.
+// EncodedSize returns an upper bound of the entry's size in a packet in bytes.
 func (p Placement) EncodedSize() int {
-	// Its start is an integer of up to nine bytes in a list of its own.
+	// The start time is an integer of up to nine bytes in PlacedStarts.
 	const start = 9
-	n := 1 + cborHead(p.Epoch) + textBytes(p.Endpoint) + start
+	n := 1 + cborHeadSize(p.Epoch) + cborTextSize(p.Endpoint) + start
 	for _, units := range [][]string{p.Units, p.Draining} {
-		n += cborHead(int64(len(units)))
+		n += cborHeadSize(int64(len(units)))
 		for _, unit := range units {
-			n += textBytes(unit)
+			n += cborTextSize(unit)
 		}
 	}
 	return n
 }
 
-// textBytes is what a text takes.
-func textBytes(s string) int { return cborHead(int64(len(s))) + len(s) }
+// cborTextSize returns the size in bytes of an encoded text string.
+func cborTextSize(s string) int { return cborHeadSize(int64(len(s))) + len(s) }
 
 var packetDecoder = mustPacketDecoder()
 
@@ -184,14 +188,14 @@
 	return mode
 }
 
-// EncodePacket returns the packet's encoding.
+// EncodePacket encodes a packet as CBOR (RFC 8949).
 func EncodePacket(p Packet) ([]byte, error) {
 	p.PlacedStarts = placedStarts(p.Placements)
 	return cbor.Marshal(p)
 }
 
-// placedStarts is when the endpoints of placements were started; nil where none of
-// them tells.
+// placedStarts returns the start times of the endpoints of placements; nil if none is
+// known.
 func placedStarts(placements []Placement) []int64 {
 	starts := make([]int64, len(placements))
 	known := false
@@ -205,7 +209,8 @@
 	return starts
 }
 
-// DecodePacket reads a packet.
+// DecodePacket decodes a packet. It returns ErrTooLarge for more than MaxPacketBytes and
+// ErrVersion for another version.
 func DecodePacket(data []byte) (Packet, error) {
 	var p Packet
 	if len(data) > MaxPacketBytes {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -23,12 +23,12 @@
 			names = append(names, fmt.Sprintf("i%d", i))
 		}
 		reached := map[string]bool{names[0]: true}
-		edge := []string{names[0]}
+		frontier := []string{names[0]}
 		steps := 0
 		for len(reached) < n {
 			steps++
 			var next []string
-			for _, name := range edge {
+			for _, name := range frontier {
 				neighbours := Neighbours(name, names)
 				require.LessOrEqual(t, len(neighbours), MaxNeighbours)
 				for _, to := range neighbours {
@@ -39,7 +39,7 @@
 				}
 			}
 			require.NotEmpty(t, next, "%d of %d are reached", len(reached), n)
-			edge = next
+			frontier = next
 		}
 		require.LessOrEqual(t, steps, 10, "%d instances", n)
 	}
@@ -60,7 +60,7 @@
 	require.NoError(t, err)
 }
 
-// TestReplayIsDropped checks the window against the set of what was accepted.
+// TestReplayIsDropped compares the window with the set of accepted sequence numbers.
 func TestReplayIsDropped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -88,8 +88,8 @@
 	require.False(t, g.fresh(now.Add(2*maxClockSkew), Hint{From: "b", Process: "p", Seq: 1, SentMS: now.UnixMilli()}))
 }
 
-// TestRevisionReachesAll runs the gossip of many instances over a link that
-// loses a third of the datagrams, and counts the rounds until all know.
+// TestRevisionReachesAll runs the gossip of many instances over a network that loses
+// a third of the datagrams, and counts the rounds until all have the revision.
 func TestRevisionReachesAll(t *testing.T) {
 	const instances = 36
 	var names []string
@@ -100,19 +100,19 @@
 		names = append(names, name)
 		nodes[name] = NewGossip(GossipConfig{Name: name, Process: "p"})
 	}
-	var link []Send
+	var network []Send
 	lost := 0
 	carry := func(name string, actions []Action) {
 		for _, a := range actions {
 			switch a := a.(type) {
 			case Send:
 				if lost++; lost%3 != 0 {
-					link = append(link, a)
+					network = append(network, a)
 				}
 			case Fetch:
 				// The fetch succeeds at once.
 				for _, next := range nodes[name].Step(now, RevisionInForce{Revision: a.Revision}) {
-					link = append(link, next.(Send))
+					network = append(network, next.(Send))
 				}
 			}
 		}
@@ -123,29 +123,29 @@
 	carry("i0", nodes["i0"].Step(now, RevisionInForce{Revision: 7}))
 	rounds := 0
 	for ; rounds < 20; rounds++ {
-		behind := 0
+		outdated := 0
 		for _, n := range nodes {
 			if n.revision < 7 {
-				behind++
+				outdated++
 			}
 		}
-		if behind == 0 {
+		if outdated == 0 {
 			break
 		}
 		now = now.Add(DefaultGossipInterval)
 		for _, n := range names {
 			carry(n, nodes[n].Step(now, Tick{}))
 		}
-		for len(link) > 0 {
-			s := link[0]
-			link = link[1:]
+		for len(network) > 0 {
+			s := network[0]
+			network = network[1:]
 			carry(s.To, nodes[s.To].Step(now, Received{Hint: s.Hint}))
 		}
 	}
 	require.LessOrEqual(t, rounds, 4)
 }
 
-func TestStoreAgeTravels(t *testing.T) {
+func TestStoreAgeIsPropagated(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a, b := NewGossip(GossipConfig{Name: "a", Process: "p"}), NewGossip(GossipConfig{Name: "b", Process: "p"})
 	for _, g := range []*Gossip{a, b} {
@@ -186,16 +186,16 @@
 		return id
 	}
 	address := freeUDP(t)
-	server, err := ListenStreams(address, identity(key(1)), func(_ context.Context, q Request) Reply {
-		return Reply{Found: q.Chunk == "h", Data: bytes.Repeat([]byte("x"), 1<<20)}
+	server, err := ListenStreams(address, identity(key(1)), func(_ context.Context, req Request) Reply {
+		return Reply{Found: req.Chunk == "h", Data: bytes.Repeat([]byte("x"), 1<<20)}
 	})
 	require.NoError(t, err)
 	defer server.Close()
 	ctx := context.Background()
 	session, err := NewStreamClient(identity(key(2), key(1))).Dial(ctx, address)
 	if err == nil {
-		// The client's certificate is of the newer key, which the server does
-		// not know: mutual TLS ends the session at the first question.
+		// The client's certificate is derived from the newer key, which the server does
+		// not know: mutual TLS ends the session at the first request.
 		_, err = session.Call(ctx, Request{Chunk: "h"})
 		session.Close()
 	}
@@ -211,13 +211,13 @@
 	require.ErrorIs(t, err, ErrNotFound)
 	_, err = NewStreamClient(identity(key(3))).Dial(ctx, address)
 	require.Error(t, err)
-	kept := NewStreamClient(identity(key(1)))
-	defer kept.Close()
+	client := NewStreamClient(identity(key(1)))
+	defer client.Close()
 	for range 3 {
-		_, err = kept.Call(ctx, address, Request{Chunk: "h"})
+		_, err = client.Call(ctx, address, Request{Chunk: "h"})
 		require.NoError(t, err)
 	}
-	require.Len(t, kept.sessions, 1)
+	require.Len(t, client.sessions, 1)
 }
 
 func FuzzDecodeHint(f *testing.F) {
--- a/peer/replay.go
+++ b/peer/replay.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// replayGuard drops datagrams that were seen before.
+// replayGuard detects replayed datagrams with a sliding window for each sender.
 //
-// Invariant: for each process, seen bit i stands for sequence number
-// highest-i.
+// Invariant: for each process, bit i of seen is set if sequence number highest-i was
+// received.
 type replayGuard struct {
 	senders map[string]*replayWindow
 }
@@ -19,14 +19,15 @@
 
 const (
 	windowBits = 64
-	// maxClockSkew is by how much the clocks of two instances may differ. A
-	// recorded datagram cannot be played back after it.
+	// maxClockSkew bounds the difference between the clocks of two instances. A recorded
+	// datagram cannot be replayed once it is older than that.
 	maxClockSkew = time.Minute
 )
 
 func newReplayGuard() replayGuard { return replayGuard{senders: map[string]*replayWindow{}} }
 
-// fresh tells whether the hint was not seen before, and notes it. now is the time of day.
+// fresh reports whether the hint was not received before, and records it. now is the
+// wall-clock time.
 func (g *replayGuard) fresh(now time.Time, h Hint) bool {
 	age := now.Sub(time.UnixMilli(h.SentMS))
 	if age > maxClockSkew || age < -maxClockSkew {
@@ -35,16 +36,16 @@
 	w := g.senders[h.From]
 	if w == nil || w.process != h.Process {
 		if w != nil && h.SentMS <= w.lastMS {
-			// A datagram of an earlier process of the sender.
+			// The datagram is from an earlier process of the sender.
 			return false
 		}
 		g.senders[h.From] = &replayWindow{process: h.Process, highest: h.Seq, seen: 1, lastMS: h.SentMS}
 		return true
 	}
-	return w.note(h)
+	return w.record(h)
 }
 
-func (w *replayWindow) note(h Hint) bool {
+func (w *replayWindow) record(h Hint) bool {
 	if h.Seq > w.highest {
 		shift := h.Seq - w.highest
 		w.seen = w.seen<<min(shift, windowBits-1)<<(shift/windowBits) | 1
@@ -63,8 +64,8 @@
 	return true
 }
 
-// forget drops senders that are not live any more.
-func (g *replayGuard) forget(live map[string]bool) {
+// retain removes the senders that are not live.
+func (g *replayGuard) retain(live map[string]bool) {
 	for name := range g.senders {
 		if !live[name] {
 			delete(g.senders, name)
--- a/peer/seal.go
+++ b/peer/seal.go
@@ -12,38 +12,39 @@
 	"sync/atomic"
 )
 
-// KeyBytes is the length of a peer key.
+// KeyBytes is the length of a peer key in bytes.
 const KeyBytes = 32
 
-// ErrSeal is a datagram that no known key opens.
-var ErrSeal = errors.New("datagram is not sealed with a known key")
+// ErrSeal is returned for a datagram that cannot be decrypted with any known key.
+var ErrSeal = errors.New("datagram cannot be decrypted with any known key")
 
-// ParseKey reads a key from hex.
+// ParseKey parses a key in hexadecimal.
 func ParseKey(text string) ([]byte, error) {
 	key, err := hex.DecodeString(text)
 	if err != nil || len(key) != KeyBytes {
-		return nil, fmt.Errorf("a peer key is %d hex digits", 2*KeyBytes)
+		return nil, fmt.Errorf("peer key must be %d hex digits", 2*KeyBytes)
 	}
 	return key, nil
 }
 
-// Sealer seals datagrams with the newest key and opens those of any key. Keys
-// can be replaced at any time: a rotation first adds the new key everywhere
-// behind the old one, then puts it in front, then drops the old one.
+// Sealer encrypts datagrams with the newest key and decrypts those of any known
+// key, with AES-256-GCM. Keys can be replaced at any time: a rotation first adds
+// the new key after the old one at all instances, then moves it to the front, then
+// removes the old one.
 type Sealer struct {
 	aeads atomic.Pointer[[]cipher.AEAD]
 }
 
-// NewSealer returns a sealer with the given keys, the one to seal with first.
+// NewSealer returns a Sealer with the given keys. The first one encrypts.
 func NewSealer(keys [][]byte) (*Sealer, error) {
 	s := &Sealer{}
 	return s, s.SetKeys(keys)
 }
 
-// SetKeys replaces the keys.
+// SetKeys replaces the keys. The first one encrypts; at least one is required.
 func (s *Sealer) SetKeys(keys [][]byte) error {
 	if len(keys) == 0 {
-		return errors.New("at least one peer key is needed")
+		return errors.New("at least one peer key is required")
 	}
 	aeads := make([]cipher.AEAD, len(keys))
 	for i, key := range keys {
@@ -69,7 +70,7 @@
 	return cipher.NewGCM(block)
 }
 
-// Seal returns the sealed form of plain: a random nonce and the ciphertext.
+// Seal encrypts plain. The result is a random nonce followed by the ciphertext.
 func (s *Sealer) Seal(plain []byte) []byte {
 	aead := (*s.aeads.Load())[0]
 	nonce := make([]byte, aead.NonceSize(), aead.NonceSize()+len(plain)+aead.Overhead())
@@ -77,7 +78,7 @@
 	return aead.Seal(nonce, nonce, plain, nil)
 }
 
-// Open returns the plain form, or ErrSeal.
+// Open decrypts a datagram, or returns ErrSeal.
 func (s *Sealer) Open(sealed []byte) ([]byte, error) {
 	for _, aead := range *s.aeads.Load() {
 		n := aead.NonceSize()
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -16,75 +16,77 @@
 	"github.com/quic-go/quic-go"
 )
 
-// Request is what a stream asks for; one of the fields is set.
+// Request is the request on a stream; exactly one of the fields is set.
 type Request struct {
-	// Root asks for the entry of the revision in force.
+	// Root requests the root entry of the revision in force.
 	Root bool `cbor:"1,keyasint,omitempty"`
-	// Chunk asks for a chunk by its hash.
+	// Chunk requests a chunk by its hash.
 	Chunk string `cbor:"2,keyasint,omitempty"`
-	// Claim asks a shard of idempotency keys about an entry.
+	// Claim sends an entry to a shard of idempotency keys.
 	Claim *ClaimRequest `cbor:"3,keyasint,omitempty"`
-	// Members asks for the members that a peer knows.
+	// Members requests the members that the peer knows.
 	Members *MembersRequest `cbor:"4,keyasint,omitempty"`
 }
 
-// MembersRequest asks for the news of members of who was told up to a change of a process;
-// the zero values ask for all. Hold is for how long the answer may wait for news.
+// MembersRequest requests the changes to the members since change Seq of the process
+// Process; zero values request all members. Hold is how long the reply may be held back
+// until there is a change.
 type MembersRequest struct {
 	Process string        `cbor:"1,keyasint,omitempty"`
 	Seq     int64         `cbor:"2,keyasint,omitempty"`
 	Hold    time.Duration `cbor:"3,keyasint,omitempty"`
-	// StoreEra and StoreRevision are the version of the store that the asker has heard of: it
-	// does not go by members as they were before; zero for none.
+	// StoreEra and StoreRevision are the newest version of the store that the requester
+	// knows of; it does not accept members as of an older one. Zero means none.
 	StoreEra      int64 `cbor:"4,keyasint,omitempty"`
 	StoreRevision int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// ClaimRequest is an encoded entry for a shard.
+// ClaimRequest carries an encoded entry for a shard.
 type ClaimRequest struct {
 	Shard int    `cbor:"1,keyasint"`
 	Op    []byte `cbor:"2,keyasint"`
 }
 
-// Reply is the answer to a Question.
+// Reply is the reply to a Request.
 type Reply struct {
-	// Found tells whether the peer has what was asked for.
+	// Found reports whether the peer has what was requested.
 	Found bool   `cbor:"1,keyasint"`
 	Data  []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// Handler answers questions.
+// Handler serves requests.
 type Handler func(context.Context, Request) Reply
 
-// Bounds of streams.
+// Limits of streams.
 const (
-	maxQuestionBytes = 64 << 10
-	maxReplyBytes    = 2 << 20
-	streamTimeout    = 3 * time.Second
-	idleTimeout      = 5 * time.Second
-	maxStreams       = 256
+	maxRequestBytes = 64 << 10
+	maxReplyBytes   = 2 << 20
+	streamTimeout   = 3 * time.Second
+	idleTimeout     = 5 * time.Second
+	maxStreams      = 256
 )
 
 var quicConfig = &quic.Config{MaxIdleTimeout: idleTimeout, MaxIncomingStreams: maxStreams, MaxIncomingUniStreams: -1}
 
-// StreamServer answers peers over QUIC.
+// StreamServer serves requests of peers over QUIC.
 type StreamServer struct {
 	transport *quic.Transport
 	listener  *quic.Listener
 	identity  atomic.Pointer[Identity]
-	answer    Handler
+	handler   Handler
 }
 
-// The size that quic-go wants of the system's buffers is far beyond what peers need, and it
-// says so outside of the log.
-const quietBuffers = "QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING"
+// disableBufferWarning is the environment variable that suppresses quic-go's warning about
+// small socket buffers: the size it wants is far beyond what peers need, and the warning
+// bypasses the log.
+const disableBufferWarning = "QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING"
 
-// ListenStreams serves on an address of the form IP:PORT until Close.
-func ListenStreams(address string, id *Identity, answer Handler) (*StreamServer, error) {
-	if err := os.Setenv(quietBuffers, "true"); err != nil {
+// ListenStreams serves requests on an address of the form IP:PORT until Close.
+func ListenStreams(address string, id *Identity, handler Handler) (*StreamServer, error) {
+	if err := os.Setenv(disableBufferWarning, "true"); err != nil {
 		return nil, err
 	}
-	s := &StreamServer{answer: answer}
+	s := &StreamServer{handler: handler}
 	s.identity.Store(id)
 	config := &tls.Config{
 		MinVersion: tls.VersionTLS13, NextProtos: []string{protocolName},
@@ -107,10 +109,10 @@
 	return s, nil
 }
 
-// SetIdentity replaces the certificates for connections to come.
+// SetIdentity replaces the certificates for new connections.
 func (s *StreamServer) SetIdentity(id *Identity) { s.identity.Store(id) }
 
-// Close ends serving, also over connections that are open.
+// Close stops serving and closes the open connections.
 func (s *StreamServer) Close() {
 	s.listener.Close()
 	s.transport.Close()
@@ -140,25 +142,25 @@
 func (s *StreamServer) reply(stream *quic.Stream) {
 	defer stream.Close()
 	_ = stream.SetDeadline(time.Now().Add(streamTimeout))
-	var q Request
-	if err := readMessage(stream, maxQuestionBytes, &q); err != nil {
+	var req Request
+	if err := readMessage(stream, maxRequestBytes, &req); err != nil {
 		stream.CancelRead(0)
 		return
 	}
 	ctx, cancel := context.WithTimeout(stream.Context(), streamTimeout)
 	defer cancel()
-	data, err := cbor.Marshal(s.answer(ctx, q))
+	data, err := cbor.Marshal(s.handler(ctx, req))
 	if err != nil {
 		return
 	}
 	_, _ = stream.Write(data)
 }
 
-// ErrNotFound is a peer that does not have what was asked for.
-var ErrNotFound = errors.New("the peer does not have it")
+// ErrNotFound is returned when the peer does not have what was requested.
+var ErrNotFound = errors.New("peer does not have the requested item")
 
-// StreamClient asks peers over QUIC. Connections that Call opens are kept
-// until they have been idle for a while.
+// StreamClient sends requests to peers over QUIC. It reuses the connections that Call
+// opens until they have been idle for idleTimeout.
 type StreamClient struct {
 	identity atomic.Pointer[Identity]
 
@@ -166,23 +168,24 @@
 	sessions map[string]*Session
 }
 
-// NewStreamClient returns a client.
+// NewStreamClient returns a client without connections.
 func NewStreamClient(id *Identity) *StreamClient {
 	c := &StreamClient{sessions: map[string]*Session{}}
 	c.identity.Store(id)
 	return c
 }
 
-// SetIdentity replaces the certificates for connections to come.
+// SetIdentity replaces the certificates for new connections.
 func (c *StreamClient) SetIdentity(id *Identity) { c.identity.Store(id) }
 
-// Call asks one question over a kept connection.
-func (c *StreamClient) Call(ctx context.Context, address string, q Request) ([]byte, error) {
+// Call sends one request over a reused or new connection. ErrNotFound means that the peer
+// does not have what was requested.
+func (c *StreamClient) Call(ctx context.Context, address string, req Request) ([]byte, error) {
 	s, err := c.session(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	data, err := s.Call(ctx, q)
+	data, err := s.Call(ctx, req)
 	if err != nil && !errors.Is(err, ErrNotFound) {
 		c.drop(address, s)
 	}
@@ -215,7 +218,7 @@
 	s.Close()
 }
 
-// Close ends all kept connections.
+// Close closes all connections that Call has opened.
 func (c *StreamClient) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -228,7 +231,7 @@
 // Session is a connection to one peer.
 type Session struct{ conn *quic.Conn }
 
-// Dial connects to a peer.
+// Dial opens a new connection to a peer.
 func (c *StreamClient) Dial(ctx context.Context, address string) (*Session, error) {
 	ctx, cancel := context.WithTimeout(ctx, streamTimeout)
 	defer cancel()
@@ -239,11 +242,12 @@
 	return &Session{conn: conn}, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (s *Session) Close() { _ = s.conn.CloseWithError(0, "") }
 
-// Call asks one question. ErrNotFound means that the peer does not have it.
-func (s *Session) Call(ctx context.Context, q Request) ([]byte, error) {
+// Call sends one request. ErrNotFound means that the peer does not have what was
+// requested.
+func (s *Session) Call(ctx context.Context, req Request) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, streamTimeout)
 	defer cancel()
 	stream, err := s.conn.OpenStreamSync(ctx)
@@ -251,7 +255,7 @@
 		return nil, fmt.Errorf("peer stream: %w", err)
 	}
 	_ = stream.SetDeadline(time.Now().Add(streamTimeout))
-	data, err := cbor.Marshal(q)
+	data, err := cbor.Marshal(req)
 	if err != nil {
 		return nil, err
 	}
