--- a/settings/check.go
+++ b/settings/check.go
@@ -10,13 +10,14 @@
 	"github.com/eiderspring/eiderspring/jsonc"
 )
 
-// Problem is one fault of a tree, at the JSON pointer of the value at fault.
+// Problem is a validation error of a tree. Path is the JSON pointer (RFC 6901) of the
+// invalid value.
 type Problem struct {
 	Path   string
 	Reason string
 }
 
-// Load parses and checks a tree. All faults come in one *jsonc.Error.
+// Load parses and validates a tree. It returns all faults in one *jsonc.Error.
 func Load(file string, src []byte) (*Tree, error) {
 	doc, err := jsonc.Parse(file, src)
 	if err != nil {
@@ -37,7 +38,7 @@
 	return nil, &jsonc.Error{Faults: faults}
 }
 
-// Check returns every fault of the tree, in the order of their paths.
+// Check validates the tree and returns all problems, grouped by the part of the tree.
 func Check(t *Tree) []Problem {
 	c := checker{tree: t, names: map[string]string{}, units: map[string]bool{}, keys: map[[sha256.Size]byte]string{}}
 	c.root()
@@ -55,11 +56,11 @@
 
 type checker struct {
 	tree *Tree
-	// names maps every unit and service name to the path that defines it.
+	// names maps each unit and service name to the path that defines it.
 	names map[string]string
-	// units are the names of models, adapters and versions.
+	// units is the set of names of models, adapters and versions.
 	units map[string]bool
-	// keys maps the hash of every token to the path that defines it.
+	// keys maps the hash of each token to the path that defines it.
 	keys     map[[sha256.Size]byte]string
 	problems []Problem
 }
@@ -117,7 +118,7 @@
 	}
 }
 
-// regions checks where requests may be served.
+// regions checks a list of regions in which requests may be served.
 func (c *checker) regions(path string, regions []string) {
 	known := slices.Collect(maps.Values(c.tree.Regions))
 	for i, r := range regions {
@@ -166,7 +167,8 @@
 	}
 }
 
-// model checks one model and returns the memory of one replica of it all.
+// model checks one model and returns the memory, in MiB, of one replica each of the model,
+// its versions and its adapters.
 func (c *checker) model(path, name string, m *Model, p *Pool) int64 {
 	if m == nil {
 		c.add(path, "must not be null")
--- a/settings/diff.go
+++ b/settings/diff.go
@@ -11,12 +11,12 @@
 	"github.com/eiderspring/eiderspring/jsonc"
 )
 
-// Change is one field that differs between two texts. Fields are scalars and
-// arrays; an object that is added or removed changes each of its fields.
+// Change is a field that differs between two texts. Scalars, arrays and empty objects
+// are fields; adding or removing an object changes each of its fields.
 type Change struct {
 	// Path is the field's JSON pointer.
 	Path string
-	// Old and New are the values in JSON, empty where the field is absent.
+	// Old and New are the values as JSON; empty if the field is absent.
 	Old, New string
 }
 
@@ -32,7 +32,7 @@
 }
 
 // Diff returns the fields in which two JWCC texts differ, ordered by path.
-// Comments and the order of members do not count.
+// It ignores comments and the order of members.
 func Diff(before, after []byte) ([]Change, error) {
 	old, err := fieldsOf(before)
 	if err != nil {
@@ -57,10 +57,10 @@
 	return changes, nil
 }
 
-// emptyObject is the value of an object without members, which is a field.
+// emptyObject is the value of an object without members, which is a field of its own.
 const emptyObject = "{}"
 
-// fieldsOf flattens a text into its fields by path.
+// fieldsOf parses a text and returns its fields by path.
 func fieldsOf(text []byte) (map[string]string, error) {
 	root, err := hujson.Parse(text)
 	if err != nil {
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,9 +1,9 @@
-// Package settings holds the tree of settings that operators edit: its shape,
-// how a child inherits from its parent, and the checks that a tree must pass
-// before it is accepted.
+// Package settings defines the settings tree that operators edit: its types, the
+// inheritance of values from parent to child, and the validation of a tree before
+// it is accepted.
 //
-// The tree is deployment > pool > model > adapter or version, and beside it
-// deployment > service. Each node carries a Policy in which every field is
-// optional; the effective value of a field is that of the nearest ancestor
-// that sets it. Everything here is a pure function of its input.
+// The hierarchy is deployment > pool > model > adapter or version, and separately
+// deployment > service. Each node has a Policy in which every field is optional;
+// the effective value of a field is that of the node itself or of its nearest
+// ancestor that sets it. All functions are pure.
 package settings
--- a/settings/explain.go
+++ b/settings/explain.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// PathError is a path that names no node of the tree.
+// PathError is returned for a path that names no node of the tree.
 type PathError struct{ Path string }
 
 // Error names the path.
 func (e *PathError) Error() string { return fmt.Sprintf("no node %q in the settings", e.Path) }
 
-// Explain returns every effective value of a node and the node it comes from.
-// A node is named by its path, such as pools/llm/models/m/adapters/a, or by
-// the name of a service, model, adapter or version.
+// Explain returns the effective values of a node and the node that each is inherited
+// from. path is the path of the node, such as pools/llm/models/m/adapters/a, or the name
+// of a service, model, adapter or version. The error is a *PathError.
 func Explain(t *Tree, path string) ([]Value, error) {
 	for _, n := range nodes(t) {
 		if n.path == strings.Trim(path, "/") || n.name == path {
@@ -24,13 +24,14 @@
 	return nil, &PathError{Path: path}
 }
 
-// node is one node of the tree with its ancestors.
+// node is a node of the tree. chain holds its policy and those of its ancestors, root
+// first.
 type node struct {
 	path, name string
 	chain      []Node
 }
 
-// nodes lists the tree's nodes in the order of their paths.
+// nodes returns the nodes of the tree sorted by path.
 func nodes(t *Tree) []node {
 	root := node{chain: []Node{{Path: "(root)", Policy: t.Policy}}}
 	list := []node{root}
--- a/settings/keys.go
+++ b/settings/keys.go
@@ -8,16 +8,16 @@
 	"slices"
 )
 
-// HashToken returns a caller's token as Caller.TokenSHA256 holds it: settings, memory and
-// logs hold no token.
+// HashToken returns the hash of a caller's token as stored in Caller.TokenSHA256. Settings,
+// memory and logs contain only hashes, never tokens.
 func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-var errKeyLength = errors.New("not a SHA-256")
+var errKeyLength = errors.New("not a SHA-256 hash: wrong length")
 
-// parseKey reads an entry of Caller.TokenSHA256.
+// parseKey parses an entry of Caller.TokenSHA256.
 func parseKey(text string) (key [sha256.Size]byte, err error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return [sha256.Size]byte(raw), nil
 }
 
-// sharedKeys returns the keys that more than one caller has.
+// sharedKeys returns the token hashes that more than one caller has.
 func sharedKeys(t *Tree) [][sha256.Size]byte {
 	owner := map[[sha256.Size]byte]string{}
 	var shared [][sha256.Size]byte
--- a/settings/keys_test.go
+++ b/settings/keys_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkCaller is what finding an account by its key costs, with thousands of keys.
-func BenchmarkCaller(b *testing.B) {
+// BenchmarkCallerByToken measures the lookup of a caller among thousands of tokens.
+func BenchmarkCallerByToken(b *testing.B) {
 	t := &Tree{Callers: map[string]*Caller{}}
 	for i := range 2000 {
 		name := strconv.Itoa(i)
--- a/settings/merge.go
+++ b/settings/merge.go
@@ -9,13 +9,13 @@
 	"github.com/eiderspring/eiderspring/jsonc"
 )
 
-// Conflict is a field that two edits of the same base have set differently.
+// Conflict is a field that two edits of the same base set to different values.
 type Conflict struct {
 	Path               string
 	Base, Mine, Theirs string
 }
 
-// ConflictError is a merge that failed; nothing was changed.
+// ConflictError is returned for a merge that failed; nothing was changed.
 type ConflictError struct{ Conflicts []Conflict }
 
 // Error names each field and both values.
@@ -35,10 +35,10 @@
 	return v
 }
 
-// Merge puts the changes from base to mine onto theirs, field by field. Edits
-// of different fields both survive; a field that both have set differently is
-// a conflict. The comments of theirs are kept, and nodes that mine adds bring
-// theirs along.
+// Merge is a three-way merge: it applies the changes from base to mine to theirs,
+// field by field. Edits of different fields are both kept; a field that both set
+// to different values is a conflict, returned in a *ConflictError. The comments in
+// theirs are kept, and nodes that mine adds are copied with their comments.
 func Merge(base, mine, theirs []byte) ([]byte, error) {
 	mineChanges, err := Diff(base, mine)
 	if err != nil {
@@ -74,9 +74,9 @@
 	return target.Pack(), nil
 }
 
-// findConflicts returns the fields that both sides changed to different
-// values. A field below another that was changed counts as the same field: one
-// side made a scalar of what the other has as an object.
+// findConflicts returns the fields that both sides changed to different values. It
+// treats a field below another changed field as the same field: one side replaced
+// by a scalar what is an object on the other side.
 func findConflicts(mine, theirs []Change) []Conflict {
 	var conflicts []Conflict
 	for _, m := range mine {
@@ -92,15 +92,15 @@
 	return conflicts
 }
 
-// replaces tells whether a puts a value where b has set something below.
+// replaces reports whether a sets a value at a path below which b sets a field.
 func replaces(a, b Change) bool {
 	return strings.HasPrefix(b.Path, a.Path+"/") && a.New != "" && b.New != "" && a.New != emptyObject
 }
 
-// set copies the value at path, below the object at prefix, from source into
-// target. Where target lacks a parent, the parent is copied, comments included,
-// with those of its fields that were changed: the others are missing in target
-// because the other side has removed them.
+// set copies the value at path, relative to the object at prefix, from source into
+// target. If target lacks a parent, the parent is copied with its comments and with
+// those of its fields that were changed: the others are missing in target because
+// the other side has removed them.
 func set(target, source *hujson.Value, path []string, prefix string, changed map[string]bool) {
 	from, ok := member(source, path[0])
 	if !ok {
@@ -127,7 +127,7 @@
 	into.Value.Value = from.Value.Value
 }
 
-// prune takes out of the object at prefix all fields that were not changed.
+// prune removes all unchanged fields from the object at prefix.
 func prune(v *hujson.Value, prefix string, changed map[string]bool) {
 	obj, isObject := v.Value.(*hujson.Object)
 	if !isObject || changed[prefix] {
@@ -144,8 +144,8 @@
 	obj.Members = kept
 }
 
-// remove takes the field at path out of target, and with it the parents that
-// source does not have either and that are empty then.
+// remove deletes the field at path from target, and any parent that is empty
+// afterwards and does not exist in source either.
 func remove(target, source *hujson.Value, path []string) {
 	obj, isObject := target.Value.(*hujson.Object)
 	into, exists := member(target, path[0])
--- a/settings/merge_test.go
+++ b/settings/merge_test.go
@@ -12,8 +12,9 @@
 	_ "github.com/eiderspring/eiderspring/internal/seeded"
 )
 
-// TestMergeGolden runs the sessions in testdata/merge: the texts base, mine and
-// theirs are given, and merge prints the result or the conflicts.
+// TestMergeGolden runs the script in testdata/merge: base, mine and theirs set the
+// texts, diff prints the changes from base to mine, and merge prints the result or the
+// conflicts.
 func TestMergeGolden(t *testing.T) {
 	texts := map[string][]byte{}
 	datadriven.RunTest(t, "testdata/merge/session.txt", func(t *testing.T, d *datadriven.TestData) string {
@@ -39,8 +40,8 @@
 	})
 }
 
-// TestMergeLosesNothing makes random edits of one base and checks that every
-// field that either side changed has that side's value, or is a conflict.
+// TestMergeLosesNothing makes random edits of one base and checks that each field that
+// either side changed has that side's value or is a conflict.
 func TestMergeLosesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := map[string]string{}
@@ -108,7 +109,7 @@
 	return all
 }
 
-// render writes fields of depth two as a JWCC text.
+// render returns fields of depth two as a JWCC text.
 func render(fields map[string]string) []byte {
 	nodes := map[string][]string{}
 	for path, v := range fields {
--- a/settings/policy.go
+++ b/settings/policy.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// Policy is how requests and replicas are treated. A nil field is inherited.
+// Policy sets how requests and replicas are handled. A nil field is inherited.
 type Policy struct {
-	// Priority orders waiting requests; higher goes first.
+	// Priority orders waiting requests; a higher one goes first.
 	Priority *int `json:"priority,omitempty"`
-	// FirstTokenMS is the target for the first token, in milliseconds.
+	// FirstTokenMS is the target time to the first token, in milliseconds.
 	FirstTokenMS *int64 `json:"firstTokenMS,omitempty"`
-	// BetweenTokensMS is the target between tokens, in milliseconds.
+	// BetweenTokensMS is the target time between tokens, in milliseconds.
 	BetweenTokensMS *int64 `json:"betweenTokensMS,omitempty"`
-	// DeadlineMS bounds the whole request, in milliseconds.
+	// DeadlineMS is the maximum duration of the whole request, in milliseconds.
 	DeadlineMS *int64 `json:"deadlineMS,omitempty"`
-	// Repeatable tells whether a request may run more than once.
+	// Repeatable reports whether a request may run more than once.
 	Repeatable *bool `json:"repeatable,omitempty"`
-	// MayWait tells whether a request waits in the queue up to its deadline
-	// rather than being refused when its first-token target cannot be met.
+	// MayWait reports whether a request whose first-token target cannot be met waits in
+	// the queue up to its deadline instead of being refused.
 	MayWait *bool `json:"mayWait,omitempty"`
 	// GiveUpMS is how long callers wait for the next event of a stream before they
-	// leave, in milliseconds; 0 means until the deadline.
+	// disconnect, in milliseconds; 0 means until the deadline.
 	GiveUpMS *int64 `json:"giveUpMS,omitempty"`
-	// Replicas is the least number of replicas to keep.
+	// Replicas is the minimum number of replicas.
 	Replicas *int `json:"replicas,omitempty"`
-	// MaxAttempts is the largest number of endpoints that a request may be sent
-	// to; 0 leaves it to the system.
+	// MaxAttempts is the maximum number of endpoints that a request may be sent to; 0
+	// leaves the choice to the system.
 	MaxAttempts *int `json:"maxAttempts,omitempty"`
-	// Resumable tells whether another endpoint may continue a broken stream.
+	// Resumable reports whether another endpoint may continue a broken stream.
 	Resumable *bool `json:"resumable,omitempty"`
-	// MovePrice is the cost of one load, in requests that miss their target.
+	// MovePrice is the cost of one load of a unit, expressed as a number of requests that
+	// miss their target.
 	MovePrice *float64 `json:"movePrice,omitempty"`
 }
 
-// Effective is a policy with every field decided.
+// Effective is a policy in which every field has a value.
 type Effective struct {
 	Priority      int
 	FirstToken    time.Duration
@@ -50,7 +51,7 @@
 	MovePrice     float64
 }
 
-// Defaults are the values of fields that no node sets.
+// Defaults returns the values of fields that no node sets.
 func Defaults() Policy {
 	return Policy{
 		Priority: new(0), FirstTokenMS: new(int64(2000)), BetweenTokensMS: new(int64(200)),
@@ -59,13 +60,13 @@
 	}
 }
 
-// Node is a policy with the path of the node that carries it.
+// Node is the policy of a node of the tree, with the node's path.
 type Node struct {
 	Path   string
 	Policy Policy
 }
 
-// Value is the effective value of one field and the node it comes from.
+// Value is the effective value of a field. Origin is the path of the node that sets it.
 type Value struct {
 	Field  string
 	Value  any
@@ -75,8 +76,7 @@
 // DefaultOrigin is the Origin of a value that no node sets.
 const DefaultOrigin = "(default)"
 
-// Inherit returns every field's effective value along a chain of nodes,
-// given from the root to the leaf.
+// Inherit returns the effective value of each field for a chain of nodes, root first.
 func Inherit(chain []Node) []Value {
 	nodes := append([]Node{{Path: DefaultOrigin, Policy: Defaults()}}, chain...)
 	t := reflect.TypeFor[Policy]()
@@ -96,7 +96,7 @@
 	return values
 }
 
-// Resolve merges a chain of nodes, root first, into an effective policy.
+// Resolve merges the policies of a chain of nodes, root first, into an effective policy.
 func Resolve(chain []Node) Effective {
 	p := Defaults()
 	merged := reflect.ValueOf(&p).Elem()
--- a/settings/priority.go
+++ b/settings/priority.go
@@ -5,15 +5,17 @@
 	"slices"
 )
 
-// precedence orders requests: by their callers' priorities and, among those that are alike,
-// by their own. Higher goes first.
+// precedence orders requests by their callers' priorities and, if those are equal, by
+// their own priorities. A higher priority goes first.
 type precedence struct{ first, own int }
 
-// ranks gives each precedence that settings make possible a priority of its own, in order.
+// ranks maps each precedence that can occur under the settings to a distinct priority, in
+// the same order.
 type ranks map[precedence]int
 
-// mostPriority is the highest priority that ranks give; those far behind share 0.
-const mostPriority = 9
+// maxPriority is the highest priority in ranks. Once the distinct priorities are used up,
+// the remaining precedences share 0.
+const maxPriority = 9
 
 func newRanks(t *Tree) ranks {
 	if t.Edge == nil {
@@ -42,14 +44,14 @@
 	slices.SortFunc(all, func(a, b precedence) int { return cmp.Or(cmp.Compare(b.first, a.first), cmp.Compare(b.own, a.own)) })
 	r := ranks{}
 	for _, p := range slices.Compact(all) {
-		r[p] = max(mostPriority-len(r), 0)
+		r[p] = max(maxPriority-len(r), 0)
 	}
 	return r
 }
 
-// Priority is that of a request with a priority of its own whose caller has another, nil for
-// none. The caller's goes before its own, which still orders the requests of callers that
-// have the same.
+// Priority returns the effective priority of a request whose own priority is own and whose
+// caller has the given priority, nil for none. The caller's priority takes precedence; own
+// orders the requests of callers with equal priorities.
 func (c *Catalog) Priority(caller *int, own int) int {
 	first := own
 	if caller != nil {
--- a/settings/priority_test.go
+++ b/settings/priority_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCallersPriorityGoesFirst has routes of three priorities and callers of two, and one
-// without.
+// TestCallersPriorityGoesFirst orders the requests of routes with three priorities and of
+// callers with two priorities and with none.
 func TestCallersPriorityGoesFirst(t *testing.T) {
 	route := func(priority int) Route { return Route{Policy: Effective{Priority: priority}} }
 	c := NewCatalog(&Tree{
@@ -23,7 +23,7 @@
 		require.Greater(t, in[i-1], in[i], "%v", in)
 	}
 	require.Equal(t, c.Priority(new(9), 9), c.Priority(nil, 9))
-	require.Positive(t, in[len(in)-1], "the least is for those that cannot be in time")
+	require.Positive(t, in[len(in)-1], "the lowest priority is reserved for late requests")
 }
 
 func TestWithoutCallersPriorityARequestKeepsItsOwn(t *testing.T) {
--- a/settings/route.go
+++ b/settings/route.go
@@ -6,48 +6,49 @@
 	"strings"
 )
 
-// Edge is the callers' side of a deployment whose callers are told apart by
-// host and path.
+// Edge is the caller-facing configuration of a deployment that routes requests by host
+// and path.
 type Edge struct {
-	// RequiresToken tells that requests need a token, but on public routes.
+	// RequiresToken is set when requests need a token, except on public routes.
 	RequiresToken bool
 	Routes        []Route
 	Limits        EdgeLimits
 }
 
-// EdgeLimits bound what a caller may send and how long it may rest.
+// EdgeLimits bounds the size of requests and the time that callers take.
 type EdgeLimits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderMS bounds the time to send a request's head, IdleMS that for which
-	// a connection may rest between requests; both in milliseconds.
+	// HeaderMS bounds the time to send a request's header, IdleMS the time for which a
+	// connection may be idle between requests; both in milliseconds.
 	HeaderMS, IdleMS int64
 }
 
-// Route sends the requests for a host below a path to a pool.
+// Route directs the requests for a host and a path prefix to one of its pools.
 type Route struct {
 	Name string
 	Host string
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
-	// Streaming tells that answers are event streams.
+	// Streaming is set when answers are event streams.
 	Streaming bool
-	// Public tells that requests need no token.
+	// Public is set when requests need no token.
 	Public bool
-	// Regions are those in which requests may be served; empty means all.
+	// Regions lists the regions in which requests may be served; empty means all.
 	Regions []string
-	// Shares are the pools that serve the route, by weight.
+	// Shares lists the pools that serve the route, with their weights.
 	Shares []RouteShare
 	Policy Effective
 }
 
-// RouteShare is a pool's share of a route.
+// RouteShare is a pool of a route and its weight.
 type RouteShare struct {
 	Pool   string
 	Weight int
 }
 
-// Pick returns the pool for a request; random is in [0,1).
+// Pick selects the pool for a request at random by weight; random is in [0,1). It returns
+// "" if the route has no pools.
 func (r *Route) Pick(random float64) string {
 	total := 0
 	for _, s := range r.Shares {
@@ -62,13 +63,13 @@
 	return ""
 }
 
-// RouteTable finds the route of a request. The zero value has none.
+// RouteTable finds the route of a request. The zero value has no routes.
 type RouteTable struct {
-	// byHost holds the routes of each host, the longest prefix first.
+	// byHost holds the routes of each host, longest prefix first.
 	byHost map[string][]*Route
 }
 
-// NewRouteTable returns a table of the routes.
+// NewRouteTable returns a table of the given routes, which it retains.
 func NewRouteTable(routes []Route) RouteTable {
 	t := RouteTable{byHost: make(map[string][]*Route)}
 	for i := range routes {
@@ -83,8 +84,8 @@
 	return t
 }
 
-// Find returns the route of the host with the longest prefix that begins the
-// path, or nil.
+// Find returns the route of the host whose prefix is the longest that matches the path, or
+// nil if none does.
 func (t RouteTable) Find(host, path string) *Route {
 	for _, r := range t.byHost[host] {
 		if strings.HasPrefix(path, r.PathPrefix) {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -14,8 +14,8 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// TestGolden runs the sessions in testdata/golden: check a text, explain a node,
-// resolve a name.
+// TestGolden runs the scripts in testdata/golden: load parses and checks a text, explain
+// prints the effective values of a node, and resolve prints the target of a name.
 func TestGolden(t *testing.T) {
 	datadriven.Walk(t, "testdata/golden", func(t *testing.T, path string) {
 		var tree *settings.Tree
@@ -58,13 +58,13 @@
 	return b.String()
 }
 
-func TestExamplesHaveTheBriefsSizes(t *testing.T) {
+func TestExamplesHaveTheExpectedSizes(t *testing.T) {
 	for _, tc := range []struct {
-		name                                       string
-		text                                       []byte
-		pool                                       string
-		engines, plain, models, adapters, together int
-		rate                                       float64
+		name                                         string
+		text                                         []byte
+		pool                                         string
+		engines, plain, models, adapters, concurrent int
+		rate                                         float64
 	}{
 		{"tideline", examples.Tideline, "tideline-llm", 12, 3, 26, 64, 15, 1.4},
 		{"liege", examples.Liege, "annotateur", 18, 3, 39, 95, 17, 2},
@@ -85,7 +85,7 @@
 					require.Equal(t, tc.plain, p.Endpoints)
 				}
 			}
-			require.Equal(t, settings.WeightStore{LoadsPerSecond: tc.rate, Concurrent: tc.together}, tree.WeightStore)
+			require.Equal(t, settings.WeightStore{LoadsPerSecond: tc.rate, Concurrent: tc.concurrent}, tree.WeightStore)
 			require.Len(t, tree.FailureDomains, 3)
 		})
 	}
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kind says how the endpoints of a pool are spoken to.
+// Kind is the protocol of a pool's endpoints.
 type Kind string
 
 // Kinds of pool.
@@ -13,7 +13,7 @@
 	KindPlain Kind = "plain"
 )
 
-// Tree is a whole deployment's settings.
+// Tree is the settings of a deployment.
 type Tree struct {
 	Deployment     string              `json:"deployment"`
 	FailureDomains []string            `json:"failureDomains"`
@@ -22,25 +22,25 @@
 	Pools          map[string]*Pool    `json:"pools"`
 	Services       map[string]*Service `json:"services"`
 	Callers        map[string]*Caller  `json:"callers"`
-	// ClaimHorizonMS is for how long an idempotency key is remembered, in
-	// milliseconds; 0 means DefaultClaimHorizonMS.
+	// ClaimHorizonMS is how long an idempotency key is remembered, in milliseconds; 0
+	// means DefaultClaimHorizonMS.
 	ClaimHorizonMS int64 `json:"claimHorizonMS,omitempty"`
-	// PeerKeys are the keys of the link between instances, in hex, the one to
-	// use first. They come before the keys of an instance's own configuration.
+	// PeerKeys are the keys for the communication between instances, in hex, the one to
+	// encrypt with first. They precede the keys of an instance's own configuration.
 	PeerKeys []string `json:"peerKeys,omitempty"`
-	// Evacuated are failure domains whose endpoints are to get nothing.
+	// Evacuated lists the failure domains whose endpoints must get no requests.
 	Evacuated []string `json:"evacuated,omitempty"`
-	// Regions maps each failure domain to its region; those that it lacks have none.
+	// Regions maps failure domains to their regions; a domain that is missing has none.
 	Regions map[string]string `json:"regions,omitempty"`
-	// Edge is what the deployment's operator says of the callers' side, where
-	// callers are told apart by host and path; the settings' own text has none.
+	// Edge is the caller-facing configuration from the deployment's operator, if requests
+	// are routed by host and path. It is not part of the settings text.
 	Edge *Edge `json:"-"`
 }
 
-// DefaultClaimHorizonMS is for how long keys are remembered unless set.
+// DefaultClaimHorizonMS is the default of Tree.ClaimHorizonMS.
 const DefaultClaimHorizonMS = 15 * 60 * 1000
 
-// ClaimHorizon is for how long an idempotency key is remembered.
+// ClaimHorizon returns how long an idempotency key is remembered.
 func (t *Tree) ClaimHorizon() time.Duration {
 	if t.ClaimHorizonMS == 0 {
 		return DefaultClaimHorizonMS * time.Millisecond
@@ -48,53 +48,53 @@
 	return milliseconds(t.ClaimHorizonMS)
 }
 
-// WeightStore is what the platform's weight store allows.
+// WeightStore describes the capacity of the platform's weight store.
 type WeightStore struct {
-	// LoadsPerSecond is the rate at which loads may be started.
+	// LoadsPerSecond is the maximum rate at which loads may be started.
 	LoadsPerSecond float64 `json:"loadsPerSecond"`
-	// Concurrent is the number of loads that run at full speed together.
+	// Concurrent is the number of loads that run at full speed concurrently.
 	Concurrent int `json:"concurrent"`
 }
 
 // Pool is a set of endpoints of one kind.
 type Pool struct {
 	Kind Kind `json:"kind"`
-	// Endpoints is the number of endpoints that the pool should have.
+	// Endpoints is the intended number of endpoints.
 	Endpoints int `json:"endpoints"`
 	// MemoryMB is the accelerator memory of one endpoint, in MiB.
 	MemoryMB int64 `json:"memoryMB,omitempty"`
-	// ChecksFencing tells whether the endpoints refuse orders with an old epoch.
+	// ChecksFencing reports whether the endpoints refuse orders with an old epoch.
 	ChecksFencing bool `json:"checksFencing,omitempty"`
-	// MaxOrderDelayMS is the longest time, in milliseconds, for which the
-	// network may hold an order to an endpoint; 0 means DefaultMaxOrderDelayMS.
+	// MaxOrderDelayMS is the maximum time for which the network may delay an order to an
+	// endpoint, in milliseconds; 0 means DefaultMaxOrderDelayMS.
 	MaxOrderDelayMS int64 `json:"maxOrderDelayMS,omitempty"`
-	// Concurrency is how many requests one endpoint runs at once.
+	// Concurrency is the number of requests that one endpoint runs concurrently.
 	Concurrency int `json:"concurrency"`
-	// AdapterSlots is how many adapters one endpoint holds; 0 means that only
-	// their memory bounds them.
+	// AdapterSlots is the number of adapters that one endpoint holds; 0 means that only
+	// memory limits it.
 	AdapterSlots int `json:"adapterSlots,omitempty"`
-	// KVTokens is how many tokens of prompts and answers one endpoint has
-	// memory for; 0 means that it is not known.
+	// KVTokens is the number of prompt and answer tokens that the KV cache of one endpoint
+	// holds; 0 means unknown.
 	KVTokens int `json:"kvTokens,omitempty"`
-	// Connections is how many connections one endpoint takes from all
-	// instances together; 0 means that it is not known.
+	// Connections is the number of connections that one endpoint accepts from all
+	// instances together; 0 means unknown.
 	Connections int `json:"connections,omitempty"`
-	// ColdPerSecond is how many requests a second a cold endpoint takes from all instances
-	// together; 0 means that endpoints are never cold. ColdStartMS is how long one stays
-	// cold behind its start, in milliseconds.
+	// ColdPerSecond is the number of requests per second that a cold endpoint accepts from
+	// all instances together; 0 means that endpoints are never cold. ColdStartMS is how
+	// long an endpoint is cold after its start, in milliseconds.
 	ColdPerSecond float64           `json:"coldPerSecond,omitempty"`
 	ColdStartMS   int64             `json:"coldStartMS,omitempty"`
 	Policy        Policy            `json:"policy"`
 	Models        map[string]*Model `json:"models,omitempty"`
 }
 
-// DefaultMaxOrderDelayMS is the order delay of pools that do not set it.
+// DefaultMaxOrderDelayMS is the default of Pool.MaxOrderDelayMS.
 const DefaultMaxOrderDelayMS = 5000
 
-// ColdStart is how long an endpoint stays cold behind its start.
+// ColdStart returns how long an endpoint is cold after its start.
 func (p *Pool) ColdStart() time.Duration { return milliseconds(p.ColdStartMS) }
 
-// MaxOrderDelay is the longest time for which an order may be on its way.
+// MaxOrderDelay returns the maximum time for which an order may be in flight.
 func (p *Pool) MaxOrderDelay() time.Duration {
 	if p.MaxOrderDelayMS == 0 {
 		return DefaultMaxOrderDelayMS * time.Millisecond
@@ -102,17 +102,16 @@
 	return milliseconds(p.MaxOrderDelayMS)
 }
 
-// Model is a base model and what derives from it.
+// Model is a base model with its adapters and versions.
 type Model struct {
 	// WeightsMB is the size of the weights in MiB.
 	WeightsMB int64 `json:"weightsMB"`
-	// KVMB is the KV cache reserved for each replica in MiB.
+	// KVMB is the size of the KV cache reserved for each replica in MiB.
 	KVMB int64 `json:"kvMB"`
-	// Rank is the model's place in the operator's list.
+	// Rank is the model's position in the operator's list.
 	Rank int `json:"rank,omitempty"`
-	// LoadMS, DiskMS and WarmMS are how long a load takes from the weight store,
-	// from the endpoint's disk and from its host memory, in milliseconds; 0
-	// means that it is not known.
+	// LoadMS, DiskMS and WarmMS are the durations of a load from the weight store, from
+	// the endpoint's disk and from its host memory, in milliseconds; 0 means unknown.
 	LoadMS int64 `json:"loadMS,omitempty"`
 	DiskMS int64 `json:"diskMS,omitempty"`
 	WarmMS int64 `json:"warmMS,omitempty"`
@@ -120,8 +119,8 @@
 	Policy   Policy              `json:"policy"`
 	Adapters map[string]*Adapter `json:"adapters,omitempty"`
 	Versions map[string]*Version `json:"versions,omitempty"`
-	// Current names the version that the bare model name stands for; empty
-	// means the model's own weights.
+	// Current is the version that the bare model name refers to; empty means the model's
+	// own weights.
 	Current string `json:"current,omitempty"`
 }
 
@@ -137,7 +136,7 @@
 	Policy    Policy `json:"policy"`
 }
 
-// Service is a name that callers use, with a treatment of its own.
+// Service is a name that callers request, with a policy of its own.
 type Service struct {
 	// Model is the model, adapter or version behind the service, or empty.
 	Model string `json:"model,omitempty"`
@@ -146,46 +145,48 @@
 	Policy Policy `json:"policy"`
 }
 
-// AllServices in Caller.Services permits every service and model.
+// AllServices in Caller.Services permits all services and models.
 const AllServices = "*"
 
-// Caller is one who may send requests.
+// Caller is a client account that may send requests.
 type Caller struct {
 	// TokenSHA256 holds the hex SHA-256 of each valid bearer token.
 	TokenSHA256 []string `json:"tokenSHA256"`
 	// Services lists the services and models that the caller may use.
 	Services []string `json:"services"`
-	// Priority goes before that of what is asked for; nil leaves it as it is.
+	// Priority takes precedence over the priority of the requested service; nil leaves
+	// that one in effect.
 	Priority *int `json:"priority,omitempty"`
-	// Allowance bounds what the caller may ask of all instances together; nil sets no
-	// bound.
+	// Allowance limits the caller's usage of all instances together; nil means no limit.
 	Allowance *Allowance `json:"allowance,omitempty"`
-	// Regions are those in which the caller's requests may be served; empty means all.
+	// Regions lists the regions in which the caller's requests may be served; empty means
+	// all.
 	Regions []string `json:"regions,omitempty"`
 }
 
-// AllowanceUnit is what an allowance counts.
+// AllowanceUnit is the quantity that an allowance counts.
 type AllowanceUnit string
 
 // Units of an allowance.
 const (
 	// CountRequests counts each request as one.
 	CountRequests AllowanceUnit = "requests"
-	// CountTokens counts the tokens of the prompt and the most that may be generated.
+	// CountTokens counts the tokens of the prompt and the maximum number of generated tokens.
 	CountTokens AllowanceUnit = "tokens"
 )
 
-// Allowance is what a caller may ask of all instances together.
+// Allowance is a token bucket that limits a caller's usage of all instances together.
 type Allowance struct {
 	Unit AllowanceUnit `json:"unit"`
-	// PerSecond is the rate that may be kept up, Burst what may come at once besides.
+	// PerSecond is the sustained rate, Burst the additional amount that may be used at once.
 	PerSecond float64 `json:"perSecond"`
 	Burst     float64 `json:"burst"`
-	// DefaultTokens is what a request counts in tokens that does not tell its own.
+	// DefaultTokens is the number of tokens counted for a request that does not state it.
 	DefaultTokens int64 `json:"plainTokens,omitempty"`
 }
 
-// Cost is what a request counts that tells so many tokens, 0 for none.
+// Cost returns the amount that a request counts against the allowance. tokens is the number
+// that the request states, 0 if it states none.
 func (a Allowance) Cost(tokens int64) float64 {
 	switch {
 	case a.Unit != CountTokens:
--- a/settings/unit.go
+++ b/settings/unit.go
@@ -7,53 +7,53 @@
 	"slices"
 )
 
-// VersionSeparator joins a model's name and a version's in a unit's name.
+// VersionSeparator separates the model's name and the version's in the name of a unit.
 const VersionSeparator = "@"
 
-// Unit is something that is loaded on an endpoint as a whole: a model's
-// weights, a version of them, or an adapter.
+// Unit is what is loaded on an endpoint as a whole: the weights of a model or of one of its
+// versions, or an adapter.
 type Unit struct {
 	Name string
 	Pool string
-	// Base is the unit that must be resident with it; empty for weights.
+	// Base is the unit that must be resident on the same endpoint; empty for weights.
 	Base string
-	// MemoryMB is weights plus reserved KV cache, in MiB.
+	// MemoryMB is the memory of the weights and of the reserved KV cache, in MiB.
 	MemoryMB int64
 	Policy   Effective
 }
 
-// Target is what a name in a request stands for.
+// Target is what a name in a request resolves to.
 type Target struct {
-	// Name is the service or unit as the caller wrote it.
+	// Name is the name of the service or unit as given by the caller.
 	Name string
-	// Unit is the unit to run, or empty for a plain service.
+	// Unit is the unit to run; empty for a plain service.
 	Unit string
-	// Model is the unit whose weights run the request: Unit itself, or what an
-	// adapter belongs to.
+	// Model is the unit whose weights run the request: Unit itself or, for an adapter, its
+	// base.
 	Model string
 	Pool  string
 	Kind  Kind
-	// Policy is the treatment of the request.
+	// Policy is the policy that applies to the request.
 	Policy Effective
 }
 
-// Catalog is the tree resolved for use: every unit and every name that a
-// request may carry. It is immutable.
+// Catalog is a resolved tree: all units and all names that a request may contain. It is
+// immutable.
 type Catalog struct {
 	Tree *Tree
-	// Revision is that of the settings, 0 where it is kept elsewhere.
+	// Revision is the revision of the settings; 0 if the revision is kept elsewhere.
 	Revision int64
 	Units    map[string]Unit
 	Targets  map[string]Target
-	// Routes finds requests that are told apart by host and path.
+	// Routes finds the routes of requests that are routed by host and path.
 	Routes RouteTable
-	// callers finds a caller by the SHA-256 of its token: the time that a look-up takes
-	// tells of the hash alone, from which no token can be found.
+	// callers maps the SHA-256 of a token to its caller. The time of a lookup depends on the
+	// hash only, so a timing attack does not reveal the token.
 	callers map[[sha256.Size]byte]Identity
 	ranks   ranks
 }
 
-// NewCatalog resolves a tree that Check accepts.
+// NewCatalog resolves a tree for which Check returns no problems.
 func NewCatalog(t *Tree) *Catalog {
 	c := &Catalog{Tree: t, Units: map[string]Unit{}, Targets: map[string]Target{}, callers: map[[sha256.Size]byte]Identity{}}
 	root := Node{Path: "/policy", Policy: t.Policy}
@@ -70,7 +70,8 @@
 		c.addCaller(name, caller)
 	}
 	for _, key := range sharedKeys(t) {
-		// It would stand for one caller here and for another there.
+		// Map order is random, so the key would identify different callers at different
+		// instances.
 		delete(c.callers, key)
 	}
 	c.ranks = newRanks(t)
@@ -128,27 +129,28 @@
 	}
 }
 
-// Identity is an authenticated caller. The zero value is nobody.
+// Identity is an authenticated caller. The zero value is no caller.
 type Identity struct {
 	Name string
-	// Priority and Allowance are as the settings give them; nil for none.
+	// Priority and Allowance are those of Caller in the settings; nil for none.
 	Priority  *int
 	Allowance *Allowance
-	// Regions are those in which requests may be served; empty means all.
+	// Regions lists the regions in which requests may be served; empty means all.
 	Regions  []string
 	services map[string]bool
 }
 
-// MayUse tells whether the caller may use the service or unit of that name.
+// MayUse reports whether the caller may use the service or unit of that name.
 func (i Identity) MayUse(name string) bool {
 	return i.services[AllServices] || i.services[name]
 }
 
-// maxTokenBytes bounds a token; longer ones are nobody's. It keeps the copy that is
-// hashed off the heap.
+// maxTokenBytes is the maximum length of a token; a longer one matches no caller. The bound
+// allows the copy that is hashed to stay on the stack.
 const maxTokenBytes = 512
 
-// CallerByToken returns the caller whose token it is.
+// CallerByToken returns the caller that the token belongs to. It reports false if there is
+// none.
 func (c *Catalog) CallerByToken(token string) (Identity, bool) {
 	var text [maxTokenBytes]byte
 	if len(token) > len(text) {
@@ -159,7 +161,7 @@
 	return who, known
 }
 
-// UnitNames returns the names of all units in order.
+// UnitNames returns the names of all units, sorted.
 func (c *Catalog) UnitNames() []string {
 	return slices.Sorted(maps.Keys(c.Units))
 }
