--- a/store/caller.go
+++ b/store/call.go
@@ -16,20 +16,20 @@
 type Call struct {
 	Verb string
 	Kind Kind
-	// Name is that of the object, for errors; empty for a list.
+	// Name is the name of the object, used in errors; empty for a list.
 	Name string
 	URL  string
 	Body []byte
-	// Stale tells that the answer may be old, which some stores charge less for.
+	// Stale is set if the answer may be stale, for which some stores charge less.
 	Stale bool
-	// Hold is how long the store may hold the call before it answers.
+	// Hold is how long the store may hold the call before it answers (long polling).
 	Hold time.Duration
-	// Era, unless nil, is set to the era of a whole answer.
+	// Era, unless nil, receives the store's era of the answer.
 	Era *int64
 }
 
-// key is what the call is counted under.
-func (c Call) key(phase string) string {
+// metricKey returns the key under which the call is counted.
+func (c Call) metricKey(phase string) string {
 	key := c.Verb + " " + string(c.Kind)
 	if c.Stale {
 		key += " behind"
@@ -40,29 +40,30 @@
 	return key
 }
 
-// verbWatch counts a call that waits for changes.
+// verbWatch is the Verb of a call that waits for changes; it is sent as a GET.
 const verbWatch = "WATCH"
 
-// Requester makes calls and tells by the error what a failure proves.
+// Requester makes calls to an object API. The error of a failed call shows whether the call
+// may have taken effect.
 type Requester struct {
 	timeout  time.Duration
 	calls    *expvar.Map
 	phase    func() string
-	asked    func(hold time.Duration)
-	answered func()
+	onCall   func(hold time.Duration)
+	onAnswer func()
 	eras     *Eras
 	eraOf    func(http.Header) int64
 	http     *http.Client
 }
 
-// DefaultWatchWait is the wait of a watch where Config does not tell.
+// DefaultWatchWait is the default of Config.WatchWait.
 const DefaultWatchWait = 2500 * time.Millisecond
 
-// DefaultCallTimeout bounds a call where Config does not.
+// DefaultCallTimeout is the default of Config.CallTimeout.
 const DefaultCallTimeout = 2 * time.Second
 
-// NewRequester returns a caller; it makes no call by itself. The URL of the
-// configuration is not used.
+// NewRequester returns a Requester; it makes no call by itself. It does not use the URL of
+// the configuration.
 func NewRequester(cfg Config) *Requester {
 	if cfg.CallTimeout == 0 {
 		cfg.CallTimeout = DefaultCallTimeout
@@ -82,22 +83,22 @@
 	if cfg.EraOf == nil {
 		cfg.EraOf = func(http.Header) int64 { return 0 }
 	}
-	return &Requester{eras: cfg.Eras, eraOf: cfg.EraOf, timeout: cfg.CallTimeout, calls: cfg.Calls, phase: cfg.Phase, asked: cfg.OnCall, answered: cfg.OnAnswer, http: &http.Client{Transport: cfg.Transport}}
+	return &Requester{eras: cfg.Eras, eraOf: cfg.EraOf, timeout: cfg.CallTimeout, calls: cfg.Calls, phase: cfg.Phase, onCall: cfg.OnCall, onAnswer: cfg.OnAnswer, http: &http.Client{Transport: cfg.Transport}}
 }
 
-// Call makes a call within the caller's timeout and decodes the answer into
-// into, unless that is nil.
+// Call makes a call, limited by the configured timeout, and decodes the answer into into,
+// unless that is nil.
 func (c *Requester) Call(ctx context.Context, call Call, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	return c.Wait(ctx, call, into)
 }
 
-// Wait is Call bounded by ctx alone, for a call that waits for changes.
+// Wait is like Call but limited by ctx only. It is meant for calls that wait for changes.
 func (c *Requester) Wait(ctx context.Context, call Call, into any) error {
 	err := c.exchange(ctx, call, into)
 	if errors.Is(err, context.DeadlineExceeded) {
-		// Whatever silenced this connection may have silenced those that rest.
+		// Whatever silenced this connection may have silenced the idle ones too.
 		c.http.CloseIdleConnections()
 	}
 	return err
@@ -113,18 +114,18 @@
 	if into == nil {
 		return nil
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(into); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(into); err != nil {
 		return &UnansweredError{Kind: call.Kind, Name: call.Name, Err: err}
 	}
 	return nil
 }
 
-// open makes a call and returns the answer if it is a success.
+// open makes a call and returns the response if its status is below 300.
 func (c *Requester) open(ctx context.Context, call Call) (*http.Response, error) {
 	if c.calls != nil {
-		c.calls.Add(call.key(c.phase()), 1)
+		c.calls.Add(call.metricKey(c.phase()), 1)
 	}
-	c.asked(call.Hold)
+	c.onCall(call.Hold)
 	method := call.Verb
 	if method == verbWatch {
 		method = http.MethodGet
@@ -149,7 +150,7 @@
 		*call.Era = era
 	}
 	if resp.StatusCode < http.StatusInternalServerError && resp.StatusCode != http.StatusTooManyRequests {
-		c.answered()
+		c.onAnswer()
 	}
 	if resp.StatusCode < http.StatusMultipleChoices {
 		return resp, nil
@@ -162,11 +163,11 @@
 	return nil, err
 }
 
-// maxAnswerBytes bounds what is read of an answer; a list of many objects is
-// larger than one object.
-const maxAnswerBytes = 64 * MaxObjectBytes
+// maxResponseBytes is the maximum number of bytes read of a response; a list of many
+// objects is larger than one object.
+const maxResponseBytes = 64 * MaxObjectBytes
 
-// maxMessageBytes bounds what is kept of an error's text.
+// maxMessageBytes is the maximum length of the text of a StatusError.
 const maxMessageBytes = 512
 
 func statusError(resp *http.Response, kind Kind, name string) error {
--- a/store/client.go
+++ b/store/client.go
@@ -10,55 +10,55 @@
 	"time"
 )
 
-// Client is the object API as the rest of the system sees it.
+// Client is the interface to the object API.
 type Client interface {
 	// Get returns one object.
 	Get(ctx context.Context, kind Kind, name string) (Object, error)
 	// List returns all objects of a kind.
 	List(ctx context.Context, kind Kind) (List, error)
-	// ListLabelled returns the objects of a kind that have the label.
+	// ListLabelled returns the objects of a kind on which label has the given value.
 	ListLabelled(ctx context.Context, kind Kind, label, value string) (List, error)
-	// Create stores an object that must not exist.
+	// Create stores a new object. It fails if the object exists.
 	Create(ctx context.Context, o Object) (Object, error)
-	// Update replaces an object if its resource version is still o's.
+	// Update replaces an object if its resource version still equals that of o.
 	Update(ctx context.Context, o Object) (Object, error)
-	// Delete removes an object; a missing one is an error.
+	// Delete deletes an object. It fails if the object does not exist.
 	Delete(ctx context.Context, kind Kind, name string) error
-	// Watch reports changes of a kind after a resource version until the
-	// stream or ctx ends. It always returns an error. Where it is made of calls
-	// that end, a bookmark follows the changes of each answer.
+	// Watch passes the changes of a kind after a resource version to handle until the
+	// stream or ctx ends. It always returns an error. If a watch consists of long polls
+	// instead of a stream, a bookmark follows the changes of each answer.
 	Watch(ctx context.Context, kind Kind, resourceVersion string, o WatchOptions, handle func(Event)) error
 }
 
-// StaleReader is a Client whose store answers some reads late for a lower price.
+// StaleReader is implemented by a Client whose store offers stale reads at a lower price.
 type StaleReader interface {
-	// GetStale is Get of what the object may have been seconds ago.
+	// GetStale is Get, but the object may be seconds old.
 	GetStale(ctx context.Context, kind Kind, name string) (Object, error)
-	// ListStale is List of what may have been seconds ago, but not before the version
-	// least; an older answer is an ErrOlder. Empty means any.
-	ListStale(ctx context.Context, kind Kind, least string) (List, error)
+	// ListStale is List, but the answer may be seconds old. It returns ErrOlder if the
+	// answer is older than minVersion; an empty minVersion accepts any.
+	ListStale(ctx context.Context, kind Kind, minVersion string) (List, error)
 }
 
-// WatchOptions say how a watch may be served.
+// WatchOptions are the options of a watch.
 type WatchOptions struct {
-	// AllowStale tells, before each call that the watch makes and while it waits, whether
-	// changes may come seconds late, which costs some stores less; nil means that they
-	// may not. It is called by several goroutines.
+	// AllowStale reports whether changes may arrive seconds late, which some stores charge
+	// less for. It is called before each call of the watch and while the watch waits, from
+	// several goroutines. Nil means never.
 	AllowStale func() bool
-	// Wait is how long the store may hold a call that is not behind and has nothing
-	// to tell; 0 means as long as the client is set up for.
+	// Wait is how long the store may hold a call that must not be stale while there are
+	// no changes; 0 means the client's configured time.
 	Wait time.Duration
-	// WaitNow, unless nil, is asked before each such call in place of Wait.
+	// WaitNow, unless nil, is called before each such call and replaces Wait.
 	WaitNow func() time.Duration
-	// OnFresh is told of each answer that is not behind, also of one without
-	// changes: what the handler knows then was current a moment ago. Nil tells
-	// nobody.
+	// OnFresh, unless nil, is called for each answer that is not stale, even without
+	// changes: the state known to the handler was current a moment ago.
 	OnFresh func()
-	// Now stamps when calls are made, in Event.AskedAt, List.AskedAt and List.BeganAt; nil stamps none.
+	// Now returns the time recorded in Event.FreshAsOf, List.FreshAsOf and
+	// List.RequestedAt; nil leaves them zero.
 	Now func() time.Time
 }
 
-// CallTime is when a call is made.
+// CallTime returns the time to record for a call made now; zero if Now is nil.
 func (o WatchOptions) CallTime() time.Time {
 	if o.Now == nil {
 		return time.Time{}
@@ -66,7 +66,7 @@
 	return o.Now()
 }
 
-// StaleAllowed tells whether changes may come late now.
+// StaleAllowed reports whether changes may arrive late now.
 func (o WatchOptions) StaleAllowed() bool { return o.AllowStale != nil && o.AllowStale() }
 
 func (o WatchOptions) confirm() {
@@ -75,47 +75,47 @@
 	}
 }
 
-// Config sets up an HTTP client.
+// Config configures an HTTPClient or a Requester.
 type Config struct {
 	// URL is the base of the object API.
 	URL string
-	// CallTimeout bounds each call but watches.
+	// CallTimeout limits each call other than watches; 0 means DefaultCallTimeout.
 	CallTimeout time.Duration
-	// WatchWait is how long the store may hold a watch that has nothing to tell,
-	// where watches are calls that end; 0 means DefaultWatchWait.
+	// WatchWait is how long the store may hold a call of a watch without changes, if
+	// watches are long polls; 0 means DefaultWatchWait.
 	WatchWait time.Duration
-	// StaleWait is the same for a watch that may be behind; 0 means WatchWait.
-	// Such a call goes on as it began, so this is also how long a watch stays
-	// behind when it no longer may.
+	// StaleWait is the same for a call that may be stale; 0 means WatchWait. A call in
+	// flight stays stale, so this also bounds how long a watch is stale after that is no
+	// longer allowed.
 	StaleWait time.Duration
-	// Calls counts calls by "VERB KIND", with "behind" where the answer may be old and
-	// the phase in which they are made; nil counts nothing.
+	// Calls counts calls by "VERB KIND", followed by "behind" if the answer may be stale
+	// and by the phase, if any; nil disables counting.
 	Calls *expvar.Map
-	// Phase tells in what phase of the instance's life calls are made now; nil means
-	// that they are not told apart.
+	// Phase returns the current phase of the instance's life cycle, by which calls are
+	// counted; nil means that phases are not distinguished.
 	Phase func() string
-	// OnCall is told of each call that is made, and how long the store may hold it; nil
-	// tells nobody.
+	// OnCall, unless nil, is called for each call, with how long the store may hold it.
 	OnCall func(hold time.Duration)
-	// OnAnswer is told of each answer by which the store shows that it serves
-	// this instance; nil tells nobody.
+	// OnAnswer, unless nil, is called for each answer that shows that the store serves
+	// this instance, which is any status other than 429 and 5xx.
 	OnAnswer func()
-	// Eras follows the store's eras; nil where it has none. EraOf reads the era of an answer.
+	// Eras tracks the store's eras; nil if the store has none. EraOf returns the era of an
+	// answer.
 	Eras  *Eras
 	EraOf func(http.Header) int64
-	// Transport carries the calls; nil means a transport of the client's own.
+	// Transport sends the calls; nil means a new transport.
 	Transport http.RoundTripper
 }
 
-// HTTPClient speaks to the object API over net/http.
+// HTTPClient implements Client over net/http.
 type HTTPClient struct {
-	base   string
-	caller *Requester
+	base      string
+	requester *Requester
 }
 
-// NewHTTPClient returns a client; it makes no call by itself.
+// NewHTTPClient returns an HTTPClient; it makes no call by itself.
 func NewHTTPClient(cfg Config) *HTTPClient {
-	return &HTTPClient{base: strings.TrimSuffix(cfg.URL, "/") + "/apis/" + APIVersion + "/", caller: NewRequester(cfg)}
+	return &HTTPClient{base: strings.TrimSuffix(cfg.URL, "/") + "/apis/" + APIVersion + "/", requester: NewRequester(cfg)}
 }
 
 // Get implements Client.
@@ -159,14 +159,14 @@
 		Metadata Metadata `json:"metadata"`
 		Items    []Object `json:"items"`
 	}
-	err := c.caller.Call(ctx, Call{Verb: http.MethodGet, Kind: kind, URL: c.base + string(kind) + query}, &page)
+	err := c.requester.Call(ctx, Call{Verb: http.MethodGet, Kind: kind, URL: c.base + string(kind) + query}, &page)
 	return List{ResourceVersion: page.Metadata.ResourceVersion, Items: page.Items}, err
 }
 
-// Watch implements Client. Its one call is a stream, which is never behind.
+// Watch implements Client. It makes a single streaming call, which is never stale.
 func (c *HTTPClient) Watch(ctx context.Context, kind Kind, resourceVersion string, _ WatchOptions, handle func(Event)) error {
 	target := c.base + string(kind) + "?watch=1&resourceVersion=" + url.QueryEscape(resourceVersion)
-	resp, err := c.caller.open(ctx, Call{Verb: verbWatch, Kind: kind, URL: target})
+	resp, err := c.requester.open(ctx, Call{Verb: verbWatch, Kind: kind, URL: target})
 	if err != nil {
 		return err
 	}
@@ -194,5 +194,5 @@
 	if name != "" {
 		target += "/" + url.PathEscape(name)
 	}
-	return c.caller.Call(ctx, Call{Verb: verb, Kind: kind, Name: name, URL: target, Body: body}, into)
+	return c.requester.Call(ctx, Call{Verb: verb, Kind: kind, Name: name, URL: target, Body: body}, into)
 }
--- a/store/errors.go
+++ b/store/errors.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// StatusError is an answer of the object API other than success.
+// StatusError is an answer of the object API with a status other than success.
 type StatusError struct {
 	Code    int
 	Kind    Kind
@@ -19,8 +19,8 @@
 	return fmt.Sprintf("object API: %s/%s: status %d: %s", e.Kind, e.Name, e.Code, e.Message)
 }
 
-// UnansweredError is a call to which no whole answer came; a write may have
-// taken effect.
+// UnansweredError is returned for a call without a complete answer; a write may have taken
+// effect.
 type UnansweredError struct {
 	Kind Kind
 	Name string
@@ -35,10 +35,10 @@
 // Unwrap returns the transport's error.
 func (e *UnansweredError) Unwrap() error { return e.Err }
 
-// ErrOlder is an answer from before what is known already.
+// ErrOlder is returned for an answer that is older than what is already known.
 var ErrOlder = errors.New("object API: the answer is older than what is known")
 
-// EncodeError is an object that cannot be encoded or decoded.
+// EncodeError is returned for an object that cannot be encoded or decoded.
 type EncodeError struct {
 	Kind Kind
 	Name string
@@ -53,28 +53,32 @@
 // Unwrap returns the codec's error.
 func (e *EncodeError) Unwrap() error { return e.Err }
 
-// IsNotFound tells whether the object does not exist.
+// IsNotFound reports whether the object does not exist.
 func IsNotFound(err error) bool { return hasStatus(err, http.StatusNotFound) }
 
-// IsConflict tells whether a conditional write met another version, or a
-// create met an object that exists.
+// IsConflict reports whether a conditional write failed because the object has another
+// version, or a create because the object exists.
 func IsConflict(err error) bool { return hasStatus(err, http.StatusConflict) }
 
-// IsExpired tells whether a watch began at a version that is no longer kept.
+// IsExpired reports whether a watch failed because the store no longer keeps its start
+// version.
 func IsExpired(err error) bool { return hasStatus(err, http.StatusGone) }
 
-// IsUnanswered tells whether the call may have taken effect.
+// IsUnanswered reports whether the call got no complete answer, so that it may have taken
+// effect.
 func IsUnanswered(err error) bool {
 	var e *UnansweredError
 	return errors.As(err, &e)
 }
 
-// ExpiredError is the error of a watch from a version that is not kept.
+// ExpiredError returns the error of a watch from a version of an earlier era, for which
+// IsExpired is true.
 func ExpiredError(kind Kind) error {
 	return &StatusError{Code: http.StatusGone, Kind: kind, Message: ErrEarlierEra.Error()}
 }
 
-// ConflictError is the error of a write whose condition cannot hold.
+// ConflictError returns the error of a write that is conditional on a version of an earlier
+// era, for which IsConflict is true.
 func ConflictError(kind Kind, name string) error {
 	return &StatusError{Code: http.StatusConflict, Kind: kind, Name: name, Message: ErrEarlierEra.Error()}
 }
--- a/store/object.go
+++ b/store/object.go
@@ -8,33 +8,33 @@
 // Kind is the plural resource name under which objects are stored.
 type Kind string
 
-// The kinds of object that the system keeps.
+// The kinds of object that the system stores.
 const (
 	KindSettings Kind = "settings"
 	KindChunk    Kind = "settingschunks"
-	// KindRevision holds the accepted revisions before the one in force.
+	// KindRevision stores the accepted settings revisions before the one in force.
 	KindRevision Kind = "settingsrevisions"
 	KindLease    Kind = "leases"
 	KindLedger   Kind = "ledgers"
 	KindClaim    Kind = "claims"
-	// KindSettlement holds an earlier controller's word that none of its orders
-	// can arrive any more.
+	// KindSettlement stores a previous controller's statement that none of its orders can
+	// still arrive.
 	KindSettlement Kind = "settlements"
-	// KindInstance holds where each instance reaches the others.
+	// KindInstance stores the address at which each instance receives from the others.
 	KindInstance Kind = "instances"
-	// KindHold holds the requests that are held back.
+	// KindHold stores the requests that are held back.
 	KindHold Kind = "holds"
-	// KindPeerKey holds the key of the instances' datagrams.
+	// KindPeerKey stores the key of the datagrams between instances.
 	KindPeerKey Kind = "peerkeys"
 )
 
 // APIVersion is the group and version of the system's own kinds.
 const APIVersion = "eiderspring.dev/v1"
 
-// MaxObjectBytes is the largest value that the object API takes.
+// MaxObjectBytes is the maximum size of an object in the object API.
 const MaxObjectBytes = 1 << 20
 
-// writeIDAnnotation holds the id of the write that made this version.
+// writeIDAnnotation is the annotation with the id of the write that created this version.
 const writeIDAnnotation = "eiderspring.dev/write-id"
 
 // Metadata identifies an object and its version.
@@ -65,27 +65,29 @@
 	return Object{APIVersion: APIVersion, Kind: kind, Metadata: Metadata{Name: name}, Spec: raw}, nil
 }
 
-// WithSpec returns a copy of the object with another spec.
+// WithSpec returns an object of the same kind, name and version with another spec. It drops
+// labels, annotations and status.
 func (o Object) WithSpec(spec any) (Object, error) {
 	next, err := NewObject(o.Kind, o.Metadata.Name, spec)
 	next.Metadata.ResourceVersion = o.Metadata.ResourceVersion
 	return next, err
 }
 
-// WriteID returns the id of the write that made this version.
+// WriteID returns the id of the write that created this version.
 func (o Object) WriteID() string { return o.Metadata.Annotations[writeIDAnnotation] }
 
 // List is the objects of a kind at one resource version.
 type List struct {
 	ResourceVersion string
 	Items           []Object
-	// FreshAsOf is when a Reflector asked for the list, zero if it may be behind.
+	// FreshAsOf is when a Reflector requested the list; zero if the list may be stale. The
+	// list contains all that the store had acknowledged by then.
 	FreshAsOf time.Time
-	// RequestedAt is the same for lists that may be behind too.
+	// RequestedAt is the same but also set for lists that may be stale.
 	RequestedAt time.Time
 }
 
-// EventType says what happened to an object.
+// EventType is the kind of change to an object.
 type EventType string
 
 // Types of watch event.
@@ -93,18 +95,18 @@
 	EventAdded    EventType = "ADDED"
 	EventModified EventType = "MODIFIED"
 	EventDeleted  EventType = "DELETED"
-	// EventBookmark only tells a newer resource version.
+	// EventBookmark carries only a newer resource version.
 	EventBookmark EventType = "BOOKMARK"
 )
 
-// Event is one change that a watch reports.
+// Event is a change reported by a watch.
 type Event struct {
 	Type   EventType `json:"type"`
 	Object Object    `json:"object"`
-	// Stale tells that the answer which brought the event may be seconds old.
+	// Stale is set if the answer that carried the event may be seconds old.
 	Stale bool `json:"-"`
-	// FreshAsOf is when the call was made that brought the event, zero where it may be behind
-	// or its watch is not made of calls. All that the store had acknowledged by then has come
-	// with the bookmark behind the call's changes.
+	// FreshAsOf is when the call that returned the event was made; zero if the event may be
+	// stale or the watch is a stream. With the bookmark after the call's changes, all that the
+	// store had acknowledged by then has been reported.
 	FreshAsOf time.Time `json:"-"`
 }
--- a/store/put.go
+++ b/store/put.go
@@ -6,9 +6,10 @@
 	"github.com/eiderspring/eiderspring/commit"
 )
 
-// Put creates an object that has no resource version, or updates one that has,
-// on the condition that it still has it. It does not resolve a lost answer:
-// that is for those who learn by reading what the store has.
+// Put creates the object if it has no resource version; otherwise it updates the
+// object on the condition that the version is unchanged. It does not resolve lost
+// answers, for which it returns commit.Unknown: callers find out what is stored by
+// reading it.
 func Put(ctx context.Context, c Client, o Object) (version string, result commit.Result) {
 	send := c.Update
 	if o.Metadata.ResourceVersion == "" {
--- a/store/reflector.go
+++ b/store/reflector.go
@@ -9,55 +9,56 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// Reflector keeps a handler up to date with the objects of a kind by listing
-// and watching. It is the one watch of an instance on that kind.
+// Reflector keeps a handler up to date with the objects of a kind by listing and watching
+// them. An instance has one for each kind that it watches.
 type Reflector struct {
 	client Client
 	kind   Kind
-	// replace gets the whole list after each (re)list.
+	// replace receives the complete list after each list or relist.
 	replace func(List)
-	// apply gets each change that follows, and bookmarks.
+	// apply receives each subsequent change and bookmark.
 	apply func(Event)
-	// fail gets each error that interrupts the watch.
+	// fail receives each error that interrupts the watch.
 	fail func(error)
-	// jitter returns a number in [0,1); it spreads the reconnections of many
+	// jitter returns a random number in [0,1), which spreads the reconnections of many
 	// instances over the retry interval.
 	jitter func() float64
-	// options are those of its watches.
+	// options are the options of its watches.
 	options WatchOptions
-	// version is where the watch goes on; empty means that a list is needed.
+	// version is the resource version from which to watch; empty means that a list is needed.
 	version string
-	// least is the newest version that was known.
-	least string
+	// newestVersion is the newest resource version received. It is kept when version is reset.
+	newestVersion string
 }
 
-// Bounds of the pause before a reflector lists again after a failure. With the
-// jitter these are what keeps a returning store from meeting every instance
-// at once.
+// Bounds of the delay before a Reflector retries after a failure, before jitter. Together
+// with the jitter they prevent all instances from reconnecting at once to a store that has
+// recovered.
 const (
-	reflectorMinPause = 200 * time.Millisecond
-	reflectorMaxPause = 600 * time.Millisecond
-	// reflectorBehindPause is that before a list that may come late.
-	reflectorBehindPause = 2 * time.Second
-	// MaxFirstRetryDelay is the longest pause before a broken watch goes on while the
-	// store answers.
-	MaxFirstRetryDelay = reflectorMinPause * 3 / 2
-	// MaxRetryDelay is that while it does not.
-	MaxRetryDelay = reflectorMaxPause * 3 / 2
-	// WatchSlack is how much longer than the store was told to hold a watch its
-	// answer may take: a slow store needs up to 0.4 s. A call that nobody answers, as it
-	// began while the store was silent or its connection is, is given up then.
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 600 * time.Millisecond
+	// staleRelistDelay is the delay before a relist that may be stale.
+	staleRelistDelay = 2 * time.Second
+	// MaxFirstRetryDelay is the maximum delay, with jitter, before a broken watch resumes
+	// while the store answers.
+	MaxFirstRetryDelay = minRetryDelay * 3 / 2
+	// MaxRetryDelay is the maximum delay, with jitter, while the store does not answer.
+	MaxRetryDelay = maxRetryDelay * 3 / 2
+	// WatchSlack is the time that the answer to a long poll may take beyond the time for
+	// which the store may hold it: a slow store needs up to 0.4 s. It also bounds how long
+	// a call lasts that is never answered because it was made while the store was silent
+	// or on a connection that is.
 	WatchSlack = 600 * time.Millisecond
 )
 
-// NewReflector returns a reflector; Run starts it.
+// NewReflector returns a Reflector; Run starts it.
 func NewReflector(c Client, kind Kind, o WatchOptions, replace func(List), apply func(Event), fail func(error)) *Reflector {
 	return &Reflector{client: c, kind: kind, options: o, replace: replace, apply: apply, fail: fail, jitter: rand.Float64}
 }
 
-// Run lists and watches until ctx ends.
+// Run lists and watches until ctx is done.
 func (r *Reflector) Run(ctx context.Context) {
-	pause := reflectorMinPause
+	delay := minRetryDelay
 	for ctx.Err() == nil {
 		progress, err := r.listAndWatch(ctx)
 		if ctx.Err() != nil {
@@ -65,46 +66,46 @@
 		}
 		r.fail(err)
 		if progress || IsExpired(err) {
-			// The store answers, so there is no outage to spare it in.
-			pause = reflectorMinPause
+			// The store answers, so backing off further is not necessary.
+			delay = minRetryDelay
 		}
-		if !r.pause(ctx, err, pause) {
+		if !r.backOff(ctx, err, delay) {
 			return
 		}
-		pause = min(2*pause, reflectorMaxPause)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// pause waits before the next try. Where history is gone all instances have to list
-// at once; those that may be behind leave themselves more time, for as long as they
-// may be. It reports false if ctx ended first.
-func (r *Reflector) pause(ctx context.Context, err error, pause time.Duration) bool {
+// backOff waits before the next attempt. When the store has dropped its history, all
+// instances have to relist at the same time; those that accept stale answers wait longer,
+// but only while stale answers are allowed. It reports false if ctx is done first.
+func (r *Reflector) backOff(ctx context.Context, err error, delay time.Duration) bool {
 	spread := 0.5 + r.jitter()
 	if IsExpired(err) && r.options.StaleAllowed() {
-		return wait.While(ctx, time.Duration(float64(reflectorBehindPause)*spread), r.options.StaleAllowed)
+		return wait.While(ctx, time.Duration(float64(staleRelistDelay)*spread), r.options.StaleAllowed)
 	}
-	return wait.For(ctx, time.Duration(float64(pause)*spread))
+	return wait.For(ctx, time.Duration(float64(delay)*spread))
 }
 
-// listAndWatch lists unless a version to go on from is known, and watches until
-// the watch breaks. It tells whether the store has answered anything. A version
-// that the store no longer keeps is forgotten.
+// listAndWatch lists, unless a version to watch from is known, and watches until the watch
+// breaks. It reports whether the store has returned a list or an event. It resets a version
+// that the store no longer keeps.
 func (r *Reflector) listAndWatch(ctx context.Context) (progress bool, err error) {
 	if r.version == "" {
-		list, behind, err := r.list(ctx)
+		list, stale, err := r.list(ctx)
 		if err != nil {
 			return false, err
 		}
-		r.version, r.least = list.ResourceVersion, list.ResourceVersion
+		r.version, r.newestVersion = list.ResourceVersion, list.ResourceVersion
 		r.replace(list)
-		if !behind {
+		if !stale {
 			r.options.confirm()
 		}
 		progress = true
 	}
 	err = r.client.Watch(ctx, r.kind, r.version, r.options, func(e Event) {
 		progress = true
-		r.version, r.least = e.Object.Metadata.ResourceVersion, e.Object.Metadata.ResourceVersion
+		r.version, r.newestVersion = e.Object.Metadata.ResourceVersion, e.Object.Metadata.ResourceVersion
 		if !e.Stale {
 			r.options.confirm()
 		}
@@ -116,20 +117,21 @@
 	return progress, err
 }
 
-// list asks for the whole list, which may be behind where changes may be and the store
-// knows such reads. One that is older than what is known is asked for again, not behind.
-func (r *Reflector) list(ctx context.Context) (l List, behind bool, err error) {
+// list requests the complete list. It accepts a stale list if stale answers are allowed and
+// the client offers them; if that list is older than what is known, it requests a list that
+// is not stale.
+func (r *Reflector) list(ctx context.Context) (l List, stale bool, err error) {
 	reader, offered := r.client.(StaleReader)
 	if offered && r.options.StaleAllowed() {
-		asked := r.options.CallTime()
-		l, err = reader.ListStale(ctx, r.kind, r.least)
-		l.RequestedAt = asked
+		requestedAt := r.options.CallTime()
+		l, err = reader.ListStale(ctx, r.kind, r.newestVersion)
+		l.RequestedAt = requestedAt
 		if !errors.Is(err, ErrOlder) {
 			return l, true, err
 		}
 	}
-	asked := r.options.CallTime()
+	requestedAt := r.options.CallTime()
 	l, err = r.client.List(ctx, r.kind)
-	l.FreshAsOf, l.RequestedAt = asked, asked
+	l.FreshAsOf, l.RequestedAt = requestedAt, requestedAt
 	return l, false, err
 }
--- a/store/reflector_test.go
+++ b/store/reflector_test.go
@@ -16,17 +16,17 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// scriptedClient is a store of which only lists and watches are asked.
+// scriptedClient is a client that serves only lists and watches.
 type scriptedClient struct {
 	store.Client
 	mu    sync.Mutex
 	lists []time.Time
-	// watch answers the n-th watch.
+	// watch serves the n-th watch; after a nil error the watch stays open until ctx is done.
 	watch   func(n int, version string, handle func(store.Event)) error
 	watches int
 }
 
-// listed is how often the store was asked for a list.
+// listed returns the number of lists requested.
 func (c *scriptedClient) listed() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,18 +52,18 @@
 	return ctx.Err()
 }
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("unavailable")
 
-// TestReflectorListsSoonAfterHistoryIsGone lets a long outage end with a watch
-// whose history is gone. The pauses of the outage must not delay the list: what
-// the store acknowledged meanwhile has to be in force within a second or two.
+// TestReflectorListsSoonAfterHistoryIsGone ends a long outage with a watch whose start
+// version is no longer kept. The backoff of the outage must not delay the relist: writes that
+// the store acknowledged in the meantime must take effect within a second or two.
 func TestReflectorListsSoonAfterHistoryIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var back time.Time
 		c := &scriptedClient{watch: func(n int, _ string, _ func(store.Event)) error {
 			switch {
 			case n < 30:
-				return errAway
+				return errUnavailable
 			case n == 30:
 				back = time.Now()
 				return &store.StatusError{Code: http.StatusGone}
@@ -83,8 +83,8 @@
 	})
 }
 
-// TestReflectorGoesOnFromItsVersion breaks a watch behind a bookmark: the next
-// one goes on from there, without a list.
+// TestReflectorGoesOnFromItsVersion breaks a watch after a bookmark: the next watch must
+// resume from the bookmark's version without a list.
 func TestReflectorGoesOnFromItsVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var versions []string
@@ -92,7 +92,7 @@
 			versions = append(versions, version)
 			if n == 1 {
 				handle(store.Event{Type: store.EventBookmark, Object: store.Object{Metadata: store.Metadata{ResourceVersion: "107"}}})
-				return errAway
+				return errUnavailable
 			}
 			return nil
 		}}
@@ -108,14 +108,14 @@
 	})
 }
 
-// TestReflectorThatMayBeBehindListsLater lets a store forget its history again and
-// again: whoever may be behind lists seldom, and at once when it no longer may.
-func TestReflectorThatMayBeBehindListsLater(t *testing.T) {
+// TestReflectorThatAllowsStaleListsLater uses a store that drops its history repeatedly: a
+// reflector that allows stale answers relists rarely, and promptly once it no longer does.
+func TestReflectorThatAllowsStaleListsLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &scriptedClient{watch: func(int, string, func(store.Event)) error { return &store.StatusError{Code: http.StatusGone} }}
-		var behind atomic.Bool
-		behind.Store(true)
-		r := store.NewReflector(c, store.KindLease, store.WatchOptions{AllowStale: behind.Load}, func(store.List) {}, func(store.Event) {}, func(error) {})
+		var allowStale atomic.Bool
+		allowStale.Store(true)
+		r := store.NewReflector(c, store.KindLease, store.WatchOptions{AllowStale: allowStale.Load}, func(store.List) {}, func(store.Event) {}, func(error) {})
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); r.Run(ctx) }()
@@ -123,7 +123,7 @@
 		synctest.Wait()
 		lists := c.listed()
 		require.Less(t, lists, 45)
-		behind.Store(false)
+		allowStale.Store(false)
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		require.Greater(t, c.listed()-lists, 180)
@@ -132,10 +132,10 @@
 	})
 }
 
-// TestPauseEndsWithTheWordItRestsOn lets a store forget its history while the
-// reflector may be behind. What it may leave to others it does not leave to them any
-// more once they are silent: the pause of seconds before the list ends with that.
-func TestPauseEndsWithTheWordItRestsOn(t *testing.T) {
+// TestRelistDelayEndsWhenStaleIsNotAllowed uses a store that drops its history while stale
+// answers are allowed because other instances supply the changes. Once the others are silent,
+// stale answers are no longer allowed, and the delay of seconds before the relist must end.
+func TestRelistDelayEndsWhenStaleIsNotAllowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &scriptedClient{watch: func(n int, _ string, _ func(store.Event)) error {
 			if n == 1 {
@@ -143,38 +143,38 @@
 			}
 			return nil
 		}}
-		var behind atomic.Bool
-		behind.Store(true)
-		r := store.NewReflector(c, store.KindLease, store.WatchOptions{AllowStale: behind.Load}, func(store.List) {}, func(store.Event) {}, func(error) {})
+		var allowStale atomic.Bool
+		allowStale.Store(true)
+		r := store.NewReflector(c, store.KindLease, store.WatchOptions{AllowStale: allowStale.Load}, func(store.List) {}, func(store.Event) {}, func(error) {})
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); r.Run(ctx) }()
 		time.Sleep(500 * time.Millisecond)
 		synctest.Wait()
-		require.Equal(t, 1, c.listed(), "the others tell")
-		behind.Store(false)
+		require.Equal(t, 1, c.listed(), "the others supply changes")
+		allowStale.Store(false)
 		time.Sleep(wait.PollInterval)
 		synctest.Wait()
-		require.Equal(t, 2, c.listed(), "nobody tells any more")
+		require.Equal(t, 2, c.listed(), "the others are silent")
 		stop()
 		<-done
 	})
 }
 
-// An answer that may be old confirms nothing, one that may not be does, also without
-// changes; and so does a list.
-func TestOnlyCloseAnswersConfirm(t *testing.T) {
+// TestOnlyFreshAnswersCallOnFresh checks that OnFresh is called for the list and for each
+// answer that is not stale, even without changes, and not for a stale answer.
+func TestOnlyFreshAnswersCallOnFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &scriptedClient{watch: func(n int, _ string, handle func(store.Event)) error {
 			e := store.Event{Type: store.EventBookmark, Object: store.Object{Metadata: store.Metadata{ResourceVersion: "101"}}, Stale: n == 1}
 			handle(e)
 			if n < 3 {
-				return errAway
+				return errUnavailable
 			}
 			return nil
 		}}
-		confirmed := 0
-		options := store.WatchOptions{OnFresh: func() { confirmed++ }}
+		fresh := 0
+		options := store.WatchOptions{OnFresh: func() { fresh++ }}
 		r := store.NewReflector(c, store.KindLease, options, func(store.List) {}, func(store.Event) {}, func(error) {})
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -182,6 +182,6 @@
 		time.Sleep(time.Minute)
 		stop()
 		<-done
-		require.Equal(t, 3, confirmed, "the list and two of three answers")
+		require.Equal(t, 3, fresh, "the list and two of three answers")
 	})
 }
--- a/store/silence_test.go
+++ b/store/silentconn_test.go
@@ -14,28 +14,28 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// All open connections to the store can go silent at once, for good and without a
-// reset, while new ones work: also those that rest unused between two calls. A call
-// that had timed out on a silent connection was made again on the next resting one,
-// which was as silent, so an instance that kept several of them heard nothing for
-// several timeouts in a row. After a timeout no resting connection is used again.
+// This test guards against several timeouts in a row. All open connections to the store,
+// also idle ones, can go silent at once, permanently and without a reset, while new
+// connections work. A call that is retried after a timeout must not use the next idle
+// connection, which is as silent: after a timeout no idle connection is used again.
 
-// muteServer answers on connections that were opened after it was muted.
-type muteServer struct {
+// silencingServer answers only on connections that were opened after the last call of
+// silence.
+type silencingServer struct {
 	*httptest.Server
-	mu    sync.Mutex
-	muted map[net.Conn]bool
-	open  map[net.Conn]bool
-	// hold lets calls wait until all of them are there, so that each has a
-	// connection of its own.
-	hold sync.WaitGroup
+	mu     sync.Mutex
+	silent map[net.Conn]bool
+	open   map[net.Conn]bool
+	// barrier holds calls until all of them have arrived, so that each has its own
+	// connection.
+	barrier sync.WaitGroup
 }
 
 type connKey struct{}
 
-func newMuteServer(t *testing.T, calls int) *muteServer {
-	s := &muteServer{muted: map[net.Conn]bool{}, open: map[net.Conn]bool{}}
-	s.hold.Add(calls)
+func newSilencingServer(t *testing.T, calls int) *silencingServer {
+	s := &silencingServer{silent: map[net.Conn]bool{}, open: map[net.Conn]bool{}}
+	s.barrier.Add(calls)
 	s.Server = httptest.NewUnstartedServer(http.HandlerFunc(s.serve))
 	s.Config.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
 		s.mu.Lock()
@@ -48,33 +48,33 @@
 	return s
 }
 
-func (s *muteServer) serve(w http.ResponseWriter, r *http.Request) {
+func (s *silencingServer) serve(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	muted := s.muted[r.Context().Value(connKey{}).(net.Conn)]
+	silent := s.silent[r.Context().Value(connKey{}).(net.Conn)]
 	s.mu.Unlock()
-	if muted {
+	if silent {
 		<-r.Context().Done()
 		return
 	}
 	if r.URL.Query().Has("labelSelector") {
-		s.hold.Done()
-		s.hold.Wait()
+		s.barrier.Done()
+		s.barrier.Wait()
 	}
 	_, _ = w.Write([]byte(`{"metadata":{"resourceVersion":"1"},"items":[]}`))
 }
 
-// mute silences the connections that are open now.
-func (s *muteServer) mute() {
+// silence stops answering on the connections that are open now.
+func (s *silencingServer) silence() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.open {
-		s.muted[c] = true
+		s.silent[c] = true
 	}
 }
 
 func TestSilentConnectionsAreNotUsedOneAfterTheOther(t *testing.T) {
 	const connections = 4
-	server := newMuteServer(t, connections)
+	server := newSilencingServer(t, connections)
 	transport := &http.Transport{MaxIdleConnsPerHost: connections}
 	t.Cleanup(transport.CloseIdleConnections)
 	client := store.NewHTTPClient(store.Config{URL: server.URL, CallTimeout: 5 * time.Second, Transport: transport})
@@ -86,10 +86,10 @@
 		})
 	}
 	calls.Wait()
-	server.mute()
+	server.silence()
 	impatient := store.NewHTTPClient(store.Config{URL: server.URL, CallTimeout: 100 * time.Millisecond, Transport: transport})
 	_, err := impatient.List(t.Context(), store.KindLease)
 	require.True(t, store.IsUnanswered(err))
 	_, err = client.List(t.Context(), store.KindLease)
-	require.NoError(t, err, "the call behind a timeout goes to a new connection")
+	require.NoError(t, err, "the call after a timeout uses a new connection")
 }
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -47,7 +47,7 @@
 	_, err = c.Update(ctx, next)
 	require.NoError(t, err)
 	_, err = c.Update(ctx, next)
-	require.True(t, store.IsConflict(err), "the version has moved on")
+	require.True(t, store.IsConflict(err), "the version has changed")
 }
 
 func TestOutageIsUnanswered(t *testing.T) {
@@ -57,8 +57,8 @@
 	require.True(t, store.IsUnanswered(err))
 }
 
-// TestLostAnswersAreResolved makes many writes of which one in ten loses its
-// answer after the effect; the writer knows the fate of each.
+// TestLostAnswersAreResolved makes many writes, one in ten of which loses its answer after
+// taking effect: the Writer must determine the effect of each.
 func TestLostAnswersAreResolved(t *testing.T) {
 	api, c := newStore(t)
 	api.SetMode(standin.StoreLostAnswers)
@@ -77,7 +77,7 @@
 	api, c := newStore(t)
 	var mu sync.Mutex
 	seen := map[string]bool{}
-	note := func(o store.Object) {
+	record := func(o store.Object) {
 		mu.Lock()
 		defer mu.Unlock()
 		seen[o.Metadata.Name] = true
@@ -91,9 +91,9 @@
 	}
 	r := store.NewReflector(c, store.KindLease, store.WatchOptions{}, func(l store.List) {
 		for _, o := range l.Items {
-			note(o)
+			record(o)
 		}
-	}, func(e store.Event) { note(e.Object) }, func(error) {})
+	}, func(e store.Event) { record(e.Object) }, func(error) {})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); r.Run(ctx) }()
