--- a/engine/client.go
+++ b/engine/client.go
@@ -15,52 +15,55 @@
 	"time"
 )
 
-// Headers of the protocol towards endpoints.
+// Headers of the protocol between an instance and an endpoint.
 const (
-	// RequestIDHeader carries the attempt's id both ways.
+	// RequestIDHeader carries the attempt's id in the request and in the answer.
 	RequestIDHeader = "X-Request-Id"
-	// IdempotencyKeyHeader carries the caller's key.
+	// IdempotencyKeyHeader carries the caller's idempotency key.
 	IdempotencyKeyHeader = "Idempotency-Key"
-	// LastEventIDHeader asks to resume after a token offset.
+	// LastEventIDHeader requests that a stream resume after a token offset.
 	LastEventIDHeader = "Last-Event-ID"
 )
 
-// Attempt is one try of a request at one endpoint.
+// Attempt is one attempt to run a request at an endpoint.
 type Attempt struct {
 	ID       string
 	Endpoint string
-	// Incarnation is the one of the endpoint that is meant; empty means any.
+	// Incarnation is the incarnation of the endpoint that the attempt is for; empty means
+	// any.
 	Incarnation string
 	// Address is host:port.
 	Address string
 	Method  string
 	Path    string
-	// Host is the host that the caller asked for; empty means Address.
+	// Host is the host in the caller's request; empty means Address.
 	Host string
-	// CallerHeader is the head of the caller's request, of which the dialect says what
-	// goes to the endpoint; Header is what the instance itself adds.
+	// CallerHeader is the header of the caller's request, of which the dialect selects the
+	// fields to forward; Header holds the fields that the instance adds.
 	CallerHeader, Header http.Header
 	Body                 []byte
-	// Account names whose request it is, for endpoints that are told; empty for nobody.
+	// Account is the client account of the request, for endpoints that take it; empty for
+	// none.
 	Account string
-	// Priority orders requests at the endpoint; higher goes first.
+	// Priority orders requests at the endpoint; a higher one goes first.
 	Priority int
-	// Resume asks to continue a stream behind the event ResumeAfter.
+	// Resume requests that a stream continue after the event ResumeAfter.
 	Resume      bool
 	ResumeAfter int64
 }
 
-// Dialer opens connections; net.Dialer.DialContext is one.
+// Dialer opens connections, like net.Dialer.DialContext.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Config sets up a client.
+// Config configures a Client.
 type Config struct {
 	Dial Dialer
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout limits the time to open a connection; 0 means DefaultDialTimeout.
 	DialTimeout time.Duration
-	// IdlePerEndpoint is how many idle connections to keep to each endpoint.
+	// IdlePerEndpoint is the maximum number of idle connections to each endpoint; 0 means
+	// DefaultIdlePerEndpoint.
 	IdlePerEndpoint int
-	// Dialect is how endpoints are spoken to; nil means OpenAI.
+	// Dialect is the protocol of the endpoints; nil means OpenAI.
 	Dialect Dialect
 }
 
@@ -77,7 +80,7 @@
 	dialect   Dialect
 }
 
-// NewClient returns a client with connections of its own.
+// NewClient returns a Client with its own connection pool.
 func NewClient(cfg Config) *Client {
 	if cfg.Dialect == nil {
 		cfg.Dialect = OpenAI{}
@@ -106,34 +109,35 @@
 	}}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Do sends the attempt and returns the answer once its header is there. The
-// caller closes the body. Any status from the endpoint other than a refusal
-// to start is an answer, not an error.
+// Do sends the attempt and returns the response once its header has arrived. The
+// body must be closed after use. Every response other than a refusal to start is
+// returned without error, whatever its status. The error is a *NotStartedError or
+// an *UnknownError.
 func (c *Client) Do(ctx context.Context, a Attempt) (*http.Response, error) {
-	var left departure
-	req, err := c.newRequest(httptrace.WithClientTrace(ctx, left.trace()), a)
+	var sent sendTracker
+	req, err := c.newRequest(httptrace.WithClientTrace(ctx, sent.trace()), a)
 	if err != nil {
 		return nil, &NotStartedError{Endpoint: a.Endpoint, Unsent: true, Err: err}
 	}
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
-		if left.nothingLeft() {
+		if sent.sealIfUnsent() {
 			return nil, &NotStartedError{Endpoint: a.Endpoint, Unsent: true, Err: err}
 		}
 		return nil, &UnknownError{Endpoint: a.Endpoint, Err: err}
 	}
 	if err := c.dialect.Check(resp, a); err != nil {
-		return nil, left.reject(resp, a.Endpoint, err)
+		return nil, sent.reject(resp, a.Endpoint, err)
 	}
 	return resp, nil
 }
 
-// reject gives up an answer that is not passed on. A connection that carried
-// an answer which belongs elsewhere is not used again.
-func (d *departure) reject(resp *http.Response, endpoint string, err error) error {
+// reject discards a response that fails the dialect's check and returns the error for
+// Do. A connection that carried the answer of another attempt is not used again.
+func (s *sendTracker) reject(resp *http.Response, endpoint string, err error) error {
 	var refused *RefusedError
 	if errors.As(err, &refused) {
 		drainBody(resp)
@@ -142,18 +146,18 @@
 			Header: resp.Header, Err: &refused.RefusalError,
 		}
 	}
-	d.abandon()
+	s.closeConn()
 	resp.Body.Close()
 	return &UnknownError{Endpoint: endpoint, Err: err}
 }
 
-// drainBody reads a short rest, so that the connection can be used again.
+// drainBody reads a short remainder of the body so that the connection can be reused.
 func drainBody(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, maxRefusalBytes)
 	resp.Body.Close()
 }
 
-// ForeignAnswerError is an answer that belongs to another attempt.
+// ForeignAnswerError is returned for an answer that belongs to another attempt.
 type ForeignAnswerError struct{ Want, Got string }
 
 // Error names both attempts.
@@ -166,7 +170,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The target goes out byte for byte as it came in.
+	// The request target is forwarded byte for byte as received.
 	req.URL.Opaque, req.URL.RawQuery, _ = strings.Cut(a.Path, "?")
 	if a.Host != "" {
 		req.Host = a.Host
@@ -178,8 +182,8 @@
 	return req, nil
 }
 
-// Resume continues a broken stream after the token at offset; -1 begins anew
-// at the first token of the same run.
+// Resume continues a broken stream after the token at offset; -1 restarts from the first
+// token of the same run.
 func (c *Client) Resume(ctx context.Context, endpoint, address, attemptID string, offset int64) (*http.Response, error) {
 	return c.Do(ctx, Attempt{
 		ID: attemptID, Endpoint: endpoint, Address: address, Method: http.MethodGet,
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rawServer answers each connection by a script, below HTTP.
+// rawServer passes each accepted connection to serve, below HTTP.
 func rawServer(t *testing.T, serve func(conn net.Conn, requests *atomic.Int64)) (address string, requests *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,8 +34,8 @@
 	return l.Addr().String(), requests
 }
 
-// answerThenCut answers the first request of a connection and cuts it after
-// reading the second: the moment at which net/http would repeat by itself.
+// answerThenCut answers the first request of a connection and closes the connection after
+// reading the second: in this case net/http would retry on its own.
 func answerThenCut(conn net.Conn, requests *atomic.Int64) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -74,13 +74,13 @@
 			_, err = c.Do(context.Background(), attempt)
 			var unknown *UnknownError
 			require.ErrorAs(t, err, &unknown)
-			require.EqualValues(t, 2, requests.Load(), "the cut request was sent once")
+			require.EqualValues(t, 2, requests.Load(), "the interrupted request was sent once")
 		})
 	}
 }
 
-// TestPlainTransportRepeats shows that the test above can fail: without the
-// protection net/http sends the same request a third time.
+// TestPlainTransportRepeats verifies that TestTransportDoesNotRepeat can fail: without
+// sendOnce, net/http sends a third request.
 func TestPlainTransportRepeats(t *testing.T) {
 	address, requests := rawServer(t, answerThenCut)
 	client := &http.Client{Transport: &http.Transport{}}
@@ -111,9 +111,9 @@
 	local, remote := net.Pipe()
 	defer remote.Close()
 	conn := &countingConn{Conn: local}
-	d := departure{}
+	d := sendTracker{}
 	d.conn.Store(conn)
-	require.True(t, d.nothingLeft())
+	require.True(t, d.sealIfUnsent())
 	_, err := conn.Write([]byte("late"))
 	require.ErrorIs(t, err, net.ErrClosed)
 
@@ -122,10 +122,10 @@
 	_, err = written.Write([]byte("x"))
 	require.NoError(t, err)
 	d.conn.Store(written)
-	require.False(t, d.nothingLeft(), "a byte has left")
+	require.False(t, d.sealIfUnsent(), "a byte was sent")
 }
 
-func TestAnswersAreClassed(t *testing.T) {
+func TestAnswersAreClassified(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		handler http.HandlerFunc
@@ -140,7 +140,7 @@
 			require.ErrorAs(t, err, &notStarted)
 			require.True(t, notStarted.NotResident)
 		}},
-		{"other error is an answer, and whole", func(w http.ResponseWriter, _ *http.Request) {
+		{"other error is an answer with its whole body", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "application/json")
 			w.WriteHeader(http.StatusInternalServerError)
 			_, _ = io.WriteString(w, `{"error":{"code":"failed"}}`)
--- a/engine/control.go
+++ b/engine/control.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// UnitReport is one unit on an endpoint, as the endpoint tells it.
+// UnitReport is the state of one unit on an endpoint, as reported by the endpoint.
 type UnitReport struct {
 	Name     string `json:"name"`
 	MemoryMB int64  `json:"memoryMB"`
@@ -16,7 +16,7 @@
 	Running  int    `json:"running"`
 }
 
-// Report is an endpoint's account of itself at ObservedAt.
+// Report is an endpoint's report of its state at ObservedAt.
 type Report struct {
 	Incarnation string                `json:"incarnation"`
 	Epoch       int64                 `json:"epoch"`
@@ -29,7 +29,7 @@
 	Orders      map[string]OrderState `json:"orders"`
 }
 
-// OrderState is what an endpoint has made of an order.
+// OrderState is the state of an order at an endpoint.
 type OrderState string
 
 // States of an order at an endpoint.
@@ -39,7 +39,7 @@
 	OrderRefused OrderState = "refused"
 )
 
-// OrderOp is what an order asks for.
+// OrderOp is the operation that an order requests.
 type OrderOp string
 
 // Operations of orders.
@@ -50,7 +50,7 @@
 	OpFence OrderOp = "fence"
 )
 
-// Order asks an endpoint to change what it holds.
+// Order instructs an endpoint to change the units that it holds.
 type Order struct {
 	ID       string  `json:"id"`
 	Epoch    int64   `json:"epoch"`
@@ -59,15 +59,15 @@
 	MemoryMB int64   `json:"memoryMB,omitempty"`
 }
 
-// maxReportBytes bounds an endpoint's report.
+// maxReportBytes is the maximum size of an endpoint's report.
 const maxReportBytes = 1 << 20
 
-// Load returns the endpoint's lagging report of its load.
+// Load returns the endpoint's load report, which lags behind its actual state.
 func (c *Client) Load(ctx context.Context, endpoint, address string) (Report, error) {
 	return c.report(ctx, endpoint, address, "/v1/load")
 }
 
-// Inventory returns what the endpoint holds now and the fate of its orders.
+// Inventory returns the units that the endpoint holds now and the states of its orders.
 func (c *Client) Inventory(ctx context.Context, endpoint, address string) (Report, error) {
 	return c.report(ctx, endpoint, address, "/v1/inventory")
 }
@@ -88,8 +88,8 @@
 	return r, nil
 }
 
-// SendOrder delivers an order. A nil error means that the endpoint has taken it;
-// *RefusedOrderError that it never will; any other error that it may yet.
+// SendOrder sends an order. A nil error means that the endpoint has accepted the order,
+// *RefusedOrderError that it never will; after any other error it may still accept it.
 func (c *Client) SendOrder(ctx context.Context, endpoint, address string, o Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -113,7 +113,7 @@
 	}
 }
 
-// RefusedOrderError is an endpoint's refusal of an order with an old epoch.
+// RefusedOrderError is returned when an endpoint refuses an order with an old epoch.
 type RefusedOrderError struct {
 	Endpoint string
 	Order    Order
--- a/engine/dialect.go
+++ b/engine/dialect.go
@@ -11,48 +11,49 @@
 	"time"
 )
 
-// Dialect is how endpoints are spoken to.
+// Dialect is the protocol of a kind of endpoint.
 type Dialect interface {
-	// Headers says which fields of a caller's head go to an endpoint.
+	// Headers returns the rules for forwarding the fields of a caller's header.
 	Headers() Headers
-	// Encode completes a request that carries an attempt. The context's
-	// deadline is that of the request.
+	// Encode completes the HTTP request of an attempt. The deadline of the request's
+	// context is that of the caller's request.
 	Encode(req *http.Request, a Attempt)
-	// Check returns nil for an answer to be passed on. *RefusedError is the
-	// endpoint's word that it has not run the attempt and will not; the body is
-	// used up then. Any other error means that the answer is none to this
+	// Check returns nil for a response to be returned to the caller. *RefusedError means
+	// that the endpoint states that it has not run the attempt and will not; the body is
+	// consumed then. Any other error means that the response does not answer this
 	// attempt, which may have run.
 	Check(resp *http.Response, a Attempt) error
-	// Cancel returns the attempt that tells an endpoint to cancel another one;
-	// false means that closing the connection does so.
+	// Cancel returns the attempt that instructs an endpoint to cancel a; false means that
+	// closing the connection cancels it.
 	Cancel(a Attempt) (Attempt, bool)
-	// SupportsResume tells whether an endpoint goes on with a broken stream when the
-	// attempt's id is asked for.
+	// SupportsResume reports whether an endpoint resumes a broken stream by the attempt's
+	// id.
 	SupportsResume() bool
-	// Load reads the load that an endpoint tells with an answer, the answered
-	// request included; false means that it tells none.
+	// Load returns the load that an endpoint reports with an answer, the answered request
+	// included; false means that it reports none.
 	Load(h http.Header) (running, waiting int, ok bool)
-	// Cold reads how much longer an endpoint stays cold, as it tells with an answer; 0 where
-	// it is not, or does not tell.
+	// Cold returns the remaining time for which an endpoint is cold, as reported with an
+	// answer; 0 if it is not cold or does not report it.
 	Cold(h http.Header) time.Duration
-	// Limit reads the limit that an endpoint names with an answer. The error is a
-	// *LimitError.
+	// Limit returns the request limit that an endpoint reports with an answer. The error
+	// is a *LimitError.
 	Limit(h http.Header) (Limit, error)
 }
 
-// RefusedError is an endpoint's word that it has not run an attempt.
+// RefusedError is returned when an endpoint states that it has not run an attempt and will
+// not.
 type RefusedError struct {
 	RefusalError
-	// Busy is set when it lacked room, NotResident when it does not hold the
-	// unit, and Replaced when it is another incarnation than the one meant.
+	// Busy is set if the endpoint has no capacity, NotResident if it does not hold the
+	// unit, and Replaced if it is another incarnation than the one addressed.
 	Busy, NotResident, Replaced bool
 }
 
-// OpenAI is the product's own dialect.
+// OpenAI is the dialect of model engines: the OpenAI API with additions.
 type OpenAI struct{}
 
-// openAIHeaders are the fields of the product's own protocol: the id of the attempt
-// and where a stream goes on are the instance's to say.
+// openAIHeaders are the rules of the OpenAI dialect: only the instance may set the id of the
+// attempt and the event after which a stream resumes.
 var openAIHeaders = Headers{
 	FirstValueOnly: map[string]bool{IdempotencyKeyHeader: true, "Content-Type": true},
 	Control:        map[string]bool{RequestIDHeader: true, http.CanonicalHeaderKey(LastEventIDHeader): true},
@@ -64,13 +65,15 @@
 // Encode implements Dialect.
 func (OpenAI) Encode(req *http.Request, a Attempt) { req.Header.Set(RequestIDHeader, a.ID) }
 
-// codeNotStarted is the engines' word for a request of which nothing has run.
+// codeNotStarted is the error code with which engines refuse a request without having
+// started it.
 const codeNotStarted = "not_started"
 
-// maxRefusalBytes bounds what is read of a refusal.
+// maxRefusalBytes is the maximum number of bytes read of a refusal.
 const maxRefusalBytes = 4 << 10
 
-// Check implements Dialect. Answers other than refusals are left whole.
+// Check implements Dialect. The bodies of responses other than refusals stay readable in
+// full.
 func (OpenAI) Check(resp *http.Response, a Attempt) error {
 	if got := resp.Header.Get(RequestIDHeader); got != "" && got != a.ID {
 		return &ForeignAnswerError{Want: a.ID, Got: got}
@@ -78,23 +81,24 @@
 	if resp.StatusCode < http.StatusBadRequest || !strings.HasPrefix(resp.Header.Get("Content-Type"), "application/json") {
 		return nil
 	}
-	head, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBytes))
+	prefix, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBytes))
 	var body struct {
 		Error struct{ Code, Message string } `json:"error"`
 	}
-	if err == nil && json.Unmarshal(head, &body) == nil && body.Error.Code == codeNotStarted {
+	if err == nil && json.Unmarshal(prefix, &body) == nil && body.Error.Code == codeNotStarted {
 		return &RefusedError{
 			RefusalError: RefusalError{Status: resp.StatusCode, Code: body.Error.Code, Reason: body.Error.Message},
 			Busy:         resp.StatusCode == http.StatusTooManyRequests,
 			NotResident:  resp.StatusCode == http.StatusNotFound,
 		}
 	}
-	resp.Body = restored{Reader: io.MultiReader(bytes.NewReader(head), resp.Body), Closer: resp.Body}
+	resp.Body = prefixedBody{Reader: io.MultiReader(bytes.NewReader(prefix), resp.Body), Closer: resp.Body}
 	return nil
 }
 
-// restored is a body whose beginning was read and put back.
-type restored struct {
+// prefixedBody is a response body that was partly read: its reader returns the bytes already
+// read first.
+type prefixedBody struct {
 	io.Reader
 	io.Closer
 }
@@ -110,32 +114,33 @@
 // SupportsResume implements Dialect.
 func (OpenAI) SupportsResume() bool { return true }
 
-// Load implements Dialect: engines tell it when asked.
+// Load implements Dialect: engines report their load only on request (Client.Load).
 func (OpenAI) Load(http.Header) (running, waiting int, ok bool) { return 0, 0, false }
 
 // Cold implements Dialect: engines are never cold.
 func (OpenAI) Cold(http.Header) time.Duration { return 0 }
 
-// Limit implements Dialect: engines name none.
+// Limit implements Dialect: engines report no limit.
 func (OpenAI) Limit(http.Header) (Limit, error) { return Limit{}, nil }
 
-// Cancel tells the endpoint that nobody waits for an attempt any more.
+// Cancel notifies the endpoint that an attempt's answer is no longer needed.
 func (c *Client) Cancel(ctx context.Context, a Attempt) error {
-	word, needed := c.dialect.Cancel(a)
+	cancel, needed := c.dialect.Cancel(a)
 	if !needed {
 		return nil
 	}
-	resp, err := c.Do(ctx, word)
+	resp, err := c.Do(ctx, cancel)
 	if err != nil {
 		return err
 	}
 	return resp.Body.Close()
 }
 
-// ReportedLoad returns the load that an endpoint told with an answer.
+// ReportedLoad returns the load that an endpoint reported with an answer; false means that
+// it reported none.
 func (c *Client) ReportedLoad(resp *http.Response) (running, waiting int, ok bool) {
 	return c.dialect.Load(resp.Header)
 }
 
-// Resumes tells whether Resume may be used.
+// Resumes reports whether Resume may be used.
 func (c *Client) Resumes() bool { return c.dialect.SupportsResume() }
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -5,20 +5,20 @@
 	"net/http"
 )
 
-// NotStartedError is proof that an attempt did not start at the endpoint: no
-// byte of it was sent, or the endpoint refused it as a whole.
+// NotStartedError proves that an attempt did not start at the endpoint: no byte of it was
+// sent, or the endpoint refused it entirely.
 type NotStartedError struct {
 	Endpoint string
-	// Unsent is set when no byte of it was sent.
+	// Unsent is set if no byte of the attempt was sent.
 	Unsent bool
-	// Busy is set when the endpoint refused for lack of room.
+	// Busy is set if the endpoint refused for lack of capacity.
 	Busy bool
-	// NotResident is set when the endpoint does not hold the unit.
+	// NotResident is set if the endpoint does not hold the unit.
 	NotResident bool
-	// Replaced is set when another incarnation answers at the endpoint's address:
-	// the one that was meant is gone.
+	// Replaced is set if another incarnation answers at the endpoint's address: the one
+	// addressed no longer exists.
 	Replaced bool
-	// Header is that of the endpoint's refusal; nil if none came.
+	// Header is the header of the endpoint's refusal; nil if there was none.
 	Header http.Header
 	Err    error
 }
@@ -31,7 +31,7 @@
 // Unwrap returns the cause.
 func (e *NotStartedError) Unwrap() error { return e.Err }
 
-// UnknownError is a failure after which the attempt may have run.
+// UnknownError is returned for a failure after which the attempt may have run.
 type UnknownError struct {
 	Endpoint string
 	Err      error
@@ -45,7 +45,7 @@
 // Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Err }
 
-// RefusalError is the endpoint's own refusal with its HTTP status.
+// RefusalError holds the HTTP status, code and reason of an endpoint's refusal.
 type RefusalError struct {
 	Status int
 	Code   string
--- a/engine/header.go
+++ b/engine/header.go
@@ -5,40 +5,40 @@
 	"strings"
 )
 
-// Headers says which fields of a caller's head concern an endpoint in a dialect.
-// Names are in canonical form.
+// Headers holds a dialect's rules for forwarding the fields of a caller's header to an
+// endpoint. Names are in the canonical form of net/http.
 type Headers struct {
-	// FirstValueOnly are the fields that say what is asked for. Each is carried with the one
-	// value that the instance has read, its first: an endpoint that reads another one
-	// would run another request.
+	// FirstValueOnly are the fields that define the request. Each is forwarded with its
+	// first value only, which is the one that the instance has read: an endpoint that read
+	// another value would run another request.
 	FirstValueOnly map[string]bool
-	// Control are the fields by which an instance directs an endpoint. A caller's
-	// are dropped: a forged one takes a place that was set aside, pins memory, or
-	// goes on from the memory of somebody else's request.
+	// Control are the fields by which an instance controls an endpoint. They are dropped
+	// from a caller's header: a forged one could take reserved capacity, pin memory, or
+	// resume from the memory of another caller's request.
 	Control map[string]bool
-	// ControlPrefixes begin the names of further such fields.
+	// ControlPrefixes are name prefixes of further such fields.
 	ControlPrefixes []string
 }
 
-// oneHop are the fields that stay between the caller and the instance: those of one
-// connection (RFC 9110, section 7.6.1), and credentials.
-var oneHop = map[string]bool{
+// hopByHop are the fields that are not forwarded: those of a single connection (RFC 9110,
+// section 7.6.1) and credentials.
+var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Authorization": true, "Content-Length": true,
 }
 
-// HopByHop tells whether a field, its name in canonical form, concerns one connection
-// only or is a credential.
-func HopByHop(name string) bool { return oneHop[name] }
+// HopByHop reports whether a field, its name in canonical form, concerns a single
+// connection only or is a credential.
+func HopByHop(name string) bool { return hopByHop[name] }
 
-// forward returns what a caller's head carries to an endpoint.
+// forward returns the fields of a caller's header that go to an endpoint.
 func (h Headers) forward(caller http.Header) http.Header {
 	out := make(http.Header, len(caller))
 	listed := connectionOptions(caller)
 	for name, values := range caller {
 		switch {
-		case len(values) == 0 || oneHop[name] || h.steers(name):
+		case len(values) == 0 || hopByHop[name] || h.isControl(name):
 		case h.FirstValueOnly[name]:
 			out[name] = values[:1:1]
 		case !listed[name]:
@@ -48,7 +48,7 @@
 	return out
 }
 
-func (h Headers) steers(name string) bool {
+func (h Headers) isControl(name string) bool {
 	if h.Control[name] {
 		return true
 	}
@@ -60,8 +60,8 @@
 	return false
 }
 
-// connectionOptions are the fields that the Connection field names, in canonical
-// form: they concern the caller's connection only.
+// connectionOptions returns the names, in canonical form, that the Connection field lists:
+// these fields concern the caller's connection only.
 func connectionOptions(h http.Header) map[string]bool {
 	var listed map[string]bool
 	for _, value := range h["Connection"] {
--- a/engine/header_test.go
+++ b/engine/header_test.go
@@ -14,48 +14,49 @@
 	ControlPrefixes: []string{"Kv-"},
 }
 
-// TestCallersHeadOnlyAsks draws heads whatever and looks at what goes on: no name that
-// steers an endpoint or concerns one connection, one value of each field that asks, and
-// every other field as it came.
-func TestCallersHeadOnlyAsks(t *testing.T) {
+// TestCallersHeaderIsFiltered generates arbitrary headers and checks what is forwarded: no
+// control or hop-by-hop field, one value of each FirstValueOnly field, and every other field
+// unchanged.
+func TestCallersHeaderIsFiltered(t *testing.T) {
 	names := rapid.SampledFrom([]string{
 		"x-asked", "X-ASKED", "x-steer", "X-Steer", "kv-from", "KV-anything", "connection", "Keep-Alive", "TE",
 		"content-length", "Authorization", "x-other", "Accept",
 	})
 	values := rapid.SampledFrom([]string{"", "a", "b", "x-asked", "x-asked, x-other", "close", "x-steer"})
 	rapid.Check(t, func(t *rapid.T) {
-		head := http.Header{}
+		header := http.Header{}
 		for range rapid.IntRange(0, 12).Draw(t, "fields") {
-			head.Add(names.Draw(t, "name"), values.Draw(t, "value"))
+			header.Add(names.Draw(t, "name"), values.Draw(t, "value"))
 		}
-		out := testHeaders.forward(head)
-		listed := connectionOptions(head)
+		out := testHeaders.forward(header)
+		listed := connectionOptions(header)
 		for name, got := range out {
-			require.False(t, HopByHop(name) || testHeaders.steers(name), name)
+			require.False(t, HopByHop(name) || testHeaders.isControl(name), name)
 			require.False(t, listed[name] && !testHeaders.FirstValueOnly[name], name)
 			if testHeaders.FirstValueOnly[name] {
-				require.Equal(t, head[name][:1], got)
+				require.Equal(t, header[name][:1], got)
 				continue
 			}
-			require.Equal(t, head[name], got)
+			require.Equal(t, header[name], got)
 		}
-		for name := range head {
-			if testHeaders.FirstValueOnly[name] || !HopByHop(name) && !testHeaders.steers(name) && !listed[name] {
+		for name := range header {
+			if testHeaders.FirstValueOnly[name] || !HopByHop(name) && !testHeaders.isControl(name) && !listed[name] {
 				require.Contains(t, out, name)
 			}
 		}
 	})
 }
 
-// TestAskingIsNotUnlisted names what is asked for in the Connection field: were it
-// dropped, the endpoint would be asked something else.
-func TestAskingIsNotUnlisted(t *testing.T) {
-	head := http.Header{"Connection": {"X-Asked, x-other"}, "X-Asked": {"model"}, "X-Other": {"1"}}
-	require.Equal(t, http.Header{"X-Asked": {"model"}}, testHeaders.forward(head))
+// TestConnectionDoesNotDropRequestFields lists a FirstValueOnly field in the Connection
+// field: dropping it would make the endpoint run another request.
+func TestConnectionDoesNotDropRequestFields(t *testing.T) {
+	header := http.Header{"Connection": {"X-Asked, x-other"}, "X-Asked": {"model"}, "X-Other": {"1"}}
+	require.Equal(t, http.Header{"X-Asked": {"model"}}, testHeaders.forward(header))
 }
 
-// TestOwnHeadersStandBesideTheCallers sends an attempt with both kinds.
-func TestOwnHeadersStandBesideTheCallers(t *testing.T) {
+// TestOwnHeadersAreAddedToTheCallers builds the request of an attempt with both kinds: a
+// field that only the instance may set must not come from the caller.
+func TestOwnHeadersAreAddedToTheCallers(t *testing.T) {
 	c := NewClient(Config{})
 	req, err := c.newRequest(t.Context(), Attempt{
 		ID: "mine", Method: http.MethodPost, Path: "/",
--- a/engine/limit.go
+++ b/engine/limit.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// Limit is what an endpoint says, with an answer, of the requests that it takes.
+// Limit is the request limit that an endpoint reports with an answer.
 type Limit struct {
-	// Present is set if it names a limit.
+	// Present is set if the endpoint reports a limit.
 	Present bool
-	// PerSecond is the requests a second that it takes from all instances together.
+	// PerSecond is the number of requests per second that the endpoint accepts from all
+	// instances together.
 	PerSecond float64
 }
 
-// LimitError is a limit that cannot be read.
+// LimitError is returned for a limit that cannot be parsed.
 type LimitError struct{ Text string }
 
-// shownLimit bounds how much of an unreadable limit is shown, in bytes.
-const shownLimit = 40
+// maxShownLimitBytes is the maximum number of bytes of Text in the error message.
+const maxShownLimitBytes = 40
 
-// Error gives the beginning of the text.
+// Error includes the beginning of the text.
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("limit unreadable: %q", e.Text[:min(len(e.Text), shownLimit)])
+	return fmt.Sprintf("limit unreadable: %q", e.Text[:min(len(e.Text), maxShownLimitBytes)])
 }
 
-// ColdRemaining returns how much longer an endpoint stays cold, as it tells with the head of an
-// answer; 0 where it is not, or does not tell.
-func (c *Client) ColdRemaining(head http.Header) time.Duration { return c.dialect.Cold(head) }
+// ColdRemaining returns the remaining time for which an endpoint is cold, as reported in the
+// header of an answer; 0 if it is not cold or does not report it.
+func (c *Client) ColdRemaining(header http.Header) time.Duration { return c.dialect.Cold(header) }
 
-// ReportedLimit returns the limit that an endpoint tells with the head of an answer. The error
-// is a *LimitError; such a word says nothing.
-func (c *Client) ReportedLimit(head http.Header) (Limit, error) { return c.dialect.Limit(head) }
+// ReportedLimit returns the limit that an endpoint reports in the header of an answer. The
+// error is a *LimitError; such a report must be ignored.
+func (c *Client) ReportedLimit(header http.Header) (Limit, error) { return c.dialect.Limit(header) }
--- a/engine/listens.go
+++ b/engine/listening.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// listensLook is how long a new connection is looked at: whoever stands in front of an
-// endpoint that has ended takes the connection, and closes it at once.
-const listensLook = 30 * time.Millisecond
+// probeTime is how long a new connection must stay open to count: a proxy in front of an
+// endpoint that has ended accepts the connection and closes it at once.
+const probeTime = 30 * time.Millisecond
 
-// IsListening tells whether an endpoint takes connections. An error says that it is not
-// known: a machine that is cut off, or without power, answers nothing.
+// IsListening reports whether an endpoint accepts connections. An error means that this is
+// unknown: a machine that is disconnected or without power does not answer.
 func (c *Client) IsListening(ctx context.Context, address string) (bool, error) {
 	conn, err := c.transport.DialContext(ctx, "tcp", address)
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
@@ -27,9 +27,9 @@
 	return staysOpen(conn), nil
 }
 
-// staysOpen tells whether the peer leaves a connection open on which nothing is sent.
+// staysOpen reports whether the peer keeps a connection open on which nothing is sent.
 func staysOpen(conn net.Conn) bool {
-	if err := conn.SetReadDeadline(time.Now().Add(listensLook)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(probeTime)); err != nil {
 		return false
 	}
 	_, err := conn.Read(make([]byte, 1))
--- a/engine/listens_test.go
+++ b/engine/listening_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// listener takes connections and hands them to serve.
+// listener accepts connections and passes them to serve.
 func listener(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,22 +26,22 @@
 	return l.Addr().String()
 }
 
-func TestListens(t *testing.T) {
+func TestIsListening(t *testing.T) {
 	c := NewClient(Config{})
-	closed := listener(t, func(net.Conn) {})
+	waiting := listener(t, func(net.Conn) {})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	gone := l.Addr().String()
+	closed := l.Addr().String()
 	require.NoError(t, l.Close())
 	for name, tc := range map[string]struct {
 		address string
 		want    bool
 	}{
-		"an endpoint that waits":          {closed, true},
-		"an endpoint that says something": {listener(t, func(conn net.Conn) { _, _ = conn.Write([]byte("x")) }), true},
-		"a closed port":                   {gone, false},
-		"a proxy before nobody, end":      {listener(t, func(conn net.Conn) { conn.Close() }), false},
-		"a proxy before nobody, reset": {listener(t, func(conn net.Conn) {
+		"an endpoint that waits for a request": {waiting, true},
+		"an endpoint that sends something":     {listener(t, func(conn net.Conn) { _, _ = conn.Write([]byte("x")) }), true},
+		"a closed port":                        {closed, false},
+		"a proxy without an endpoint, close":   {listener(t, func(conn net.Conn) { conn.Close() }), false},
+		"a proxy without an endpoint, reset": {listener(t, func(conn net.Conn) {
 			_ = conn.(*net.TCPConn).SetLinger(0)
 			conn.Close()
 		}), false},
@@ -52,6 +52,6 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err = c.IsListening(ctx, closed)
-	require.Error(t, err, "not known")
+	_, err = c.IsListening(ctx, waiting)
+	require.Error(t, err, "unknown")
 }
--- /dev/null
+++ b/engine/sendonce.go
@@ -0,0 +1,83 @@
+package engine
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptrace"
+	"sync/atomic"
+)
+
+// onceBody hides from net/http that a body could be read again. http.Transport
+// retries a request automatically if the body is absent or replayable and the method
+// or an Idempotency-Key header suggests that this is safe; it never retries with a
+// body that is neither.
+type onceBody struct{ io.Reader }
+
+// Close implements io.Closer.
+func (onceBody) Close() error { return nil }
+
+// sendOnce sets the body of req so that http.Transport sends it at most once.
+func sendOnce(req *http.Request, body io.Reader) {
+	req.Body = onceBody{body}
+	req.GetBody = nil
+}
+
+// sealed is the value of countingConn.written that forbids further writes.
+const sealed = -1
+
+// countingConn counts the bytes handed to the network and can be sealed at a given
+// count, after which every write fails. Only sealing proves that nothing was sent:
+// when a round trip is cancelled, net/http's write loop may still be about to write.
+type countingConn struct {
+	net.Conn
+	written atomic.Int64
+}
+
+// Write implements net.Conn. The count increases before the write, so that a partial
+// write counts as begun.
+func (c *countingConn) Write(b []byte) (int, error) {
+	for {
+		n := c.written.Load()
+		if n == sealed {
+			return 0, net.ErrClosed
+		}
+		if c.written.CompareAndSwap(n, n+int64(len(b))) {
+			return c.Conn.Write(b)
+		}
+	}
+}
+
+// seal forbids all further writes if the count still is n, and reports whether it was.
+func (c *countingConn) seal(n int64) bool { return c.written.CompareAndSwap(n, sealed) }
+
+// sendTracker determines whether any byte of an attempt may have been sent. before is the
+// connection's count when the attempt got it.
+type sendTracker struct {
+	conn   atomic.Pointer[countingConn]
+	before int64
+}
+
+func (s *sendTracker) trace() *httptrace.ClientTrace {
+	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
+		if conn, ok := info.Conn.(*countingConn); ok {
+			s.before = conn.written.Load()
+			s.conn.Store(conn)
+		}
+	}}
+}
+
+// sealIfUnsent seals the connection if no byte of the attempt was handed to the network, and
+// reports whether that is so; then none will be sent, and the connection cannot be used
+// any more.
+func (s *sendTracker) sealIfUnsent() bool {
+	conn := s.conn.Load()
+	return conn == nil || conn.seal(s.before)
+}
+
+// closeConn closes the connection that the attempt was sent on.
+func (s *sendTracker) closeConn() {
+	if conn := s.conn.Load(); conn != nil {
+		conn.Close()
+	}
+}
--- a/jsonc/document.go
+++ b/jsonc/document.go
@@ -10,14 +10,15 @@
 	"github.com/tailscale/hujson"
 )
 
-// Document is a parsed text that can still tell on which line a path stands.
+// Document is a parsed text that keeps the line of each path.
 type Document struct {
 	file string
 	src  []byte
 	root hujson.Value
 }
 
-// Parse reads a JWCC text. A syntax fault is returned as *Error.
+// Parse parses a JWCC text. file is the document's name in faults. A syntax fault is returned
+// as *Error.
 func Parse(file string, src []byte) (*Document, error) {
 	root, err := hujson.Parse(src)
 	if err != nil {
@@ -42,8 +43,8 @@
 	return line
 }
 
-// Decode fills into, a pointer to a struct, and refuses unknown fields,
-// duplicate names and wrong types. All faults are returned in one *Error.
+// Decode decodes the document into into, a pointer to a struct. It rejects unknown fields,
+// duplicate names and wrong types, and returns all faults in one *Error.
 func (d *Document) Decode(into any) error {
 	w := walker{doc: d}
 	w.value(d.root, reflect.TypeOf(into).Elem(), "")
@@ -66,8 +67,8 @@
 	return Fault{File: d.file, Reason: err.Error()}
 }
 
-// Fault builds a fault at path; the line is that of the nearest enclosing
-// value that exists.
+// Fault returns a fault at path. Its line is that of the value or, if that does not exist,
+// of its nearest existing ancestor.
 func (d *Document) Fault(path, reason string) Fault {
 	return Fault{File: d.file, Line: d.Line(path), Path: path, Reason: reason}
 }
--- a/jsonc/fault.go
+++ b/jsonc/fault.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a document.
+// Fault is one error in a document.
 type Fault struct {
-	// File names the document, as the user gave it.
+	// File is the name of the document, as given by the user.
 	File string
-	// Line is 1-based; 0 when the place is not known.
+	// Line is 1-based; 0 if unknown.
 	Line int
-	// Path is the JSON pointer of the value at fault.
+	// Path is the JSON pointer (RFC 6901) of the invalid value.
 	Path string
-	// Reason says what is wrong, in a form that completes "PATH: ...".
+	// Reason describes the error, in a form that completes "PATH: ...".
 	Reason string
 }
 
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, path, f.Reason)
 }
 
-// Error is a document refused, with all faults found in it.
+// Error is returned for an invalid document and holds all faults found in it.
 type Error struct {
 	Faults []Fault
 }
--- a/jsonc/walker.go
+++ b/jsonc/walker.go
@@ -9,7 +9,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// walker compares a parsed value with the Go type that it is to fill.
+// walker checks a parsed value against the Go type that it is to be decoded into.
 type walker struct {
 	doc    *Document
 	faults []Fault
@@ -150,7 +150,7 @@
 // UnescapePointer is the inverse of EscapePointer.
 func UnescapePointer(token string) string { return pointerUnescaper.Replace(token) }
 
-// Replacers build tables when they are made, so they are made once.
+// Replacers are built once because their construction builds tables.
 var (
 	pointerEscaper   = strings.NewReplacer("~", "~0", "/", "~1")
 	pointerUnescaper = strings.NewReplacer("~1", "/", "~0", "~")
