--- a/engine/client.go
+++ b/engine/client.go
@@ -113,9 +113,9 @@
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
 // Do sends the attempt and returns the response once its header has arrived. The
-// body must be closed after use. Every response other than a refusal to start is
-// returned without error, whatever its status. The error is a *NotStartedError or
-// an *UnknownError.
+// body must be closed after use. Every response to the attempt other than a refusal
+// to start is returned without error, whatever its status. The error is a
+// *NotStartedError or an *UnknownError.
 func (c *Client) Do(ctx context.Context, a Attempt) (*http.Response, error) {
 	var sent sendTracker
 	req, err := c.newRequest(httptrace.WithClientTrace(ctx, sent.trace()), a)
