--- a/daemon/allowances_test.go
+++ b/daemon/allowances_test.go
@@ -118,7 +118,7 @@
 	now = now.Add(3 * time.Second)
 	require.False(t, other.current(7), "it counts from the ask")
 
-	holder.doubt(eraSettle)
+	holder.doubt(eraSettleTime)
 	holder.confirmed(now, 7)
 	age, known := holder.keeper.Age(now, 7)
 	require.True(t, known)
@@ -215,12 +215,12 @@
 
 // TestStrongestAreAskedToStandIn knows a machine that is gone among them.
 func TestStrongestAreAskedToStandIn(t *testing.T) {
-	m := &mesh{instance: "d", now: time.Now, listed: map[string]presence{}, counted: func(int) {}}
+	m := &mesh{instance: "d", now: time.Now, listed: map[string]presence{}, onInstanceCount: func(int) {}}
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
-		m.find(name, &presence{Datagrams: name, Cores: 0.8})
+		m.updateInstance(name, &presence{Datagrams: name, Cores: 0.8})
 	}
-	m.find("weak", &presence{Datagrams: "weak", Cores: 0.2})
-	require.Equal(t, []string{"a", "b", "c"}, m.strongest())
+	m.updateInstance("weak", &presence{Datagrams: "weak", Cores: 0.2})
+	require.Equal(t, []string{"a", "b", "c"}, m.strongestAddresses())
 }
 
 // countedLink counts what waits on a link, and keeps the most that waited when a packet went
@@ -272,25 +272,25 @@
 	a.adopt(limitedTree())
 	link := &countedLink{sealer: opener, sums: map[string]bool{}}
 	m := &mesh{
-		instance: "edge-pnw-hillsboro-13", process: "4KXDQ7A2Z3LRWV6YBTGM5NPHCE", address: "10.1.0.138:7380", now: now, listed: map[string]presence{}, counted: func(int) {}, allowances: a,
-		router: routing.NewRouter(routing.Policies()[routing.PolicyTimely], func() float64 { return 0 }), holds: holds,
-		revision: func() int64 { return 1 }, current: holds, sealer: sealer, datagrams: link, log: logr.Discard(), told: map[string]string{},
-		linkBytes: mbits * bytesPerMbit,
+		instance: "edge-pnw-hillsboro-13", process: "4KXDQ7A2Z3LRWV6YBTGM5NPHCE", address: "10.1.0.138:7380", now: now, listed: map[string]presence{}, onInstanceCount: func(int) {}, allowances: a,
+		router: routing.NewRouter(routing.Policies()[routing.PolicyTimely], func() float64 { return 0 }), isHolder: holds,
+		revision: func() int64 { return 1 }, storeCurrent: holds, sealer: sealer, datagrams: link, log: logr.Discard(), reportedAddresses: map[string]string{},
+		linkBytesPerSecond: mbits * bytesPerMbit,
 	}
 	for i := range instances {
 		name := fmt.Sprintf("edge-%03d", i)
-		m.find(name, &presence{Datagrams: name})
+		m.updateInstance(name, &presence{Datagrams: name})
 	}
 	for i := range endpoints {
-		m.sum = append(m.sum, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010x", i), Running: 40, PrefillMicros: 90_000})
+		m.fleetTotals = append(m.fleetTotals, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010x", i), Running: 40, PrefillMicros: 90_000})
 	}
 	for range goes {
-		m.tellAll()
-		link.drain(m.linkBytes * m.hubPause().Seconds())
+		m.announceAll()
+		link.drain(m.linkBytesPerSecond * m.announceInterval().Seconds())
 	}
 	require.NotZero(t, link.behind)
 	require.Len(t, link.sums, endpoints, "all sums are told")
-	return float64(link.behind) / m.linkBytes
+	return float64(link.behind) / m.linkBytesPerSecond
 }
 
 // mostUntilTold is half of the time for which a word counts, in seconds: instances go without
--- a/daemon/backlog_test.go
+++ b/daemon/backlog_test.go
@@ -71,8 +71,8 @@
 		ctx, stop := context.WithCancel(t.Context())
 		d := &entriesDuty{
 			client: s, entries: membership.NewEntries(), link: &storeLink{log: logr.Discard(), now: time.Now}, log: logr.Discard(), now: time.Now,
-			inputs: ring.New[membership.EntryEvent](entryInputs, ring.Block), events: ring.New[event](eventsCapacity, ring.Block),
-			behind: func() bool { return false }, storeThere: func() time.Time { return time.Time{} },
+			inputs: ring.New[membership.EntryEvent](entryInputCapacity, ring.Block), events: ring.New[event](eventsCapacity, ring.Block),
+			allowStale: func() bool { return false }, holderStoreBackSince: func() time.Time { return time.Time{} },
 			decode: func(o store.Object) (membership.Member, error) {
 				// Each change is one.
 				slots++
@@ -103,9 +103,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		var decoded []string
-		d := &configDuty{
+		d := &settingsWatch{
 			client: s, name: "main", log: logr.Discard(), link: &storeLink{log: logr.Discard(), now: time.Now},
-			events: ring.New[event](eventsCapacity, ring.Block), behind: func() bool { return false },
+			events: ring.New[event](eventsCapacity, ring.Block), allowStale: func() bool { return false },
 			decode: func(o store.Object) (*revision.Accepted, error) {
 				decoded = append(decoded, o.Metadata.ResourceVersion)
 				return &revision.Accepted{}, nil
--- a/daemon/campaign_test.go
+++ b/daemon/campaign_test.go
@@ -12,7 +12,7 @@
 	n := &Node{now: func() time.Time { return *now }, startedAt: *now}
 	n.cfg.Instance = "self"
 	n.mesh = &mesh{
-		instance: "self", now: n.now, self: presence{Cores: cores}, listed: map[string]presence{}, told: map[string]string{}, counted: func(int) {},
+		instance: "self", now: n.now, self: presence{Cores: cores}, listed: map[string]presence{}, reportedAddresses: map[string]string{}, onInstanceCount: func(int) {},
 	}
 	return n
 }
@@ -23,16 +23,16 @@
 	now := time.Unix(1000, 0)
 	n := campaigner(0.2, &now)
 	now = now.Add(campaignDelay - 200*time.Millisecond)
-	n.mesh.find("strong1", &presence{Cores: 0.8})
+	n.mesh.updateInstance("strong1", &presence{Cores: 0.8})
 	now = now.Add(200 * time.Millisecond)
 	require.False(t, n.campaigns("pool", false), "more may come")
-	n.mesh.find("strong2", &presence{Cores: 0.8})
+	n.mesh.updateInstance("strong2", &presence{Cores: 0.8})
 	now = now.Add(joinSettle)
 	require.False(t, n.campaigns("pool", false), "two rank before it")
 	now = now.Add(silentStart + 2*silentStep)
 	require.True(t, n.campaigns("pool", false), "they were not heard")
 	now = now.Add(mostJoining)
-	n.mesh.find("late", &presence{Cores: 0.1})
+	n.mesh.updateInstance("late", &presence{Cores: 0.1})
 	require.True(t, n.campaigns("pool", false), "it does not wait for ever")
 }
 
@@ -40,17 +40,17 @@
 func TestWeakHolderOfALargeFleetHandsOver(t *testing.T) {
 	now := time.Unix(1000, 0)
 	n := campaigner(0.2, &now)
-	for i := range smallFleet + 1 {
-		n.mesh.find(string(rune('a'+i)), &presence{Cores: 0.2})
+	for i := range smallFleetSize + 1 {
+		n.mesh.updateInstance(string(rune('a'+i)), &presence{Cores: 0.2})
 	}
-	n.mesh.find("strong", &presence{Cores: 0.8})
-	n.mesh.told["a"] = "10.0.0.1:1"
+	n.mesh.updateInstance("strong", &presence{Cores: 0.8})
+	n.mesh.reportedAddresses["a"] = "10.0.0.1:1"
 	require.True(t, n.campaigns("pool", true), "the strong one is only listed: it may be gone")
-	n.mesh.told["strong"] = "10.0.0.2:1"
+	n.mesh.reportedAddresses["strong"] = "10.0.0.2:1"
 	require.False(t, n.campaigns("pool", true))
 
 	small := campaigner(0.2, &now)
-	small.mesh.find("strong", &presence{Cores: 0.8})
-	small.mesh.told["strong"] = "10.0.0.2:1"
+	small.mesh.updateInstance("strong", &presence{Cores: 0.8})
+	small.mesh.reportedAddresses["strong"] = "10.0.0.2:1"
 	require.True(t, small.campaigns("pool", true), "in a small fleet the holder has little to do")
 }
--- a/daemon/endings_test.go
+++ b/daemon/endings_test.go
@@ -47,7 +47,7 @@
 // tick lets every instance tell and hear. What one tells is heard in the same tick.
 func (f *gossipFleet) tick(t *testing.T) {
 	t.Helper()
-	f.now = f.now.Add(peerTick)
+	f.now = f.now.Add(peerTickInterval)
 	for _, name := range f.names {
 		f.step(t, name, peer.Tick{})
 	}
@@ -56,8 +56,8 @@
 func (f *gossipFleet) step(t *testing.T, name string, e peer.Event) {
 	t.Helper()
 	d := f.peers[name]
-	actions := d.gossip.Step(f.now, d.answering(e))
-	words := d.endings(actions)
+	actions := d.gossip.Step(f.now, d.markForReply(e))
+	words := d.endingsToSend(actions)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case peer.Send:
@@ -86,14 +86,14 @@
 				d.quarantine.RecordTermination(quarantine.Fingerprint{byte(r)}, "account", "e", int64(100*r+e))
 			}
 		}
-		for range 3 * time.Second / peerTick {
+		for range 3 * time.Second / peerTickInterval {
 			f.tick(t)
 		}
 		for name, d := range f.peers {
 			require.Equal(t, requests, d.quarantine.Stats().Held, "%d instances, %s", n, name)
 		}
 		f.start(f.names[n-1])
-		for range 4 * time.Second / peerTick {
+		for range 4 * time.Second / peerTickInterval {
 			f.tick(t)
 		}
 		require.Equal(t, requests, f.peers[f.names[n-1]].quarantine.Stats().Held, "%d instances, a new process", n)
@@ -119,7 +119,7 @@
 			p.Demands = append(p.Demands, peer.UnitDemand{Unit: fmt.Sprintf("model-%d/adapter", i), Work: 1e9, Waiting: 100})
 		}
 		p.EndingsDigest = keeper.Digest()
-		p.Endings = keeper.PendingReports(m.room(p))
+		p.Endings = keeper.PendingReports(m.endingsRoom(p))
 		data, err := peer.EncodePacket(p)
 		require.NoError(t, err)
 		require.LessOrEqual(t, len(data), peer.MaxPacketBytes)
--- a/daemon/entries.go
+++ b/daemon/entries.go
@@ -25,9 +25,9 @@
 	entries *membership.Entries
 	// listed is the version of the store as of which entries are known, heard the newest one
 	// that was heard of; mu guards both.
-	listed, heard evacuation.Version
+	entriesVersion, newestVersion evacuation.Version
 	// parse reads a version of the store; nil where versions are not compared.
-	parse func(resourceVersion string) (evacuation.Version, error)
+	parseVersion func(resourceVersion string) (evacuation.Version, error)
 	// relays asks another instance for the list; nil where none tells it.
 	relays *relays
 	inputs *ring.Ring[membership.EntryEvent]
@@ -38,15 +38,15 @@
 	// applied is told of inputs that have been passed on; nil tells nobody.
 	applied *applied
 	// behind tells whether another instance tells in time which endpoints leave.
-	behind func() bool
+	allowStale func() bool
 	// same tells whether this instance lists the same endpoints as the one that tells;
 	// nil means that nobody knows.
-	same func() bool
+	matchesHolder func() bool
 	// closeWait is how long the store may hold a close watch.
-	closeWait time.Duration
+	freshWatchHold time.Duration
 	// storeThere is since when the store has been there by another instance's word;
 	// zero if none tells.
-	storeThere func() time.Time
+	holderStoreBackSince func() time.Time
 	// refused holds why each entry was refused that cannot be used; the watch alone
 	// uses it. entriesRefused counts how often that was.
 	refused        map[string]string
@@ -58,73 +58,73 @@
 
 const (
 	// entryInputs bounds the changes that wait for the duty.
-	entryInputs = 256
+	entryInputCapacity = 256
 	// entriesGather is how long changes of endpoints gather, behindGather that where
 	// another instance tells of those that matter.
-	entriesGather = 500 * time.Millisecond
-	behindGather  = time.Second
+	entriesBatchDelay = 500 * time.Millisecond
+	staleBatchDelay   = time.Second
 	// entriesTick is the time between two looks at entries that are missing.
 	entriesTick = 250 * time.Millisecond
 )
 
 // untilTold is for how long a watch that may be behind rests, at most, while nothing is
 // new by another instance's word: the platform's store keeps changes for 20 s.
-const untilTold = 15 * time.Second
+const maxStalePause = 15 * time.Second
 
 // watch follows the entries: by the word of another instance that tells them, or else by the
 // store.
 func (d *entriesDuty) watch(ctx context.Context) {
 	var watch *store.Reflector
 	var watchedAt time.Time
-	unlessTold := ctx
+	watchCtx := ctx
 	for ctx.Err() == nil {
 		d.relays.follow(ctx, func(e membership.EntryEvent) { d.put(ctx, e) })
-		if watch == nil || d.now().Sub(watchedAt) >= untilTold {
+		if watch == nil || d.now().Sub(watchedAt) >= maxStalePause {
 			// The store may not keep changes for longer.
-			watch = d.storeWatch(ctx, func() context.Context { return unlessTold })
+			watch = d.newStoreWatch(ctx, func() context.Context { return watchCtx })
 		}
 		var cancel context.CancelFunc
-		unlessTold, cancel = context.WithCancel(ctx)
-		go d.cancelWhenTold(unlessTold, cancel)
-		watch.Run(unlessTold)
+		watchCtx, cancel = context.WithCancel(ctx)
+		go d.cancelWhenCanFollow(watchCtx, cancel)
+		watch.Run(watchCtx)
 		watchedAt = d.now()
 		cancel()
 	}
 }
 
 // cancelWhenTold calls cancel when another instance is to be asked, or ctx has ended.
-func (d *entriesDuty) cancelWhenTold(ctx context.Context, cancel context.CancelFunc) {
-	d.relays.awaitWorthAsking(ctx)
+func (d *entriesDuty) cancelWhenCanFollow(ctx context.Context, cancel context.CancelFunc) {
+	d.relays.awaitCanFollow(ctx)
 	cancel()
 }
 
 // entriesAt is an event behind which entries are known as of a version of the store.
-type entriesAt struct {
+type versionedEvent struct {
 	membership.EntryEvent
 	version evacuation.Version
 }
 
 // put passes on an event, and notes of which version of the store it tells.
 func (d *entriesDuty) put(ctx context.Context, e membership.EntryEvent) {
-	if at, told := e.(entriesAt); told {
+	if at, ok := e.(versionedEvent); ok {
 		d.mu.Lock()
-		d.heard = laterVersion(d.heard, at.version)
+		d.newestVersion = laterVersion(d.newestVersion, at.version)
 		d.mu.Unlock()
 	}
 	_ = d.inputs.Put(ctx, e)
 }
 
 // at adds the version of the store to an event that an answer of the store has brought.
-func (d *entriesDuty) at(resourceVersion string, e membership.EntryEvent) membership.EntryEvent {
-	if d.parse == nil {
+func (d *entriesDuty) withVersion(resourceVersion string, e membership.EntryEvent) membership.EntryEvent {
+	if d.parseVersion == nil {
 		return e
 	}
-	version, err := d.parse(resourceVersion)
+	version, err := d.parseVersion(resourceVersion)
 	if err != nil {
 		d.log.Error(err, "version of the store unreadable", "version", resourceVersion)
 		return e
 	}
-	return entriesAt{EntryEvent: e, version: version}
+	return versionedEvent{EntryEvent: e, version: version}
 }
 
 func laterVersion(a, b evacuation.Version) evacuation.Version {
@@ -136,40 +136,40 @@
 
 // listedAt is the version of the store as of which the members are known here, heardAt the
 // newest one that was heard of.
-func (d *entriesDuty) listedAt() evacuation.Version {
+func (d *entriesDuty) storeVersion() evacuation.Version {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.listed
+	return d.entriesVersion
 }
 
-func (d *entriesDuty) heardAt() evacuation.Version {
+func (d *entriesDuty) newestStoreVersion() evacuation.Version {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.heard
+	return d.newestVersion
 }
 
 // storeWatch returns what follows the entries in the store, and pauses for as long as the
 // context lasts in which it does.
-func (d *entriesDuty) storeWatch(ctx context.Context, following func() context.Context) *store.Reflector {
+func (d *entriesDuty) newStoreWatch(ctx context.Context, following func() context.Context) *store.Reflector {
 	put := func(e membership.EntryEvent) { d.put(ctx, e) }
 	var changes batch
-	options := store.WatchOptions{AllowStale: d.behind, Wait: d.closeWait, OnFresh: func() { d.link.confirmed(d.kind) }, Now: d.now}
+	options := store.WatchOptions{AllowStale: d.allowStale, Wait: d.freshWatchHold, OnFresh: func() { d.link.confirmed(d.kind) }, Now: d.now}
 	return store.NewReflector(d.client, d.kind, options,
 		func(l store.List) {
 			d.link.listed(d.kind, l)
 			changes.take()
-			put(membership.StoreAnswered{Since: d.returned()})
-			put(d.at(l.ResourceVersion, membership.EntriesListed{Members: d.members(l.Items)}))
+			put(membership.StoreAnswered{Since: d.storeBackSince()})
+			put(d.withVersion(l.ResourceVersion, membership.EntriesListed{Members: d.members(l.Items)}))
 		},
 		func(e store.Event) {
 			switch e.Type {
 			case store.EventBookmark:
 				d.link.heard()
-				put(membership.StoreAnswered{Since: d.returned()})
-				put(d.at(e.Object.Metadata.ResourceVersion, membership.EntriesChanged{Changes: d.changes(changes.take())}))
+				put(membership.StoreAnswered{Since: d.storeBackSince()})
+				put(d.withVersion(e.Object.Metadata.ResourceVersion, membership.EntriesChanged{Changes: d.changes(changes.take())}))
 				// Endpoints change many times a second as units come and go, and
 				// each answer of the store costs a call: changes gather meanwhile.
-				d.gather(following(), e.Stale)
+				d.batchDelay(following(), e.Stale)
 			default:
 				changes.add(e)
 			}
@@ -185,10 +185,10 @@
 // returned is since when the store is back: by its answers to this instance, or by the
 // word of another, if that is earlier, as this one may have been cut off alone. Entries
 // lapse only while members cannot reach the store.
-func (d *entriesDuty) returned() time.Time {
-	own, there := d.link.returned(), d.storeThere()
-	if !there.IsZero() && there.Before(own) {
-		return there
+func (d *entriesDuty) storeBackSince() time.Time {
+	own, holder := d.link.returned(), d.holderStoreBackSince()
+	if !holder.IsZero() && holder.Before(own) {
+		return holder
 	}
 	return own
 }
@@ -196,16 +196,16 @@
 // gather lets changes gather before they are asked for: each answer of the store
 // costs a call, and wakes the instance. Behind an answer that may be old it goes on
 // only for as long as another instance tells what matters.
-func (d *entriesDuty) gather(ctx context.Context, behind bool) {
-	if behind {
-		wait.While(ctx, behindGather, d.behind)
-		if d.same != nil {
+func (d *entriesDuty) batchDelay(ctx context.Context, stale bool) {
+	if stale {
+		wait.While(ctx, staleBatchDelay, d.allowStale)
+		if d.matchesHolder != nil {
 			// There is nothing to ask for until the lists differ.
-			wait.While(ctx, untilTold, func() bool { return d.behind() && d.same() })
+			wait.While(ctx, maxStalePause, func() bool { return d.allowStale() && d.matchesHolder() })
 		}
 		return
 	}
-	wait.For(ctx, entriesGather)
+	wait.For(ctx, entriesBatchDelay)
 }
 
 // listing returns the members as this instance knows them.
@@ -216,7 +216,7 @@
 }
 
 // version grows with each change of the members; 0 means that nothing is known.
-func (d *entriesDuty) version() int64 {
+func (d *entriesDuty) listingVersion() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.entries.Version()
@@ -226,8 +226,8 @@
 func (d *entriesDuty) step(e membership.EntryEvent) (membership.Listing, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if at, told := e.(entriesAt); told {
-		d.listed = laterVersion(d.listed, at.version)
+	if at, ok := e.(versionedEvent); ok {
+		d.entriesVersion = laterVersion(d.entriesVersion, at.version)
 		e = at.EntryEvent
 	}
 	return d.entries.Step(d.now(), e)
--- a/daemon/eras.go
+++ b/daemon/eras.go
@@ -10,25 +10,25 @@
 
 // eraSettle is for how long behind the beginning of an era the store may lack settings that
 // it had acknowledged: their operator writes them again.
-const eraSettle = 3 * time.Second
+const eraSettleTime = 3 * time.Second
 
 // eraBegan is told that the store has come back from a copy some seconds old. Watches begin
 // anew by themselves, as do leases; what else rests on what the store has acknowledged is
 // seen to here.
-func (n *Node) eraBegan(era int64) {
+func (n *Node) onEraBegin(era int64) {
 	n.vars.Add("store_eras", 1)
 	n.log.Info("store came back from a copy", "era", era)
 	n.link.copied()
-	n.rights.doubt(eraSettle)
+	n.rights.doubt(eraSettleTime)
 	select {
 	case n.eraBegun <- struct{}{}:
 	default:
 	}
-	n.mesh.hurry()
+	n.mesh.sendSoon()
 }
 
 // renew writes again, in each new era, what this node keeps in the store.
-func (n *Node) renew(ctx context.Context, entries *entriesDuty) {
+func (n *Node) rewriteOnEra(ctx context.Context, entries *entriesDuty) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -37,7 +37,7 @@
 		}
 		_ = entries.inputs.Put(ctx, membership.StoreRestored{})
 		// All nodes do so at once.
-		wait.For(ctx, jitter(presencePause))
+		wait.For(ctx, jitter(presenceRetryDelay))
 		n.presence.run(ctx)
 		for _, w := range n.quarantine.HeldReports() {
 			_ = n.held.Put(ctx, w)
--- a/daemon/evacuated.go
+++ b/daemon/evacuated.go
@@ -13,8 +13,8 @@
 // evacuate puts in force which failure domains are evacuated, and tells whether others are
 // than before.
 func (d *viewDuty) evacuate() bool {
-	next := make(map[string]bool, len(d.told))
-	for _, domain := range d.told {
+	next := make(map[string]bool, len(d.platformEvacuated))
+	for _, domain := range d.platformEvacuated {
 		next[domain] = true
 	}
 	if d.resolved != nil {
@@ -49,21 +49,21 @@
 	if c.Member.ColdMS == 0 || c.Member.State == membership.Gone {
 		return
 	}
-	if d.coldSaid == nil {
-		d.coldSaid = map[string]int64{}
+	if d.coldReported == nil {
+		d.coldReported = map[string]int64{}
 	}
-	d.coldSaid[c.Member.Name] = c.Member.ColdMS
+	d.coldReported[c.Member.Name] = c.Member.ColdMS
 }
 
 // tellCold tells of an endpoint that it is cold, by its entry or as its failure domain has
 // just come back.
 func (d *viewDuty) tellCold(m membership.Member, e *routing.Endpoint, pool *settings.Pool) {
-	remaining := time.Duration(d.coldSaid[m.Name]) * time.Millisecond
+	remaining := time.Duration(d.coldReported[m.Name]) * time.Millisecond
 	if d.warming[m.FailureDomain] {
 		remaining = max(remaining, pool.ColdStart())
 	}
-	if d.cold != nil && pool.ColdPerSecond > 0 && remaining > 0 {
-		d.cold(e, pool.ColdPerSecond, remaining)
+	if d.onCold != nil && pool.ColdPerSecond > 0 && remaining > 0 {
+		d.onCold(e, pool.ColdPerSecond, remaining)
 	}
 }
 
--- a/daemon/evacuated_test.go
+++ b/daemon/evacuated_test.go
@@ -18,12 +18,12 @@
 func TestEvacuatedDomainsOfPlatformAndSettings(t *testing.T) {
 	h := newViewHarness()
 	cold := map[string]time.Duration{}
-	h.cold = func(e *routing.Endpoint, perSecond float64, remaining time.Duration) {
+	h.onCold = func(e *routing.Endpoint, perSecond float64, remaining time.Duration) {
 		require.Equal(t, 9.6, perSecond)
 		cold[e.Name] = remaining
 	}
 	var list *membership.List
-	h.cells = func(_ *settings.Catalog, l *membership.List) { list = l }
+	h.updateCells = func(_ *settings.Catalog, l *membership.List) { list = l }
 	revise := func(n int64, evacuated ...string) {
 		tree := &settings.Tree{
 			Pools:     map[string]*settings.Pool{"plain": {ColdPerSecond: 9.6, ColdStartMS: 3000}},
@@ -39,9 +39,9 @@
 	h.step(membersListed{l})
 	h.step(domainsEvacuated{[]string{"z1"}})
 	revise(2, "z2")
-	require.False(t, h.takes("e-z1"))
-	require.False(t, h.takes("e-z2"))
-	require.True(t, h.takes("e-z3"))
+	require.False(t, h.acceptsRequests("e-z1"))
+	require.False(t, h.acceptsRequests("e-z2"))
+	require.True(t, h.acceptsRequests("e-z3"))
 	leaving := map[string]bool{}
 	for _, m := range countedMembers(list, "plain").Members {
 		leaving[m.Name] = m.Leaving
@@ -50,10 +50,10 @@
 	require.Empty(t, cold)
 
 	h.step(domainsEvacuated{nil})
-	require.True(t, h.takes("e-z1"))
+	require.True(t, h.acceptsRequests("e-z1"))
 	require.Equal(t, map[string]time.Duration{"e-z1": 3 * time.Second}, cold)
 	revise(3)
-	require.True(t, h.takes("e-z2"))
+	require.True(t, h.acceptsRequests("e-z2"))
 	require.Equal(t, 3*time.Second, cold["e-z2"])
 
 	l.Version = 2
--- a/daemon/evacuations.go
+++ b/daemon/evacuations.go
@@ -130,7 +130,7 @@
 // rest waits for as long as there is nothing to ask for. It reports false if ctx ended.
 func (d *evacuationsDuty) rest(ctx context.Context) bool {
 	for ctx.Err() == nil && d.told() {
-		wait.While(ctx, untilTold, d.told)
+		wait.While(ctx, maxStalePause, d.told)
 	}
 	return ctx.Err() == nil
 }
--- a/daemon/fleetwords_test.go
+++ b/daemon/fleetwords_test.go
@@ -20,30 +20,30 @@
 	linkBytes float64
 	cores     float64
 	// free is when the link has sent all that waits.
-	free time.Time
+	idleAt time.Time
 	// packet is the one that is being sent to one instance after the other.
 	packet peer.Packet
 	// revisionAt is when the first word of each revision had reached all instances, words
 	// when each of those of allowances had.
-	revisionAt map[int64]time.Time
-	words      []time.Time
+	revisionAt   map[int64]time.Time
+	allowancesAt []time.Time
 	// first is set while the packet is the first of its revision.
-	first bool
+	firstOfRevision bool
 }
 
 // Send implements peer.Datagrams.
 func (l *fleetLink) Send(_ string, sealed []byte) {
-	*l.now = l.now.Add(time.Duration(float64(datagramTime) / l.cores))
-	if l.free.Before(*l.now) {
-		l.free = *l.now
+	*l.now = l.now.Add(time.Duration(float64(datagramCPUTime) / l.cores))
+	if l.idleAt.Before(*l.now) {
+		l.idleAt = *l.now
 	}
-	l.free = l.free.Add(time.Duration(float64(len(sealed)) / l.linkBytes * float64(time.Second)))
+	l.idleAt = l.idleAt.Add(time.Duration(float64(len(sealed)) / l.linkBytes * float64(time.Second)))
 	if plain, err := l.opener.Open(sealed); err == nil {
 		// Only the first of the same packet opens.
 		l.packet, _ = peer.DecodePacket(plain)
 		l.begin()
 	}
-	l.reached()
+	l.recordReached()
 }
 
 // Close implements peer.Datagrams.
@@ -52,60 +52,60 @@
 // begin notes a packet that goes to its first instance.
 func (l *fleetLink) begin() {
 	if l.packet.Aggregator != 0 {
-		l.words = append(l.words, l.free)
+		l.allowancesAt = append(l.allowancesAt, l.idleAt)
 	}
 	_, known := l.revisionAt[l.packet.Revision]
-	l.first = !known && l.packet.Instances > 0
+	l.firstOfRevision = !known && l.packet.Instances > 0
 }
 
 // reached notes that the packet has reached one instance more.
-func (l *fleetLink) reached() {
+func (l *fleetLink) recordReached() {
 	if l.packet.Aggregator != 0 {
-		l.words[len(l.words)-1] = l.free
+		l.allowancesAt[len(l.allowancesAt)-1] = l.idleAt
 	}
-	if l.first {
-		l.revisionAt[l.packet.Revision] = l.free
+	if l.firstOfRevision {
+		l.revisionAt[l.packet.Revision] = l.idleAt
 	}
 }
 
 // fleetWords is what the hub of a fleet tells while all endpoints are busy, report every five
 // seconds, and some bring and withdraw units.
-type fleetWords struct {
+type announcingFleet struct {
 	*mesh
-	link    *fleetLink
-	at      time.Time
-	inForce int64
+	link            *fleetLink
+	clock           time.Time
+	currentRevision int64
 	// next is the endpoint that reports next, units are what each holds.
-	next  int
-	units []string
+	nextEndpoint int
+	units        []string
 }
 
-func newFleetWords(t *testing.T, instances, endpoints int, mbits, cores float64) *fleetWords {
+func newAnnouncingFleet(t *testing.T, instances, endpoints int, mbits, cores float64) *announcingFleet {
 	key := make([]byte, peer.KeyBytes)
 	sealer, err := peer.NewSealer([][]byte{key})
 	require.NoError(t, err)
 	opener, err := peer.NewSealer([][]byte{key})
 	require.NoError(t, err)
-	f := &fleetWords{mesh: benchMesh(true, instances, endpoints), at: time.Unix(1000, 0), inForce: 1}
+	f := &announcingFleet{mesh: benchMesh(true, instances, endpoints), clock: time.Unix(1000, 0), currentRevision: 1}
 	for k := range 3 + 8 {
 		f.units = append(f.units, fmt.Sprintf("abcd%06x/a%02d", k, k))
 	}
-	f.link = &fleetLink{now: &f.at, opener: opener, linkBytes: mbits * bytesPerMbit, cores: cores, revisionAt: map[int64]time.Time{}}
-	f.now, f.placed, f.log = func() time.Time { return f.at }, func([]peer.Placement) {}, logr.Discard()
+	f.link = &fleetLink{now: &f.clock, opener: opener, linkBytes: mbits * bytesPerMbit, cores: cores, revisionAt: map[int64]time.Time{}}
+	f.now, f.onPlacements, f.log = func() time.Time { return f.clock }, func([]peer.Placement) {}, logr.Discard()
 	f.allowances.now = f.now
-	f.current, f.revision = func() bool { return true }, func() int64 { return f.inForce }
-	f.sealer, f.datagrams, f.linkBytes, f.self.Cores = sealer, f.link, mbits*bytesPerMbit, cores
+	f.storeCurrent, f.revision = func() bool { return true }, func() int64 { return f.currentRevision }
+	f.sealer, f.datagrams, f.linkBytesPerSecond, f.self.Cores = sealer, f.link, mbits*bytesPerMbit, cores
 	for i := range endpoints {
-		f.sum = append(f.sum, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010x", i), Running: 40, PrefillMicros: 90_000})
+		f.fleetTotals = append(f.fleetTotals, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010x", i), Running: 40, PrefillMicros: 90_000})
 	}
 	return f
 }
 
 // tickOnce lets a tenth of a second pass.
-func (f *fleetWords) tickOnce(endpoints int) {
-	next := f.at.Add(meshTick)
+func (f *announcingFleet) tickOnce(endpoints int) {
+	next := f.clock.Add(meshTick)
 	for i := range endpoints / 50 {
-		p := peer.Placement{Epoch: 1, Endpoint: fmt.Sprintf("i-%010x", (f.next+i)%endpoints), Units: f.units, StartedAtMS: 1_782_399_000_000}
+		p := peer.Placement{Epoch: 1, Endpoint: fmt.Sprintf("i-%010x", (f.nextEndpoint+i)%endpoints), Units: f.units, StartedAtMS: 1_782_399_000_000}
 		urgency := broadcast.Refresh
 		switch {
 		case i == 0:
@@ -113,12 +113,12 @@
 		case i%4 == 1:
 			urgency = broadcast.Changed
 		}
-		f.place([]placedNews{{p, urgency}})
+		f.publishPlacements([]outgoingPlacement{{p, urgency}})
 	}
-	f.next += endpoints / 50
-	f.tellFleet()
-	if f.at.Before(next) {
-		f.at = next
+	f.nextEndpoint += endpoints / 50
+	f.announceIfDue()
+	if f.clock.Before(next) {
+		f.clock = next
 	}
 }
 
@@ -126,8 +126,8 @@
 // allowances, with the link and the processor of the users' instances. The
 // bounds are those by which the others go on their own: a vouch that is older than
 // leastHolderLost, and half of the time for which words of allowances count.
-func TestNewsReachesAllInTime(t *testing.T) {
-	const ticks, newer = 60, 25
+func TestAnnouncementsReachAllInTime(t *testing.T) {
+	const ticks, changeTick = 60, 25
 	for _, size := range []struct {
 		instances, endpoints int
 		mbits, cores         float64
@@ -136,28 +136,28 @@
 		{301, 3000, 200, 0.8}, {301, 3000, 1000, 0.4},
 	} {
 		t.Run(fmt.Sprintf("%d instances, %d endpoints, %v Mbit/s, %v cores", size.instances, size.endpoints, size.mbits, size.cores), func(t *testing.T) {
-			f := newFleetWords(t, size.instances, size.endpoints, size.mbits, size.cores)
-			var newerAt time.Time
+			f := newAnnouncingFleet(t, size.instances, size.endpoints, size.mbits, size.cores)
+			var changedAt time.Time
 			for i := range ticks {
-				if i == newer {
-					f.inForce, newerAt = 2, f.at
+				if i == changeTick {
+					f.currentRevision, changedAt = 2, f.clock
 				}
 				f.tickOnce(size.endpoints)
 			}
-			reached, told := f.link.revisionAt[2]
-			require.True(t, told)
-			t.Logf("newer settings reach all after %v", reached.Sub(newerAt))
-			require.Less(t, reached.Sub(newerAt), leastHolderLost)
+			reached, ok := f.link.revisionAt[2]
+			require.True(t, ok)
+			t.Logf("newer settings reach all after %v", reached.Sub(changedAt))
+			require.Less(t, reached.Sub(changedAt), minHolderTimeout)
 			gap := time.Duration(0)
-			for i := range f.link.words[1:] {
-				gap = max(gap, f.link.words[i+1].Sub(f.link.words[i]))
+			for i := range f.link.allowancesAt[1:] {
+				gap = max(gap, f.link.allowancesAt[i+1].Sub(f.link.allowancesAt[i]))
 			}
 			t.Logf("words of allowances reach all at most %v apart", gap)
 			require.NotZero(t, gap)
 			require.Less(t, gap.Seconds(), 2*mostUntilTold)
-			behind := f.link.free.Sub(f.at)
-			t.Logf("%v wait on the link in the end", behind)
-			require.Less(t, behind, hubSlow, "what waits does not grow")
+			backlog := f.link.idleAt.Sub(f.clock)
+			t.Logf("%v wait on the link in the end", backlog)
+			require.Less(t, backlog, maxAnnounceInterval, "what waits does not grow")
 		})
 	}
 }
--- a/daemon/follow.go
+++ b/daemon/follow.go
@@ -15,7 +15,7 @@
 
 // configDuty follows the one object that holds the settings, where an operator
 // writes it whole.
-type configDuty struct {
+type settingsWatch struct {
 	client store.Client
 	kind   store.Kind
 	name   string
@@ -24,42 +24,42 @@
 	newer <-chan struct{}
 	// behind tells whether another instance tells of newer settings in time, so
 	// that this one need not look so closely.
-	behind func() bool
+	allowStale func() bool
 	// inForce tells whether no instance is known to have newer settings; nil means that
 	// nobody knows.
-	inForce func() bool
+	hasNewest func() bool
 	// confirmed is told that a call to the store, made at a moment, has shown a revision to
 	// be the newest; nil tells nobody. now stamps the calls.
-	confirmed func(asked time.Time, revision int64)
-	now       func() time.Time
+	onConfirmed func(asked time.Time, revision int64)
+	now         func() time.Time
 	// wait is how long the store may hold a close call; nil leaves it to the client.
-	wait   func() time.Duration
-	events *ring.Ring[event]
-	link   *storeLink
-	log    logr.Logger
+	watchHold func() time.Duration
+	events    *ring.Ring[event]
+	link      *storeLink
+	log       logr.Logger
 
 	// version is where the watch stands in the store, and newest the newest revision that
 	// was found; refused is set while what was found last cannot be used.
-	version atomic.Pointer[string]
-	newest  atomic.Int64
-	refused atomic.Bool
+	version        atomic.Pointer[string]
+	newestRevision atomic.Int64
+	rejected       atomic.Bool
 }
 
 // shown tells that all that the store had acknowledged when a call was made has been found.
-func (d *configDuty) shown(asked time.Time) {
-	if d.confirmed == nil || asked.IsZero() || d.refused.Load() {
+func (d *settingsWatch) confirmShown(askedAt time.Time) {
+	if d.onConfirmed == nil || askedAt.IsZero() || d.rejected.Load() {
 		return
 	}
-	d.confirmed(asked, d.newest.Load())
+	d.onConfirmed(askedAt, d.newestRevision.Load())
 }
 
 // askStore asks the store whether there are newer settings, by the smallest call.
-func (d *configDuty) askStore(ctx context.Context) {
+func (d *settingsWatch) checkStore(ctx context.Context) {
 	version := d.version.Load()
 	if version == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, askStoreTime)
+	ctx, cancel := context.WithTimeout(ctx, checkStoreTimeout)
 	defer cancel()
 	var changes batch
 	options := store.WatchOptions{Wait: time.Millisecond, Now: d.now}
@@ -69,13 +69,13 @@
 			return
 		}
 		for _, e := range changes.take() {
-			d.found(ctx, e.Object, byWatch)
+			d.accept(ctx, e.Object, byWatch)
 		}
-		d.shown(e.FreshAsOf)
+		d.confirmShown(e.FreshAsOf)
 		cancel()
 	})
 	if store.IsExpired(err) {
-		err = d.askWhole(ctx)
+		err = d.readWhole(ctx)
 	}
 	if err != nil && ctx.Err() == nil {
 		d.log.V(1).Info("settings not confirmed", "error", err.Error())
@@ -83,42 +83,42 @@
 }
 
 // askWhole reads the settings, where the store no longer knows what has changed.
-func (d *configDuty) askWhole(ctx context.Context) error {
-	asked := d.now()
+func (d *settingsWatch) readWhole(ctx context.Context) error {
+	askedAt := d.now()
 	o, err := d.client.Get(ctx, d.kind, d.name)
 	if err != nil {
 		return err
 	}
-	d.found(ctx, o, byList)
-	d.shown(asked)
+	d.accept(ctx, o, byList)
+	d.confirmShown(askedAt)
 	return nil
 }
 
 // askStoreTime bounds a call of askStore: a slow store needs up to 0.4 s.
-const askStoreTime = 700 * time.Millisecond
+const checkStoreTimeout = 700 * time.Millisecond
 
 // confirm reads the settings when another instance is known to have newer ones:
 // a watch may have broken unnoticed.
-func (d *configDuty) confirm(ctx context.Context) {
+func (d *settingsWatch) readNewer(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-d.newer:
 		}
-		if d.inForce != nil && wait.For(ctx, watchedGrace) && d.inForce() {
+		if d.hasNewest != nil && wait.For(ctx, watchGrace) && d.hasNewest() {
 			// The watch has brought them.
 			continue
 		}
 		o, err := d.client.Get(ctx, d.kind, d.name)
 		if err != nil {
 			d.log.Info("newer settings not read", "error", err.Error())
-			wait.For(ctx, jitter(confirmPause))
+			wait.For(ctx, jitter(settingsRetryDelay))
 			continue
 		}
-		d.found(ctx, o, byRequest)
+		d.accept(ctx, o, byRequest)
 		// Until they are in force, every packet says again that they are newer.
-		wait.For(ctx, confirmSettle)
+		wait.For(ctx, settingsApplyDelay)
 		select {
 		case <-d.newer:
 		default:
@@ -128,20 +128,20 @@
 
 // watchedGrace is how long the watch may take to bring newer settings, by an answer that
 // may be behind and costs a tenth, before they are read.
-const watchedGrace = 250 * time.Millisecond
+const watchGrace = 250 * time.Millisecond
 
 // confirmSettle is how long settings that were read may take to be in force.
-const confirmSettle = 100 * time.Millisecond
+const settingsApplyDelay = 100 * time.Millisecond
 
 // confirmPause is the pause after a read of newer settings has failed.
-const confirmPause = 300 * time.Millisecond
+const settingsRetryDelay = 300 * time.Millisecond
 
-func (d *configDuty) run(ctx context.Context) {
+func (d *settingsWatch) run(ctx context.Context) {
 	var listed atomic.Bool
 	// Settings that a new process begins with are never old ones: all instances may have
 	// ended right after newer ones were acknowledged.
-	behind := func() bool { return listed.Load() && d.behind() }
-	options := store.WatchOptions{AllowStale: behind, OnFresh: func() { d.link.confirmed(d.kind) }, Now: d.now, WaitNow: d.wait}
+	allowStale := func() bool { return listed.Load() && d.allowStale() }
+	options := store.WatchOptions{AllowStale: allowStale, OnFresh: func() { d.link.confirmed(d.kind) }, Now: d.now, WaitNow: d.watchHold}
 	var changes batch
 	r := store.NewReflector(d.client, d.kind, options,
 		func(l store.List) {
@@ -150,9 +150,9 @@
 			listed.Store(true)
 			d.version.Store(&l.ResourceVersion)
 			for _, o := range l.Items {
-				d.found(ctx, o, byList)
+				d.accept(ctx, o, byList)
 			}
-			d.shown(l.FreshAsOf)
+			d.confirmShown(l.FreshAsOf)
 		},
 		func(e store.Event) {
 			switch e.Type {
@@ -160,12 +160,12 @@
 				d.link.heard()
 				d.version.Store(&e.Object.Metadata.ResourceVersion)
 				for _, e := range changes.take() {
-					d.found(ctx, e.Object, byWatch)
+					d.accept(ctx, e.Object, byWatch)
 				}
-				d.shown(e.FreshAsOf)
-				if e.Stale && d.inForce != nil {
+				d.confirmShown(e.FreshAsOf)
+				if e.Stale && d.hasNewest != nil {
 					// There is nothing to ask for until another instance has newer ones.
-					wait.While(ctx, untilTold, func() bool { return d.behind() && d.inForce() })
+					wait.While(ctx, maxStalePause, func() bool { return d.allowStale() && d.hasNewest() })
 				}
 			case store.EventDeleted:
 				// Settings that were removed stay in force.
@@ -178,28 +178,28 @@
 }
 
 // stamp is the time, zero where nobody notes it.
-func (d *configDuty) stamp() time.Time {
+func (d *settingsWatch) timestamp() time.Time {
 	if d.now == nil {
 		return time.Time{}
 	}
 	return d.now()
 }
 
-func (d *configDuty) found(ctx context.Context, o store.Object, by settingsSource) {
+func (d *settingsWatch) accept(ctx context.Context, o store.Object, by settingsSource) {
 	if o.Metadata.Name != d.name {
 		return
 	}
 	accepted, err := d.decode(o)
-	d.refused.Store(err != nil)
+	d.rejected.Store(err != nil)
 	if err != nil {
 		d.log.Error(err, "settings refused", "version", o.Metadata.ResourceVersion)
 		return
 	}
 	for {
-		known := d.newest.Load()
-		if accepted.Entry.Revision <= known || d.newest.CompareAndSwap(known, accepted.Entry.Revision) {
+		known := d.newestRevision.Load()
+		if accepted.Entry.Revision <= known || d.newestRevision.CompareAndSwap(known, accepted.Entry.Revision) {
 			break
 		}
 	}
-	_ = d.events.Put(ctx, settingsAccepted{accepted: accepted, by: by, at: d.stamp()})
+	_ = d.events.Put(ctx, settingsAccepted{accepted: accepted, by: by, at: d.timestamp()})
 }
--- a/daemon/follow_test.go
+++ b/daemon/follow_test.go
@@ -33,11 +33,11 @@
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		client, newer := &countingStore{}, make(chan struct{}, 1)
-		d := &configDuty{
+		d := &settingsWatch{
 			client: client, name: "main", newer: newer, log: logr.Discard(), events: ring.New[event](8, ring.Block),
 			decode: func(store.Object) (*revision.Accepted, error) { return &revision.Accepted{}, nil },
 		}
-		go d.confirm(ctx)
+		go d.readNewer(ctx)
 		hint := func() {
 			select {
 			case newer <- struct{}{}:
--- a/daemon/foreign_test.go
+++ b/daemon/foreign_test.go
@@ -15,7 +15,7 @@
 
 // An entry that another writer has spoilt names no member to use, by a list or by a
 // change, until its member writes it again; it is logged once.
-func TestSpoiltEntryNamesNoMember(t *testing.T) {
+func TestInvalidEntryNamesNoMember(t *testing.T) {
 	logged := 0
 	log := logr.New(countingSink{&logged})
 	d := &entriesDuty{log: log, decode: func(o store.Object) (membership.Member, error) {
@@ -24,7 +24,7 @@
 		}
 		return liveMember(o)
 	}}
-	whole := func(name string) store.Object {
+	valid := func(name string) store.Object {
 		o := memberObject(name)
 		o.Spec = json.RawMessage(`{}`)
 		return o
@@ -38,16 +38,16 @@
 		}
 		return names
 	}
-	require.Equal(t, []string{"e1"}, names(membership.EntriesListed{Members: d.members([]store.Object{whole("e1"), memberObject("e2")})}))
+	require.Equal(t, []string{"e1"}, names(membership.EntriesListed{Members: d.members([]store.Object{valid("e1"), memberObject("e2")})}))
 	change := func(o store.Object) membership.EntryEvent {
 		return membership.EntriesChanged{Changes: d.changes([]store.Event{{Type: store.EventModified, Object: o}})}
 	}
-	require.ElementsMatch(t, []string{"e1", "e3"}, names(change(whole("e3"))))
+	require.ElementsMatch(t, []string{"e1", "e3"}, names(change(valid("e3"))))
 	require.Equal(t, []string{"e3"}, names(change(memberObject("e1"))), "it is spoilt")
 	require.Equal(t, 2, logged)
 	names(change(memberObject("e1")))
 	require.Equal(t, 2, logged, "nothing new")
-	require.ElementsMatch(t, []string{"e1", "e3"}, names(change(whole("e1"))), "its member has written it again")
+	require.ElementsMatch(t, []string{"e1", "e3"}, names(change(valid("e1"))), "its member has written it again")
 	require.EqualValues(t, 3, d.entriesRefused.Value())
 }
 
--- a/daemon/fresh.go
+++ b/daemon/fresh.go
@@ -7,7 +7,7 @@
 )
 
 // NodeFresh says how old what a node knows may be, in milliseconds.
-type NodeFresh struct {
+type NodeFreshness struct {
 	// LeavingMS is how soon a leaving endpoint must get no more requests.
 	LeavingMS int `json:"leavingMS"`
 	// SettingsMS is how soon accepted settings must be in force.
@@ -24,7 +24,7 @@
 
 // keysAge is the age up to which a node may go by the keys in its settings. The rest is
 // for clocks that go at different speeds.
-func (f NodeFresh) keysAge() time.Duration {
+func (f NodeFreshness) maxKeysAge() time.Duration {
 	const used = 0.9
 	return time.Duration(used * float64(milliseconds(f.RevokedMS)))
 }
@@ -41,17 +41,17 @@
 const (
 	// answerTime is how long the store's answer may take; it comes within some
 	// milliseconds.
-	answerTime = 100 * time.Millisecond
+	storeAnswerTime = 100 * time.Millisecond
 	// newsReserve also covers a request that was routed just before.
 	newsReserve = 150 * time.Millisecond
 	// leastWait and mostWait bound how long the store may hold a watch. A call that
 	// nobody answers is noticed only behind that.
-	leastWait = 150 * time.Millisecond
-	mostWait  = time.Second
+	minWatchHold = 150 * time.Millisecond
+	maxWatchHold = time.Second
 )
 
 // forNews is how soon news must be in force.
-func (f NodeFresh) forNews() time.Duration {
+func (f NodeFreshness) newsBound() time.Duration {
 	ms := min(f.LeavingMS, f.SettingsMS)
 	if f.EvacuateMS > 0 {
 		ms = min(ms, f.EvacuateMS)
@@ -62,20 +62,20 @@
 // wait is how long the store may hold a watch on endpoints, close or behind: half
 // of what the other parts leave. A call that began while the store was away, and that
 // nobody answers, is also over and made again before the node counts as in contact.
-func (f NodeFresh) wait() time.Duration {
-	left := f.forNews() - newsReserve - f.holderLost() - entriesGather - answerTime
-	inContact := milliseconds(f.ContactMS) - entriesGather - store.WatchSlack - store.MaxRetryDelay - answerTime
-	return min(max(min(left/2, inContact), leastWait), mostWait)
+func (f NodeFreshness) watchHold() time.Duration {
+	left := f.newsBound() - newsReserve - f.holderTimeout() - entriesBatchDelay - storeAnswerTime
+	inContact := milliseconds(f.ContactMS) - entriesBatchDelay - store.WatchSlack - store.MaxRetryDelay - storeAnswerTime
+	return min(max(min(left/2, inContact), minWatchHold), maxWatchHold)
 }
 
 // holderLost is for how long the holder of the lease may fail to vouch before the
 // others look closely themselves: longer where there is more time for news, as the
 // words of a hub with many instances and a narrow link come hubSlow apart, and one of
 // them may be lost.
-func (f NodeFresh) holderLost() time.Duration {
+func (f NodeFreshness) holderTimeout() time.Duration {
 	const share, beyond = 0.4, 2 * time.Second
-	spare := max(f.forNews()-beyond, 0)
-	return leastHolderLost + time.Duration(share*float64(spare))
+	spare := max(f.newsBound()-beyond, 0)
+	return minHolderTimeout + time.Duration(share*float64(spare))
 }
 
 // What an instance hears through one that tells the members, which may rest on the word of the
@@ -83,37 +83,41 @@
 
 // relayLost is for how long the word of an instance that tells the members counts, and how old
 // the holder's may be on which that rests.
-func (f NodeFresh) relayLost() time.Duration { return max(f.holderLost()/2, leastRelayLost) }
+func (f NodeFreshness) relayAttestationLifetime() time.Duration {
+	return max(f.holderTimeout()/2, minRelayAttestationLifetime)
+}
 
 // leastRelayLost is several times what an answer takes between weak instances.
-const leastRelayLost = 450 * time.Millisecond
+const minRelayAttestationLifetime = 450 * time.Millisecond
 
 // relayHold is how long an instance that tells others the members may hold a question: several
 // answers fit into the time for which its word counts.
-func (f NodeFresh) relayHold() time.Duration { return f.relayLost() / 3 }
+func (f NodeFreshness) relayHold() time.Duration { return f.relayAttestationLifetime() / 3 }
 
 // entriesWait is how long the store may hold a close watch on endpoints.
-func (f NodeFresh) entriesWait() time.Duration { return f.wait() }
+func (f NodeFreshness) entriesWatchHold() time.Duration { return f.watchHold() }
 
 // behindWait is how long the store may hold a watch that may be behind.
-func (f NodeFresh) behindWait() time.Duration { return f.wait() }
+func (f NodeFreshness) staleWatchHold() time.Duration { return f.watchHold() }
 
 // settingsWait is the same for a close watch on settings. They change seldom, so
 // nothing gathers between two calls.
-func (f NodeFresh) settingsWait() time.Duration { return f.wait() + entriesGather }
+func (f NodeFreshness) settingsWatchHold() time.Duration { return f.watchHold() + entriesBatchDelay }
 
 // keysWait is the same where this instance tells others whether they may go by the keys of
 // accounts. Their right runs from before the call that shows that none was taken away, so
 // that it is held for a small part of the right only: with 1.15 s of 4.5 s, instances had
 // lost half of the right before an outage began.
-func (f NodeFresh) keysWait() time.Duration {
+func (f NodeFreshness) keysWatchHold() time.Duration {
 	const part = 15
 	if f.RevokedMS == 0 {
-		return f.settingsWait()
+		return f.settingsWatchHold()
 	}
-	return min(f.settingsWait(), f.keysAge()/part)
+	return min(f.settingsWatchHold(), f.maxKeysAge()/part)
 }
 
 // vouchAge is the age up to which an answer to a watch shows that what it brought
 // is current: the next one has come by then, if the store answers.
-func (f NodeFresh) vouchAge() time.Duration { return entriesGather + f.wait() + answerTime }
+func (f NodeFreshness) maxAttestedAge() time.Duration {
+	return entriesBatchDelay + f.watchHold() + storeAnswerTime
+}
--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -15,19 +15,19 @@
 	start           time.Time
 	storeAt, peerAt atomic.Int64
 	// storeHeard is told each time that the object API has answered.
-	storeHeard func()
+	onStore func()
 }
 
 func newFreshness(now func() time.Time, bound time.Duration, storeHeard func()) *freshness {
-	return &freshness{now: now, bound: bound, start: now().Add(-time.Hour), storeHeard: storeHeard}
+	return &freshness{now: now, bound: bound, start: now().Add(-time.Hour), onStore: storeHeard}
 }
 
-func (f *freshness) store() {
+func (f *freshness) storeAnswered() {
 	f.storeAt.Store(int64(f.now().Sub(f.start)))
-	f.storeHeard()
+	f.onStore()
 }
 
-func (f *freshness) peer() { f.peerAt.Store(int64(f.now().Sub(f.start))) }
+func (f *freshness) peerContacted() { f.peerAt.Store(int64(f.now().Sub(f.start))) }
 
 // age is the time since the last proof.
 func (f *freshness) age() time.Duration {
--- a/daemon/hungpoll_test.go
+++ b/daemon/hungpoll_test.go
@@ -363,19 +363,19 @@
 			members.Set(standin.Member{Name: name, Pool: membership.InstancePool, Address: "10.0.0.1:1", PeerPort: at + 1, StreamPort: at + 1, Incarnation: "1", State: standin.MemberLive})
 			peers := &peersDuty{
 				gossip: peer.NewGossip(peer.GossipConfig{Name: name, Process: "p"}), sealer: sealer, datagrams: w,
-				events: ring.New[peer.Event](peerEvents, ring.DropOldest), log: logr.Discard(), now: time.Now,
-				heard: newFreshness(time.Now, time.Second, func() {}), leaving: func(string) {}, sent: func(int) {}, received: func(int) {},
+				events: ring.New[peer.Event](peerEventCapacity, ring.DropOldest), log: logr.Discard(), now: time.Now,
+				freshness: newFreshness(time.Now, time.Second, func() {}), onPeerLeaving: func(string) {}, countSent: func(int) {}, countReceived: func(int) {},
 			}
 			w.to[fmt.Sprintf("10.0.0.1:%d", at+1)] = peers
 			list := &silences{next: slowly{members, latest, rand.New(rand.NewPCG(uint64(at), 0))}}
 			lists = append(lists, list)
 			duty := &membersDuty{
 				source: membership.NewSource("http://platform", &inMemory{handler: list}), events: ring.New[event](eventsCapacity, ring.Block),
-				log: logr.Discard(), held: peers.listHeld,
+				log: logr.Discard(), held: peers.listReceived,
 			}
-			peers.askList = duty.ask
+			peers.refreshList = duty.ask
 			// Their looks are spread.
-			time.Sleep(peerTick / instances)
+			time.Sleep(peerTickInterval / instances)
 			go peers.run(ctx)
 			go duty.run(ctx)
 			go func() {
@@ -386,7 +386,7 @@
 						return
 					}
 					known.Step(time.Now(), membership.Listed{Listing: e.(membersListed).listing})
-					peers.members(known)
+					peers.updateMembers(known)
 				}
 			}()
 		}
@@ -409,7 +409,7 @@
 // poll hangs has the list by way of another one that had to hear of it too.
 func TestNewerListIsInTimeAcrossTwoInstances(t *testing.T) {
 	const inTime = 2 * time.Second
-	told := peerTick
-	asked := peer.DefaultListGrace + peerTick
-	require.LessOrEqual(t, 2*(told+asked+answerTime), inTime)
+	told := peerTickInterval
+	asked := peer.DefaultListGrace + peerTickInterval
+	require.LessOrEqual(t, 2*(told+asked+storeAnswerTime), inTime)
 }
--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -152,13 +152,13 @@
 	}
 	i.asking = peer.NewStreamClient(identity)
 	i.peers = &peersDuty{
-		counted: i.allowances.SetInstanceCount,
-		gossip:  peer.NewGossip(peer.GossipConfig{Name: i.cfg.Instance, Process: i.process}), sealer: sealer,
-		events: ring.New[peer.Event](peerEvents, ring.DropOldest), wanted: ring.New[wanted](wantedCapacity, ring.DropOldest),
-		heard: i.heard, quarantine: i.quarantine, log: i.log, now: i.deps.Now,
-		leaving:  func(name string) { _ = i.events.Put(i.work, instanceLeaving{name}) },
-		sent:     func(n int) { i.vars.Add("peer_bytes_out", int64(n)) },
-		received: func(n int) { i.vars.Add("peer_bytes_in", int64(n)) },
+		onLiveCount: i.allowances.SetInstanceCount,
+		gossip:      peer.NewGossip(peer.GossipConfig{Name: i.cfg.Instance, Process: i.process}), sealer: sealer,
+		events: ring.New[peer.Event](peerEventCapacity, ring.DropOldest), fetches: ring.New[wanted](wantedCapacity, ring.DropOldest),
+		freshness: i.heard, quarantine: i.quarantine, log: i.log, now: i.deps.Now,
+		onPeerLeaving: func(name string) { _ = i.events.Put(i.work, instanceLeaving{name}) },
+		countSent:     func(n int) { i.vars.Add("peer_bytes_out", int64(n)) },
+		countReceived: func(n int) { i.vars.Add("peer_bytes_in", int64(n)) },
 	}
 	if i.streams, err = peer.ListenStreams(i.cfg.Peers.Streams, identity, i.answerPeer); err != nil {
 		return err
@@ -301,18 +301,18 @@
 		done: &i.done, stopping: i.draining.Load, running: map[string]*cellDuty{},
 	}
 	view := &viewDuty{
-		events: i.events, router: i.router, log: i.log, now: i.deps.Now, kick: i.gates.Wake, cells: i.cells.update,
+		events: i.events, router: i.router, log: i.log, now: i.deps.Now, notify: i.gates.Wake, updateCells: i.cells.update,
 		list: membership.NewList(), endpoints: map[string]*routing.Endpoint{}, residency: newResidency(), withdrawnUntil: map[string]withdrawal{},
-		catalog: i.adopt, peers: i.peers.members,
+		resolve: i.adopt, updatePeers: i.peers.updateMembers,
 	}
 	i.settings = &settingsDuty{
-		client: objects, streams: i.asking, fetcher: revision.NewFetcher(), wanted: i.peers.wanted,
+		client: objects, streams: i.asking, fetcher: revision.NewFetcher(), wanted: i.peers.fetches,
 		events: i.events, heard: i.heard, log: i.log,
 	}
 	members := &membersDuty{
-		source: membership.NewSource(i.cfg.Platform.Members, platform), events: i.events, log: i.log, held: i.peers.listHeld,
+		source: membership.NewSource(i.cfg.Platform.Members, platform), events: i.events, log: i.log, held: i.peers.listReceived,
 	}
-	i.peers.askList = members.ask
+	i.peers.refreshList = members.ask
 	load := &loadDuty{
 		router: i.router, client: i.control, catalog: i.catalog.Load, events: i.events, log: i.log,
 		limiter: rate.NewLimiter(rate.Limit(i.cfg.Limits.LoadPollsPerSecond), 1),
--- a/daemon/late_test.go
+++ b/daemon/late_test.go
@@ -74,7 +74,7 @@
 	upTo := func(d time.Duration) time.Duration { return time.Duration(random.Int64N(int64(d))) }
 	for range lateRuns {
 		c := lateCase{
-			speak: upTo(hubTick), start: upTo(behindGather), leave: upTo(behindGather), trouble: upTo(entriesGather + hubTick),
+			speak: upTo(minAnnounceInterval), start: upTo(staleBatchDelay), leave: upTo(staleBatchDelay), trouble: upTo(entriesBatchDelay + minAnnounceInterval),
 		}
 		// The same moments with and without other changes.
 		for _, c.calm = range []bool{false, true} {
@@ -88,7 +88,7 @@
 
 // lookAfterSilence is how long after the last word of the holder, which comes at that
 // offset, a follower has looked closely at what changed right after it.
-func lookAfterSilence(t *testing.T, fresh NodeFresh, last time.Duration) time.Duration {
+func lookAfterSilence(t *testing.T, fresh NodeFreshness, last time.Duration) time.Duration {
 	t.Helper()
 	var late time.Duration
 	synctest.Test(t, func(t *testing.T) {
@@ -96,14 +96,14 @@
 		s := newLateStore(staleAnswers)
 		s.put("e", membership.Live)
 		follower := newLateInstance(s, "follower", func() bool { return false })
-		follower.client.fresh, follower.mesh.totals.holderLost = fresh, fresh.holderLost()
+		follower.client.fresh, follower.mesh.totals.holderTimeout = fresh, fresh.holderTimeout()
 		follower.follow(ctx)
 		silent := time.Now().Add(5*time.Second + last)
 		for time.Now().Before(silent) {
-			follower.mesh.totals.take(time.Now(), wordOfHolder(true))
-			time.Sleep(min(hubTick, time.Until(silent)))
+			follower.mesh.totals.receive(time.Now(), holderAnnouncement(true))
+			time.Sleep(min(minAnnounceInterval, time.Until(silent)))
 		}
-		follower.mesh.totals.take(time.Now(), wordOfHolder(true))
+		follower.mesh.totals.receive(time.Now(), holderAnnouncement(true))
 		began := time.Now()
 		s.put("e", membership.Leaving)
 		time.Sleep(staleAnswers + 5*time.Second)
@@ -120,14 +120,14 @@
 // pause or the call that they had begun. All these waits follow each other.
 func TestNewsIsInTimeWhateverTheOthersAreAtWhenTheHolderIsLost(t *testing.T) {
 	fresh := DefaultNodeConfig().Fresh
-	wider := NodeFresh{LeavingMS: 3000, SettingsMS: 3000, ContactMS: 4000}
-	for _, f := range []NodeFresh{fresh, wider} {
+	wider := NodeFreshness{LeavingMS: 3000, SettingsMS: 3000, ContactMS: 4000}
+	for _, f := range []NodeFreshness{fresh, wider} {
 		var look time.Duration
-		for last := time.Duration(0); last < 2*behindGather+f.behindWait(); last += 5 * time.Millisecond {
+		for last := time.Duration(0); last < 2*staleBatchDelay+f.staleWatchHold(); last += 5 * time.Millisecond {
 			look = max(look, lookAfterSilence(t, f, last))
 		}
 		t.Logf("leaving within %d ms: others look %v after the last word", f.LeavingMS, look)
-		assert.Less(t, f.vouchAge()+look, milliseconds(f.LeavingMS))
+		assert.Less(t, f.maxAttestedAge()+look, milliseconds(f.LeavingMS))
 	}
 }
 
@@ -213,10 +213,10 @@
 	const step, startStep = 15 * time.Millisecond, 150 * time.Millisecond
 	// takes is how long the successor may need to see that the lease is free, and less
 	// than what makes the others look closely.
-	const takes = min(leaseRenewal+leaseLook, leastHolderLost) - step
+	const takes = min(leaseRenewal+leaseLook, minHolderTimeout) - step
 	var worst time.Duration
-	for last := time.Duration(0); last < behindGather+step; last += step {
-		for start := time.Duration(0); start < behindGather; start += startStep {
+	for last := time.Duration(0); last < staleBatchDelay+step; last += step {
+		for start := time.Duration(0); start < staleBatchDelay; start += startStep {
 			worst = max(worst, handOver(t, last, start, takes))
 		}
 	}
@@ -237,8 +237,8 @@
 		successor := newLateInstance(s, "successor", holds.Load)
 		other := newLateInstance(s, "other", func() bool { return false })
 		hear := func() {
-			successor.mesh.totals.take(time.Now(), wordOfHolder(true))
-			other.mesh.totals.take(time.Now(), wordOfHolder(true))
+			successor.mesh.totals.receive(time.Now(), holderAnnouncement(true))
+			other.mesh.totals.receive(time.Now(), holderAnnouncement(true))
 		}
 		successor.follow(ctx)
 		successor.speak(ctx, other)
@@ -247,14 +247,14 @@
 			other.follow(ctx)
 		}()
 		handed := time.Now().Add(5*time.Second + last)
-		began := handed.Add(-entriesGather)
+		began := handed.Add(-entriesBatchDelay)
 		go func() {
 			time.Sleep(time.Until(began))
 			s.put("e", membership.Leaving)
 		}()
 		for time.Now().Before(handed) {
 			hear()
-			time.Sleep(min(hubTick, time.Until(handed)))
+			time.Sleep(min(minAnnounceInterval, time.Until(handed)))
 		}
 		hear()
 		time.Sleep(takes)
--- a/daemon/latestore_test.go
+++ b/daemon/latestore_test.go
@@ -108,7 +108,7 @@
 	store.Client
 	store *lateStore
 	link  *storeLink
-	fresh NodeFresh
+	fresh NodeFreshness
 
 	mu sync.Mutex
 	// calls are those that were made, closeCalls those of them that are not behind.
@@ -166,9 +166,9 @@
 
 // wait is one call of a watch.
 func (c *lateClient) wait(ctx context.Context, revision int64, behind bool) ([]store.Event, int64, error) {
-	hold := c.fresh.entriesWait()
+	hold := c.fresh.entriesWatchHold()
 	if behind {
-		hold = c.fresh.behindWait()
+		hold = c.fresh.staleWatchHold()
 	}
 	away, silent, cut := c.state()
 	c.link.asked(hold)
@@ -253,18 +253,18 @@
 		panic(err)
 	}
 	i.mesh = &mesh{
-		instance: name, now: time.Now, log: logr.Discard(), sealer: sealer, holds: holds,
-		current: func() bool { return link.settled() && link.age(endpointsKind) < fresh.vouchAge() },
-		listed:  map[string]presence{}, withdrawn: map[string]withdrawal{}, counted: func(int) {},
+		instance: name, now: time.Now, log: logr.Discard(), sealer: sealer, isHolder: holds,
+		storeCurrent: func() bool { return link.settled() && link.age(endpointsKind) < fresh.maxAttestedAge() },
+		listed:       map[string]presence{}, withdrawn: map[string]withdrawal{}, onInstanceCount: func(int) {},
 		router: routing.NewRouter(routing.Policies()[routing.PolicyTimely], nil), revision: func() int64 { return 1 },
 	}
 	i.duty = &entriesDuty{
 		client: i.client, kind: endpointsKind, entries: membership.NewEntries(), link: link, log: logr.Discard(), now: time.Now,
 		decode: func(o store.Object) (m membership.Member, err error) { return m, json.Unmarshal(o.Spec, &m) },
-		inputs: ring.New[membership.EntryEvent](entryInputs, ring.Block), events: ring.New[event](eventsCapacity, ring.Block),
-		behind:     func() bool { return i.mesh.holderTells() && link.settled() },
-		same:       i.mesh.listsTheSame,
-		storeThere: func() time.Time { return i.mesh.totals.storeThere(time.Now()) },
+		inputs: ring.New[membership.EntryEvent](entryInputCapacity, ring.Block), events: ring.New[event](eventsCapacity, ring.Block),
+		allowStale:           func() bool { return i.mesh.holderAttests() && link.settled() },
+		matchesHolder:        i.mesh.listMatchesHolder,
+		holderStoreBackSince: func() time.Time { return i.mesh.totals.storeBackSince(time.Now()) },
 	}
 	return i
 }
@@ -285,10 +285,10 @@
 		}
 		if l, ok := e.(membersListed); ok {
 			changes := i.list.Step(time.Now(), membership.Listed{Listing: l.listing})
-			i.mesh.endpoints.Store(i.list.Digest())
+			i.mesh.endpointsDigest.Store(i.list.Digest())
 			for _, c := range changes {
 				if c.Member.State != membership.Live {
-					i.mesh.withdraw(endpointStart{name: c.Member.Name})
+					i.mesh.recordWithdrawal(endpointStart{name: c.Member.Name})
 					i.leaves(c.Member.Name)
 				}
 			}
@@ -328,7 +328,7 @@
 	if err != nil {
 		panic(err)
 	}
-	w.to.mesh.totals.take(time.Now(), p)
+	w.to.mesh.totals.receive(time.Now(), p)
 	for _, name := range p.Withdrawn {
 		w.to.leaves(name)
 	}
@@ -351,10 +351,10 @@
 	}()
 	go func() {
 		for ctx.Err() == nil {
-			if i.mesh.holds() {
-				i.mesh.tellSum()
+			if i.mesh.isHolder() {
+				i.mesh.announceTotals()
 			}
-			time.Sleep(hubTick)
+			time.Sleep(minAnnounceInterval)
 		}
 	}()
 }
--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -51,58 +51,58 @@
 	// the hub.
 	leaving  func() bool
 	revision func() int64
-	holds    func() bool
+	isHolder func() bool
 	// current tells whether the store has answered this instance lately.
-	current func() bool
+	storeCurrent func() bool
 
 	// placed gets the word of the instance that places units.
-	placed func([]peer.Placement)
+	onPlacements func([]peer.Placement)
 	// demanded gets the demand of all instances together.
-	demanded func(map[string]peer.Demand)
+	onDemand func(map[string]peer.Demand)
 	// suspected gets endpoints at which requests of some instance have failed.
-	suspected func(endpoints []string)
+	onSuspects func(endpoints []string)
 	// gone gets endpoints at whose addresses other incarnations have answered.
-	gone func(endpoints []endpointStart)
+	onReplaced func(endpoints []endpointStart)
 	// alone is told whether this instance hears none of the others any more.
-	alone func(alone bool)
+	onPartition func(alone bool)
 	// endpointsLeave gets endpoints that another instance says take no more work.
-	endpointsLeave func(endpoints []endpointStart)
+	onEndpointsLeaving func(endpoints []endpointStart)
 	// linkBytes is what the instance's link carries, in bytes a second.
-	linkBytes float64
+	linkBytesPerSecond float64
 	// counted gets the number of instances that are listed.
-	counted func(n int)
+	onInstanceCount func(n int)
 	// newer is told when another instance has newer settings in force.
-	newer chan struct{}
+	newerSettings chan struct{}
 
 	// endpoints is the digest of the endpoints that this instance lists, newest the
 	// newest revision of the settings that any instance was heard to have.
-	endpoints atomic.Uint64
-	newest    atomic.Int64
+	endpointsDigest atomic.Uint64
+	newestRevision  atomic.Int64
 	// newestAt is when newest was first heard of; nil for never.
-	newestAt atomic.Pointer[time.Time]
+	newestRevisionAt atomic.Pointer[time.Time]
 
 	inputs *ring.Ring[peer.Packet]
 	// urgent holds at most one wish to tell at once.
 	urgent chan struct{}
 	totals totals
 	// board, othersAt, demandedAt and sharedAt belong to the goroutine of run.
-	board *peer.FleetView
+	fleetView *peer.FleetView
 	// hubSums and hubAt belong to the goroutine of tick.
-	hubSums broadcast.Totals
+	outgoingTotals broadcast.Totals
 	// toldLast is the summary that was sent last, at toldLastAt to toldLastTo; they belong to
 	// tick too.
-	toldLast   peer.Packet
-	toldLastAt time.Time
-	toldLastTo []string
+	lastSummary   peer.Packet
+	lastSummaryAt time.Time
+	lastSummaryTo []string
 	// othersAt is when another instance was last heard.
-	othersAt time.Time
+	lastContactAt time.Time
 	// heardOthers is the same for other goroutines; nil for never.
-	heardOthers atomic.Pointer[time.Time]
-	hubAt       time.Time
-	demandedAt  time.Time
-	sharedAt    time.Time
+	lastContact        atomic.Pointer[time.Time]
+	lastAnnouncementAt time.Time
+	demandReportedAt   time.Time
+	routingUpdatedAt   time.Time
 	// vouchedLast is whether the holder of the lease vouched at the last look.
-	vouchedLast bool
+	wasAttested bool
 
 	// mu guards the rest.
 	mu sync.Mutex
@@ -114,23 +114,23 @@
 	datagrams peer.Datagrams
 	// listed holds the entries of instances in the store, told where each that
 	// was heard lately says that it receives packets.
-	listed map[string]presence
-	told   map[string]string
+	listed            map[string]presence
+	reportedAddresses map[string]string
 	// listedVersion grows with each change of listed.
 	listedVersion int64
 	// joinedAt is when an instance was last listed that was not before.
 	joinedAt time.Time
 	// heard is how many instances were heard lately, sum what they have under way.
-	heard int
-	sum   []peer.EndpointLoad
+	liveInstances int
+	fleetTotals   []peer.EndpointLoad
 	// unsent holds the placements that wait for room on the link; changes and repeats bound
 	// what is sent of them.
-	unsent           broadcast.Residency
-	changes, repeats broadcast.Budget
+	unsentPlacements           broadcast.Residency
+	changeBudget, repeatBudget broadcast.Budget
 	// recipients is where the other instances receive packets; nil until it is asked for.
 	recipients []string
 	// passed are refusals of others for the hub's next word.
-	passed []uint32
+	refusalsToForward []uint32
 	// withdrawn holds when endpoints began to leave, by this instance's list.
 	withdrawn map[string]withdrawal
 	seq       uint64
@@ -138,7 +138,7 @@
 
 const (
 	// meshInputs bounds the packets that wait; newer ones say more.
-	meshInputs = 256
+	meshInputCapacity = 256
 	// meshTick is the time between two packets to each instance.
 	meshTick = 100 * time.Millisecond
 	// maxLoads and maxDemands bound what one packet carries, so that it fits a
@@ -148,42 +148,42 @@
 	maxDemands = 14
 	// suspectTime is for how long a failed request makes its endpoint suspect,
 	// maxSuspects bounds what one packet tells of them.
-	suspectTime = 250 * time.Millisecond
-	maxSuspects = 8
+	suspectDuration = 250 * time.Millisecond
+	maxSuspects     = 8
 	// maxGone bounds the endpoints of which one packet tells that they are gone.
-	maxGone = 6
+	maxReplaced = 6
 	// maxTotals bounds the sums of a packet that has more to tell.
 	maxTotals = 24
 	// smallFleet is up to how many instances everybody tells everybody.
-	smallFleet = 16
+	smallFleetSize = 16
 	// maxPassedOn bounds the refusals in one word of the hub.
-	maxPassedOn = 40
+	maxForwardedRefusals = 40
 	// maxWithdrawn bounds the endpoints that one packet tells of.
 	maxWithdrawn = 16
 	// leastHolderLost is for how long the holder of the lease may fail to vouch for
 	// what it knows, at least, before the others look closely themselves: its words
 	// come hubTick apart in small fleets, where several may be lost.
-	leastHolderLost = 550 * time.Millisecond
+	minHolderTimeout = 550 * time.Millisecond
 	// hubTick is the time between two words of the hub, and hubSlow that where its
 	// link is too narrow. Requests go by what it told last: with a longer time, more
 	// of them meet at the same endpoints.
-	hubTick = 100 * time.Millisecond
-	hubSlow = 400 * time.Millisecond
+	minAnnounceInterval = 100 * time.Millisecond
+	maxAnnounceInterval = 400 * time.Millisecond
 	// summaryKept is when an instance of a large fleet tells again what has not changed: three
 	// such words fit into the time after which it counts as gone.
-	summaryKept = peer.PeerTimeout / 4
+	summaryRepeatInterval = peer.PeerTimeout / 4
 	// hubLinkShare is the share of what it can send that the hub may fill with sums, and the
 	// same for placements that it repeats. changesLinkShare is that for placements that have
 	// changed.
-	hubLinkShare     = 0.15
-	changesLinkShare = 0.5
+	announceLinkShare = 0.15
+	changesLinkShare  = 0.5
 	// datagramTime is the processor time that a datagram takes to send.
-	datagramTime = 8 * time.Microsecond
+	datagramCPUTime = 8 * time.Microsecond
 	// linkShareKept is for how long unused parts of these shares are kept.
-	linkShareKept = hubSlow
+	linkShareCarryover = maxAnnounceInterval
 	// demandPause is the least time between two looks at the demand of a large fleet: each
 	// packet with waiting requests asks for one, and thousands come in a second.
-	demandPause = 25 * time.Millisecond
+	demandInterval = 25 * time.Millisecond
 	// bytesPerMbit converts the bandwidth of links.
 	bytesPerMbit = 1e6 / 8
 )
@@ -235,7 +235,7 @@
 }
 
 // find records an instance's entry in the store; nil says that it is gone.
-func (m *mesh) find(instance string, p *presence) {
+func (m *mesh) updateInstance(instance string, p *presence) {
 	m.mu.Lock()
 	if p == nil {
 		delete(m.listed, instance)
@@ -249,7 +249,7 @@
 	m.recipients = nil
 	n := len(m.listed)
 	m.mu.Unlock()
-	m.counted(n)
+	m.onInstanceCount(n)
 }
 
 // run takes packets and tells the board's news.
@@ -273,88 +273,88 @@
 		if p.From != m.instance && m.rights.heard(p, m.process) {
 			continue
 		}
-		if m.board.Receive(m.now(), p) {
+		if m.fleetView.Receive(m.now(), p) {
 			m.allowances.heard(p)
-			m.news(p)
+			m.applyPacket(p)
 		}
 	}
 }
 
 // news passes on what a packet has brought. This instance's own packet comes
 // this way too, once in each tick.
-func (m *mesh) news(p peer.Packet) {
+func (m *mesh) applyPacket(p peer.Packet) {
 	if len(p.Placements) > 0 {
-		m.placed(p.Placements)
+		m.onPlacements(p.Placements)
 	}
 	if p.From != m.instance {
 		m.evacuations.heard(p)
 	}
 	if p.Instances > 0 && p.From != m.instance {
-		m.totals.take(m.now(), p)
-		m.shareTotals(p.Totals)
+		m.totals.receive(m.now(), p)
+		m.updateRoutingFor(p.Totals)
 	}
 	if len(p.Refused) > 0 && p.From != m.instance {
 		m.refusals.RecordRemote(m.now(), p.Refused)
-		m.passOn(p.Refused)
+		m.forwardRefusals(p.Refused)
 	}
 	if p.From != m.instance && len(p.Placements) == 0 {
 		// In a large fleet only the hub reaches all.
-		m.quarantine.ReceiveReports(p.Endings, m.small() || m.holds())
+		m.quarantine.ReceiveReports(p.Endings, m.isSmallFleet() || m.isHolder())
 		m.quarantine.ReceiveDigest(p.EndingsDigest)
 	}
-	m.hearRevision(p.Revision)
+	m.receiveRevision(p.Revision)
 	if len(p.Withdrawn) > 0 && p.From != m.instance {
-		m.endpointsLeave(startsOf(p.Withdrawn, p.WithdrawnStarts))
+		m.onEndpointsLeaving(startsOf(p.Withdrawn, p.WithdrawnStarts))
 	}
 	if len(p.Suspects) > 0 {
-		m.suspected(p.Suspects)
+		m.onSuspects(p.Suspects)
 	}
 	if len(p.Replaced) > 0 {
-		m.gone(startsOf(p.Replaced, p.ReplacedStarts))
+		m.onReplaced(startsOf(p.Replaced, p.ReplacedStarts))
 	}
-	waits := false
+	waiting := false
 	for _, d := range p.Demands {
-		waits = waits || d.Waiting > 0
+		waiting = waiting || d.Waiting > 0
 	}
 	if p.From == m.instance {
-		m.noteVouch()
-		m.alone(m.hearsNobody())
-		m.board.Expire(m.now())
+		m.logAttestation()
+		m.onPartition(m.possiblyPartitioned())
+		m.fleetView.Expire(m.now())
 		m.publish()
 	}
-	if p.From == m.instance || waits && m.demandDue() {
-		m.demandedAt = m.now()
-		m.demanded(m.board.Demand())
+	if p.From == m.instance || waiting && m.demandDue() {
+		m.demandReportedAt = m.now()
+		m.onDemand(m.fleetView.Demand())
 	}
 }
 
 // hearRevision takes the revision of the settings that another instance has in force.
-func (m *mesh) hearRevision(revision int64) {
+func (m *mesh) receiveRevision(revision int64) {
 	if revision <= m.revision() {
 		return
 	}
-	m.heardRevision(revision)
+	m.recordRevision(revision)
 	select {
-	case m.newer <- struct{}{}:
+	case m.newerSettings <- struct{}{}:
 	default:
 	}
 }
 
 // heardRevision notes a revision of the settings that another instance has.
-func (m *mesh) heardRevision(revision int64) {
-	if revision <= m.newest.Load() {
+func (m *mesh) recordRevision(revision int64) {
+	if revision <= m.newestRevision.Load() {
 		return
 	}
 	now := m.now()
-	m.newestAt.Store(&now)
-	m.newest.Store(revision)
+	m.newestRevisionAt.Store(&now)
+	m.newestRevision.Store(revision)
 }
 
 // heardAgo is how long ago another instance was first heard to have a revision of the settings,
 // or a later one; neverConfirmed if none was.
-func (m *mesh) heardAgo(revision int64) time.Duration {
-	at := m.newestAt.Load()
-	if at == nil || m.newest.Load() < revision {
+func (m *mesh) sinceRevisionSeen(revision int64) time.Duration {
+	at := m.newestRevisionAt.Load()
+	if at == nil || m.newestRevision.Load() < revision {
 		return neverConfirmed
 	}
 	return m.now().Sub(*at)
@@ -362,32 +362,34 @@
 
 // outdatedFor is for how long settings that are known to be newer are waited for: they may be
 // such that this release cannot read, or may have been lost with the store.
-const outdatedFor = 10 * time.Second
+const outdatedTimeout = 10 * time.Second
 
 // outdated tells whether another instance has lately been heard to have newer settings.
 func (m *mesh) outdated() bool {
-	at := m.newestAt.Load()
-	return at != nil && !m.settingsInForce() && m.now().Sub(*at) < outdatedFor
+	at := m.newestRevisionAt.Load()
+	return at != nil && !m.hasNewestSettings() && m.now().Sub(*at) < outdatedTimeout
 }
 
 // demandDue tells whether the demand is to be looked at before the next tick.
-func (m *mesh) demandDue() bool { return m.small() || m.now().Sub(m.demandedAt) >= demandPause }
+func (m *mesh) demandDue() bool {
+	return m.isSmallFleet() || m.now().Sub(m.demandReportedAt) >= demandInterval
+}
 
 // An instance that has heard others, and none of them for aloneAfter, may be cut off
 // from them; after aloneFor they are gone for all it can tell.
 const (
-	aloneAfter = 350 * time.Millisecond
-	aloneFor   = 10 * time.Second
+	partitionAfter   = 350 * time.Millisecond
+	partitionTimeout = 10 * time.Second
 )
 
 // hearsNobody tells whether this instance may be cut off from the others.
-func (m *mesh) hearsNobody() bool {
-	if at := m.board.LastContactExcept(m.instance); at.After(m.othersAt) {
-		m.othersAt = at
-		m.heardOthers.Store(&at)
+func (m *mesh) possiblyPartitioned() bool {
+	if at := m.fleetView.LastContactExcept(m.instance); at.After(m.lastContactAt) {
+		m.lastContactAt = at
+		m.lastContact.Store(&at)
 	}
-	silent := m.now().Sub(m.othersAt)
-	return !m.othersAt.IsZero() && silent >= aloneAfter && silent < aloneFor
+	silent := m.now().Sub(m.lastContactAt)
+	return !m.lastContactAt.IsZero() && silent >= partitionAfter && silent < partitionTimeout
 }
 
 // An instance that hears none of the others for isolatedAfter, or has never heard any
@@ -399,80 +401,80 @@
 
 // isolated tells whether others are listed and none can be heard.
 func (m *mesh) isolated() bool {
-	if m.size() <= 1 {
+	if m.listedCount() <= 1 {
 		return false
 	}
-	if at := m.heardOthers.Load(); at != nil {
+	if at := m.lastContact.Load(); at != nil {
 		return m.now().Sub(*at) >= isolatedAfter
 	}
-	return m.joined() >= neverHeardAfter
+	return m.sinceJoin() >= neverHeardAfter
 }
 
 // publish makes the board's state known to routing and to others that ask.
 func (m *mesh) publish() {
-	m.share()
-	var sum []peer.EndpointLoad
-	if m.holds() && !m.small() {
-		sum = slices.Collect(maps.Values(m.board.Loads("")))
+	m.updateRouting()
+	var loads []peer.EndpointLoad
+	if m.isHolder() && !m.isSmallFleet() {
+		loads = slices.Collect(maps.Values(m.fleetView.Loads("")))
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.told, m.heard, m.sum, m.recipients = m.board.Addresses(), len(m.board.Live()), sum, nil
+	m.reportedAddresses, m.liveInstances, m.fleetTotals, m.recipients = m.fleetView.Addresses(), len(m.fleetView.Live()), loads, nil
 }
 
 // shareEvery is the time between two looks at what all endpoints have, where the hub's word
 // tells of each that has changed.
-const shareEvery = 500 * time.Millisecond
+const routingUpdateInterval = 500 * time.Millisecond
 
 // share tells routing what the other instances have under way.
-func (m *mesh) share() {
+func (m *mesh) updateRouting() {
 	var others map[string]peer.EndpointLoad
-	if !m.small() && m.totals.fresh(m.now()) {
-		if m.now().Sub(m.sharedAt) < shareEvery {
+	if !m.isSmallFleet() && m.totals.fresh(m.now()) {
+		if m.now().Sub(m.routingUpdatedAt) < routingUpdateInterval {
 			return
 		}
-		m.sharedAt = m.now()
+		m.routingUpdatedAt = m.now()
 		others = m.totals.others(m.now())
 	} else {
-		others = m.board.Loads(m.instance)
+		others = m.fleetView.Loads(m.instance)
 	}
 	for _, pool := range m.router.View().Pools {
 		for _, e := range pool {
-			e.SetPeerLoad(othersLoad(others[e.Name], m.now()))
+			e.SetPeerLoad(toPeerLoad(others[e.Name], m.now()))
 		}
 	}
 }
 
 // shareTotals tells routing what one packet of the hub brings: its word comes in many.
-func (m *mesh) shareTotals(told []peer.EndpointLoad) {
-	if m.small() {
-		m.share()
+func (m *mesh) updateRoutingFor(loads []peer.EndpointLoad) {
+	if m.isSmallFleet() {
+		m.updateRouting()
 		return
 	}
 	endpoints := m.router.View().ByName
 	now := m.now()
-	for _, l := range told {
+	for _, l := range loads {
 		if e := endpoints[l.Endpoint]; e != nil {
-			e.SetPeerLoad(othersLoad(m.totals.less(l), now))
+			e.SetPeerLoad(toPeerLoad(m.totals.subtractOwn(l), now))
 		}
 	}
 }
 
-func othersLoad(l peer.EndpointLoad, now time.Time) routing.PeerLoad {
+func toPeerLoad(l peer.EndpointLoad, now time.Time) routing.PeerLoad {
 	return routing.PeerLoad{Running: l.Running, PromptWork: time.Duration(l.PrefillMicros) * time.Microsecond, At: now}
 }
 
 // sums returns what all instances have under way, in a large fleet, and how many
 // instances were heard lately, as publish found them.
-func (m *mesh) sums() ([]peer.EndpointLoad, int) {
+func (m *mesh) currentTotals() ([]peer.EndpointLoad, int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.sum, m.heard
+	return m.fleetTotals, m.liveInstances
 }
 
 // known returns the instances that are listed in the store or were heard, this
 // one included, and how strong each is.
-func (m *mesh) known() map[string]float64 {
+func (m *mesh) knownInstances() map[string]float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known := make(map[string]float64, len(m.listed)+1)
@@ -505,14 +507,14 @@
 }
 
 // streamsOf is where an instance answers questions; empty if that is not known.
-func (m *mesh) streamsOf(instance string) string {
+func (m *mesh) streamAddress(instance string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.listed[instance].Streams
 }
 
 // joined is how long ago an instance was listed that was not before.
-func (m *mesh) joined() time.Duration {
+func (m *mesh) sinceJoin() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.now().Sub(m.joinedAt)
@@ -520,10 +522,10 @@
 
 // hearsStronger tells whether an instance was heard lately that has so many times the
 // processor time of this one.
-func (m *mesh) hearsStronger(times float64) bool {
+func (m *mesh) hasStrongerPeer(times float64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for name := range m.told {
+	for name := range m.reportedAddresses {
 		if m.listed[name].Cores >= times*m.self.Cores {
 			return true
 		}
@@ -533,13 +535,13 @@
 
 // issuers is what is known of the instances that issue permits. In a small fleet those that
 // are heard count, as entries of some may be those of machines that are gone.
-func (m *mesh) issuers() permit.Fleet {
+func (m *mesh) permitIssuers() permit.Fleet {
 	f := permit.Fleet{Isolated: m.isolated()}
-	small := m.small()
+	small := m.isSmallFleet()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if small {
-		f.Members = slices.Collect(maps.Keys(m.told))
+		f.Members = slices.Collect(maps.Keys(m.reportedAddresses))
 	}
 	if len(f.Members) == 0 {
 		f.Members = slices.Collect(maps.Keys(m.listed))
@@ -552,21 +554,21 @@
 }
 
 // addressOf is where an instance receives packets; empty if it is not known.
-func (m *mesh) addressOf(instance string) string {
+func (m *mesh) datagramAddress(instance string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if address, told := m.told[instance]; told {
+	if address, told := m.reportedAddresses[instance]; told {
 		return address
 	}
 	return m.listed[instance].Datagrams
 }
 
 // tellOne sends a packet to one instance, if it is known where that is.
-func (m *mesh) tellOne(p peer.Packet, instance string) {
-	if address := m.addressOf(instance); address != "" {
+func (m *mesh) sendTo(p peer.Packet, instance string) {
+	if address := m.datagramAddress(instance); address != "" {
 		m.send(m.stamp(p), []string{address})
 	}
 }
 
 // hubSilent is how long ago the instance that places units was heard.
-func (m *mesh) hubSilent() time.Duration { return m.totals.silent(m.now()) }
+func (m *mesh) coordinatorSilence() time.Duration { return m.totals.silence(m.now()) }
--- a/daemon/mesh_bench_test.go
+++ b/daemon/mesh_bench_test.go
@@ -29,15 +29,15 @@
 	a := newAllowances(AllowanceConfig{WindowS: 8, Over: 0.1}, "p", holder, func() int { return instances }, time.Now)
 	a.adopt(limitedTree())
 	m := &mesh{
-		instance: "hub", process: "hub", now: time.Now, listed: map[string]presence{}, counted: func(int) {}, router: router,
-		holds: holder, allowances: a, rights: &keyRights{answers: holder, keeper: authority.NewTracker(time.Second), now: time.Now, exact: time.Now, log: logr.Discard(), revision: func() int64 { return 1 }}, eras: &store.Eras{}, refusals: &pipeline.Refusals{}, log: logr.Discard(),
+		instance: "hub", process: "hub", now: time.Now, listed: map[string]presence{}, onInstanceCount: func(int) {}, router: router,
+		isHolder: holder, allowances: a, rights: &keyRights{answers: holder, keeper: authority.NewTracker(time.Second), now: time.Now, exact: time.Now, log: logr.Discard(), revision: func() int64 { return 1 }}, eras: &store.Eras{}, refusals: &pipeline.Refusals{}, log: logr.Discard(),
 		quarantine: quarantine.NewManager(quarantine.Config{Now: time.Now, Log: logr.Discard(), Wake: func() {}, Persist: func(quarantine.Report) {}}),
-		revision:   func() int64 { return 1 }, board: peer.NewFleetView(), inputs: ring.New[peer.Packet](meshInputs, ring.DropOldest),
-		demanded: func(map[string]peer.Demand) {}, alone: func(bool) {}, suspected: func([]string) {},
+		revision:   func() int64 { return 1 }, fleetView: peer.NewFleetView(), inputs: ring.New[peer.Packet](meshInputCapacity, ring.DropOldest),
+		onDemand: func(map[string]peer.Demand) {}, onPartition: func(bool) {}, onSuspects: func([]string) {},
 	}
 	m.permits = newPermits("hub", router, logr.Discard(), time.Now)
 	for i := range instances {
-		m.find(fmt.Sprintf("edge-%03d", i), &presence{Datagrams: fmt.Sprintf("10.0.%d.%d:7380", i/250, i%250)})
+		m.updateInstance(fmt.Sprintf("edge-%03d", i), &presence{Datagrams: fmt.Sprintf("10.0.%d.%d:7380", i/250, i%250)})
 	}
 	return m
 }
@@ -57,7 +57,7 @@
 
 // BenchmarkHubHears measures what the hub spends on a packet of another instance, which come
 // ten times a second from each, from the sealed bytes on.
-func BenchmarkHubHears(b *testing.B) {
+func BenchmarkCoordinatorReceive(b *testing.B) {
 	for _, size := range []struct{ instances, endpoints int }{{90, 140}, {390, 720}, {301, 3000}} {
 		b.Run(fmt.Sprintf("%d instances, %d endpoints", size.instances, size.endpoints), func(b *testing.B) {
 			m := benchMesh(true, size.instances, size.endpoints)
@@ -75,9 +75,9 @@
 				b.StartTimer()
 				m.receive(sealed)
 				p, _ := m.inputs.Take(b.Context())
-				if !m.permits.heard(p) && !m.rights.heard(p, m.process) && m.board.Receive(m.now(), p) {
+				if !m.permits.heard(p) && !m.rights.heard(p, m.process) && m.fleetView.Receive(m.now(), p) {
 					m.allowances.heard(p)
-					m.news(p)
+					m.applyPacket(p)
 				}
 			}
 		})
@@ -92,7 +92,7 @@
 				m := benchMesh(holds, size.instances, size.endpoints)
 				for i := range size.instances {
 					if holds {
-						m.board.Receive(m.now(), summaryOf(i, size.endpoints, 1))
+						m.fleetView.Receive(m.now(), summaryOf(i, size.endpoints, 1))
 					}
 				}
 				var told []peer.EndpointLoad
@@ -101,7 +101,7 @@
 				}
 				for b.Loop() {
 					if !holds {
-						m.totals.take(m.now(), peer.Packet{Address: "hub", Instances: size.instances, StoreCurrent: true, Totals: told})
+						m.totals.receive(m.now(), peer.Packet{Address: "hub", Instances: size.instances, StoreCurrent: true, Totals: told})
 					}
 					m.publish()
 				}
--- a/daemon/mesh_test.go
+++ b/daemon/mesh_test.go
@@ -22,7 +22,7 @@
 		Version: peer.PacketVersion, From: "edge-hall-outremeuse-12", Process: "ABCDEFGHIJKLMNOPQRSTUVWXYZ", Address: "10.200.100.100:17380",
 		Seq: 1 << 40, Revision: 1 << 30,
 	}
-	summary, word, placed := head, head, head
+	summary, announcement, placed := head, head, head
 	for i := range maxLoads {
 		summary.Loads = append(summary.Loads, peer.EndpointLoad{Endpoint: endpoint(i), Running: 60, PrefillMicros: 900_000})
 	}
@@ -32,31 +32,31 @@
 	for i := range maxSuspects {
 		summary.Suspects = append(summary.Suspects, endpoint(i))
 	}
-	for i := range maxGone {
+	for i := range maxReplaced {
 		summary.Replaced = append(summary.Replaced, endpoint(i))
-		word.Replaced = append(word.Replaced, endpoint(i))
+		announcement.Replaced = append(announcement.Replaced, endpoint(i))
 	}
 	for i := range maxFreshRefusals {
 		summary.Refused = append(summary.Refused, 1<<31+uint32(i))
 	}
 	// Starts are Unix times in milliseconds.
 	const start = int64(1_782_399_000_000)
-	for range maxGone {
+	for range maxReplaced {
 		summary.ReplacedStarts = append(summary.ReplacedStarts, start)
-		word.ReplacedStarts = append(word.ReplacedStarts, start)
+		announcement.ReplacedStarts = append(announcement.ReplacedStarts, start)
 	}
 	for range maxWithdrawn {
-		word.WithdrawnStarts = append(word.WithdrawnStarts, start)
+		announcement.WithdrawnStarts = append(announcement.WithdrawnStarts, start)
 	}
-	word.Instances, word.StoreCurrent = 390, true
+	announcement.Instances, announcement.StoreCurrent = 390, true
 	for i := range maxTotals {
-		word.Totals = append(word.Totals, peer.EndpointLoad{Endpoint: endpoint(i), Running: 600, PrefillMicros: 90_000_000})
+		announcement.Totals = append(announcement.Totals, peer.EndpointLoad{Endpoint: endpoint(i), Running: 600, PrefillMicros: 90_000_000})
 	}
 	for i := range maxWithdrawn {
-		word.Withdrawn = append(word.Withdrawn, endpoint(i))
+		announcement.Withdrawn = append(announcement.Withdrawn, endpoint(i))
 	}
-	for i := range maxPassedOn {
-		word.Refused = append(word.Refused, 1<<31+uint32(i))
+	for i := range maxForwardedRefusals {
+		announcement.Refused = append(announcement.Refused, 1<<31+uint32(i))
 	}
 	// Packets are filled; so many placements fit with the longest names.
 	const maxPlacements = 4
@@ -67,7 +67,7 @@
 		}
 		placed.Placements = append(placed.Placements, p)
 	}
-	for name, p := range map[string]peer.Packet{"summary": summary, "hub's word": word, "placements": placed} {
+	for name, p := range map[string]peer.Packet{"summary": summary, "hub's word": announcement, "placements": placed} {
 		data, err := peer.EncodePacket(p)
 		require.NoError(t, err)
 		require.LessOrEqual(t, len(data), peer.MaxPacketBytes, name)
@@ -76,39 +76,39 @@
 
 // TestHearsNobody follows an instance that is cut off from the others for a while, and
 // one that never had any.
-func TestHearsNobody(t *testing.T) {
+func TestPossiblyPartitioned(t *testing.T) {
 	now := time.Unix(1000, 0)
-	m := &mesh{instance: "a", board: peer.NewFleetView(), now: func() time.Time { return now }}
-	require.False(t, m.hearsNobody(), "there may be no others")
-	m.board.Receive(now, peer.Packet{From: "b", Process: "p", Seq: 1})
-	require.False(t, m.hearsNobody())
-	now = now.Add(aloneAfter)
-	m.board.Receive(now, peer.Packet{From: "a", Process: "own", Seq: 1})
-	require.True(t, m.hearsNobody(), "its own packets say nothing")
+	m := &mesh{instance: "a", fleetView: peer.NewFleetView(), now: func() time.Time { return now }}
+	require.False(t, m.possiblyPartitioned(), "there may be no others")
+	m.fleetView.Receive(now, peer.Packet{From: "b", Process: "p", Seq: 1})
+	require.False(t, m.possiblyPartitioned())
+	now = now.Add(partitionAfter)
+	m.fleetView.Receive(now, peer.Packet{From: "a", Process: "own", Seq: 1})
+	require.True(t, m.possiblyPartitioned(), "its own packets say nothing")
 	now = now.Add(peer.PeerTimeout)
-	m.board.Expire(now)
-	require.True(t, m.hearsNobody())
-	m.board.Receive(now, peer.Packet{From: "b", Process: "p", Seq: 2})
-	require.False(t, m.hearsNobody())
-	now = now.Add(aloneFor)
-	require.False(t, m.hearsNobody(), "after that they are gone for all it can tell")
+	m.fleetView.Expire(now)
+	require.True(t, m.possiblyPartitioned())
+	m.fleetView.Receive(now, peer.Packet{From: "b", Process: "p", Seq: 2})
+	require.False(t, m.possiblyPartitioned())
+	now = now.Add(partitionTimeout)
+	require.False(t, m.possiblyPartitioned(), "after that they are gone for all it can tell")
 }
 
 // TestSumsFillPackets cuts lists of sums with short and long names.
-func TestSumsFillPackets(t *testing.T) {
+func TestTotalsFillPackets(t *testing.T) {
 	for _, length := range []int{3, 12, 120, 600} {
 		var list []peer.EndpointLoad
 		for i := range 300 {
 			list = append(list, peer.EndpointLoad{Endpoint: fmt.Sprintf("%0*d", length, i), Running: int64(i * i), PrefillMicros: int64(i) << 20})
 		}
-		told := 0
+		sent := 0
 		for len(list) > 0 {
 			p := peer.Packet{Version: 1, From: "edge-pnw-hillsboro-13", Address: "10.1.0.38:7380", Seq: 1 << 40, Instances: 390}
-			p.Totals, list = cutSums(list, roomIn(p))
-			told += len(p.Totals)
+			p.Totals, list = cutLoads(list, remainingBytes(p))
+			sent += len(p.Totals)
 			requireFilled(t, p, length+30, len(list) == 0)
 		}
-		require.Equal(t, 300, told)
+		require.Equal(t, 300, sent)
 	}
 }
 
@@ -127,7 +127,7 @@
 		}
 		for queue.Len() > 0 {
 			p := peer.Packet{Version: 1, From: "edge-pnw-hillsboro-13", Address: "10.1.0.38:7380", Seq: 1 << 40}
-			p.Placements = queue.Next(roomIn(p), broadcast.Refresh)
+			p.Placements = queue.Next(remainingBytes(p), broadcast.Refresh)
 			requireFilled(t, p, most+30, queue.Len() == 0)
 		}
 	}
@@ -142,6 +142,6 @@
 	require.LessOrEqual(t, len(data), peer.MaxPacketBytes)
 	if !last {
 		// An entry counts as a little more than it takes.
-		require.Greater(t, len(data)+left+4*len(p.Placements), peer.MaxPacketBytes-endingsHead)
+		require.Greater(t, len(data)+left+4*len(p.Placements), peer.MaxPacketBytes-fieldOverhead)
 	}
 }
--- a/daemon/meshtell.go
+++ b/daemon/meshtell.go
@@ -14,7 +14,7 @@
 )
 
 // hurry tells the others at once.
-func (m *mesh) hurry() {
+func (m *mesh) sendSoon() {
 	select {
 	case m.urgent <- struct{}{}:
 	default:
@@ -25,27 +25,27 @@
 // when replicas are missing, and the hub hears each: urgentPauseLarge is the time between two
 // plans for requests that wait.
 const (
-	urgentPause      = 5 * time.Millisecond
-	urgentPauseLarge = 40 * time.Millisecond
+	urgentDelaySmall = 5 * time.Millisecond
+	urgentDelayLarge = 40 * time.Millisecond
 )
 
 // pauseUrgent is the time between a wish to tell at once and the packet.
-func (m *mesh) pauseUrgent() time.Duration {
-	if m.small() {
-		return urgentPause
+func (m *mesh) urgentDelay() time.Duration {
+	if m.isSmallFleet() {
+		return urgentDelaySmall
 	}
-	return urgentPauseLarge
+	return urgentDelayLarge
 }
 
 func (m *mesh) tick(ctx context.Context) {
 	for ctx.Err() == nil {
-		m.tell(ctx)
+		m.sendSummary(ctx)
 		timer := time.NewTimer(meshTick)
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
 		case <-m.urgent:
-			wait.For(ctx, m.pauseUrgent())
+			wait.For(ctx, m.urgentDelay())
 		}
 		timer.Stop()
 	}
@@ -55,11 +55,11 @@
 // everybody tells everybody. In a large one everybody tells the hub, which is the
 // instance that places units, and the hub tells everybody the sum: packets grow
 // with the instances, not with their square.
-func (m *mesh) tell(ctx context.Context) {
+func (m *mesh) sendSummary(ctx context.Context) {
 	p := m.stamp(m.summary())
-	m.totals.tell(p.Loads)
-	to := m.hubAddress()
-	if m.small() || len(to) == 0 && m.quarantine.HasPendingReports() && !m.holds() {
+	m.totals.recordOwn(p.Loads)
+	to := m.coordinatorAddresses()
+	if m.isSmallFleet() || len(to) == 0 && m.quarantine.HasPendingReports() && !m.isHolder() {
 		// While there is no hub, news of requests that end endpoints goes straight to all.
 		to = m.addresses()
 	}
@@ -67,88 +67,88 @@
 		to = []string{address}
 	}
 	if len(to) == 0 && m.allowances != nil && m.allowances.orphan() {
-		to = m.strongest()
+		to = m.strongestAddresses()
 	}
 	p.EndingsDigest = m.quarantine.Digest()
 	if len(to) > 0 || m.allowances.address() == m.address {
 		p.ConfirmRequest = m.rights.ask()
-		m.allowances.tell(&p, roomIn(p))
-		p.Endings = m.quarantine.PendingReports(m.room(p))
+		m.allowances.tell(&p, remainingBytes(p))
+		p.Endings = m.quarantine.PendingReports(m.endingsRoom(p))
 	}
 	if len(to) > 0 {
-		p.Limits = m.permits.words(roomIn(p))
+		p.Limits = m.permits.words(remainingBytes(p))
 	}
-	if !m.saysNothingNew(p, to) {
+	if !m.summaryUnchanged(p, to) {
 		m.send(p, to)
 	}
 	_ = m.inputs.Put(ctx, p)
-	m.tellFleet()
+	m.announceIfDue()
 }
 
 // saysNothingNew tells whether a summary need not be sent: in a large fleet those that it is for
 // have what the last one said. It notes a summary that is sent.
-func (m *mesh) saysNothingNew(p peer.Packet, to []string) bool {
-	passing := len(p.Refused)+len(p.Endings)+len(p.Limits) > 0 || p.ConfirmRequest != 0
-	last := m.toldLast
+func (m *mesh) summaryUnchanged(p peer.Packet, to []string) bool {
+	urgent := len(p.Refused)+len(p.Endings)+len(p.Limits) > 0 || p.ConfirmRequest != 0
+	last := m.lastSummary
 	last.Seq, last.EndingsDigest = p.Seq, p.EndingsDigest
-	kept := m.now().Sub(m.toldLastAt) < summaryKept && slices.Equal(to, m.toldLastTo)
-	if !m.small() && !passing && kept && reflect.DeepEqual(last, p) {
+	recent := m.now().Sub(m.lastSummaryAt) < summaryRepeatInterval && slices.Equal(to, m.lastSummaryTo)
+	if !m.isSmallFleet() && !urgent && recent && reflect.DeepEqual(last, p) {
 		return true
 	}
-	m.toldLast, m.toldLastAt, m.toldLastTo = p, m.now(), to
+	m.lastSummary, m.lastSummaryAt, m.lastSummaryTo = p, m.now(), to
 	return false
 }
 
 // tellFleet tells all instances what is due of what this one gathers for them, and what
 // endpoints hold.
-func (m *mesh) tellFleet() {
-	if m.now().Sub(m.hubAt) >= m.hubPause() {
-		m.hubAt = m.now()
-		m.tellAll()
+func (m *mesh) announceIfDue() {
+	if m.now().Sub(m.lastAnnouncementAt) >= m.announceInterval() {
+		m.lastAnnouncementAt = m.now()
+		m.announceAll()
 	}
 	m.flushPlacements()
 }
 
 // endingsHead is what the field of endings takes besides its words, in bytes.
-const endingsHead = 8
+const fieldOverhead = 8
 
 // room is how many bytes of words of endings a packet has room for.
-func (m *mesh) room(p peer.Packet) int {
+func (m *mesh) endingsRoom(p peer.Packet) int {
 	if !m.quarantine.HasPendingReports() {
 		return 0
 	}
-	return roomIn(p)
+	return remainingBytes(p)
 }
 
 // roomIn is how many bytes a packet has room for in one more field.
-func roomIn(p peer.Packet) int {
+func remainingBytes(p peer.Packet) int {
 	data, err := peer.EncodePacket(p)
 	if err != nil {
 		return 0
 	}
-	return peer.MaxPacketBytes - len(data) - endingsHead
+	return peer.MaxPacketBytes - len(data) - fieldOverhead
 }
 
 // placedNews is a placement, and how soon the others need to know it.
-type placedNews struct {
+type outgoingPlacement struct {
 	peer.Placement
 	urgency broadcast.Urgency
 }
 
 // place tells all instances, this one too, what endpoints hold. In a large fleet
 // what comes within a tick goes together, as far as the link bears it.
-func (m *mesh) place(news []placedNews) {
-	placements := make([]peer.Placement, 0, len(news))
-	for _, n := range news {
-		placements = append(placements, n.Placement)
+func (m *mesh) publishPlacements(placements []outgoingPlacement) {
+	plain := make([]peer.Placement, 0, len(placements))
+	for _, n := range placements {
+		plain = append(plain, n.Placement)
 	}
-	m.placed(placements)
+	m.onPlacements(plain)
 	m.mu.Lock()
-	for _, n := range news {
-		m.unsent.Put(n.Placement, n.urgency)
+	for _, n := range placements {
+		m.unsentPlacements.Put(n.Placement, n.urgency)
 	}
 	m.mu.Unlock()
-	if m.small() {
+	if m.isSmallFleet() {
 		m.flushPlacements()
 	}
 }
@@ -156,7 +156,7 @@
 func (m *mesh) flushPlacements() {
 	for {
 		p := m.stamp(peer.Packet{})
-		if p.Placements = m.nextPlacements(roomIn(p)); len(p.Placements) == 0 {
+		if p.Placements = m.nextPlacements(remainingBytes(p)); len(p.Placements) == 0 {
 			return
 		}
 		m.send(p, m.addresses())
@@ -165,31 +165,31 @@
 
 // nextPlacements takes what goes in one packet that has so much room.
 func (m *mesh) nextPlacements(room int) []peer.Placement {
-	small := m.small()
+	small := m.isSmallFleet()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	least := broadcast.Refresh
+	minimum := broadcast.Refresh
 	if !small {
-		least = m.leastUrgency()
+		minimum = m.minUrgency()
 	}
-	next := m.unsent.Next(room, least)
+	next := m.unsentPlacements.Next(room, minimum)
 	if len(next) > 0 {
-		m.changes.Spend(peer.MaxPacketBytes)
-		m.repeats.Spend(peer.MaxPacketBytes)
+		m.changeBudget.Spend(peer.MaxPacketBytes)
+		m.repeatBudget.Spend(peer.MaxPacketBytes)
 	}
 	return next
 }
 
 // leastUrgency is which placements the link bears now; mu must be held.
-func (m *mesh) leastUrgency() broadcast.Urgency {
+func (m *mesh) minUrgency() broadcast.Urgency {
 	perInstance := m.sendRate() / float64(max(len(m.listed), 1))
-	m.changes.SetRate(perInstance*changesLinkShare, linkShareKept)
-	m.repeats.SetRate(perInstance*hubLinkShare, linkShareKept)
+	m.changeBudget.SetRate(perInstance*changesLinkShare, linkShareCarryover)
+	m.repeatBudget.SetRate(perInstance*announceLinkShare, linkShareCarryover)
 	now := m.now()
 	switch {
-	case m.changes.Available(now) <= 0:
+	case m.changeBudget.Available(now) <= 0:
 		return broadcast.Withdrawn
-	case m.repeats.Available(now) <= 0:
+	case m.repeatBudget.Available(now) <= 0:
 		return broadcast.Changed
 	default:
 		return broadcast.Refresh
@@ -197,10 +197,10 @@
 }
 
 // small tells whether the fleet is so small that everybody tells everybody.
-func (m *mesh) small() bool { return m.size() <= smallFleet }
+func (m *mesh) isSmallFleet() bool { return m.listedCount() <= smallFleetSize }
 
 // size is how many instances are listed.
-func (m *mesh) size() int {
+func (m *mesh) listedCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.listed)
@@ -209,11 +209,11 @@
 // summary is what this instance has under way and is asked for.
 func (m *mesh) summary() peer.Packet {
 	p := peer.Packet{Leaving: m.leaving(), Revision: m.revision(), Refused: m.refusals.TakeLocal()}
-	replaced := m.replaced()
-	p.Replaced, p.ReplacedStarts = namesOf(replaced[:min(len(replaced), maxGone)])
+	replaced := m.replacedEndpoints()
+	p.Replaced, p.ReplacedStarts = namesOf(replaced[:min(len(replaced), maxReplaced)])
 	for _, pool := range m.router.View().Pools {
 		for _, e := range pool {
-			if e.FailedSince(m.now().Add(-suspectTime)) && len(p.Suspects) < maxSuspects {
+			if e.FailedSince(m.now().Add(-suspectDuration)) && len(p.Suspects) < maxSuspects {
 				p.Suspects = append(p.Suspects, e.Name)
 			}
 			if n := e.OwnInFlight(); n > 0 {
@@ -272,11 +272,11 @@
 	if m.recipients != nil {
 		return m.recipients
 	}
-	all := make(map[string]string, len(m.listed)+len(m.told))
+	all := make(map[string]string, len(m.listed)+len(m.reportedAddresses))
 	for name, p := range m.listed {
 		all[name] = p.Datagrams
 	}
-	maps.Copy(all, m.told)
+	maps.Copy(all, m.reportedAddresses)
 	delete(all, m.instance)
 	m.recipients = slices.Collect(maps.Values(all))
 	return m.recipients
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -147,7 +147,7 @@
 		held:    ring.New[quarantine.Report](holdsWaiting, ring.DropOldest),
 		eras:    &store.Eras{}, eraBegun: make(chan struct{}, 1),
 	}
-	n.eras.OnBegin(n.eraBegan)
+	n.eras.OnBegin(n.onEraBegin)
 	n.work, n.stop = context.WithCancel(context.Background())
 	n.clock = clock.New(clock.System(), func(slept time.Duration) { _ = n.wakes.Put(n.work, slept) })
 	n.now = n.clock.Now
@@ -160,7 +160,7 @@
 	n.engine = engine.NewClient(engine.Config{Dial: watchfulDialer().DialContext, IdlePerEndpoint: idlePerEndpoint, Dialect: ports.Endpoints})
 	n.control = engine.NewClient(engine.Config{Dial: watchfulDialer().DialContext, Dialect: ports.Endpoints, IdlePerEndpoint: 1})
 	n.quarantine = quarantine.NewManager(quarantine.Config{
-		Limits: cfg.Quarantine.limits(), Now: n.now, Log: log, Wake: func() { n.mesh.hurry() },
+		Limits: cfg.Quarantine.limits(), Now: n.now, Log: log, Wake: func() { n.mesh.sendSoon() },
 		Persist: func(w quarantine.Report) { _ = n.held.Put(n.work, w) },
 	})
 	n.vars.Set("quarantine", expvar.Func(func() any { return n.quarantine.Stats() }))
@@ -172,9 +172,9 @@
 	n.mesh = n.newMesh()
 	n.permits.connect(n.mesh, n.gates.Wake)
 	n.relays = &relays{
-		instance: n.cfg.Instance, domain: n.cfg.FailureDomain, address: n.mesh.self.Streams,
-		fleet: n.mesh.fleet, reached: n.mesh.streamsOf, holds: n.mesh.holds, holderTells: n.mesh.holderTells, storeAnswers: n.storeAnswers, vouch: n.vouchFor, heard: n.vouchedFor, feed: relay.NewFeed(n.mesh.process),
-		hold: n.relayHold, lost: n.cfg.Fresh.relayLost(), listedVersion: n.mesh.knownVersion, log: n.log, now: n.now,
+		instance: n.cfg.Instance, failureDomain: n.cfg.FailureDomain, address: n.mesh.self.Streams,
+		fleet: n.mesh.fleet, streamAddress: n.mesh.streamAddress, isHolder: n.mesh.isHolder, holderAttests: n.mesh.holderAttests, storeAnswers: n.storeAnswers, attest: n.vouchFor, onDelta: n.vouchedFor, feed: relay.NewFeed(n.mesh.process),
+		holdTime: n.relayHold, attestationLifetime: n.cfg.Fresh.relayAttestationLifetime(), fleetVersion: n.mesh.knownVersion, log: n.log, now: n.now,
 	}
 	n.vars.Set("evacuated", expvar.Func(func() any { return n.evacuationStats() }))
 	n.vars.Set("relays", expvar.Func(func() any { return n.relays.stats() }))
@@ -224,34 +224,34 @@
 	address, process := net.JoinHostPort(host, strconv.Itoa(n.cfg.PeerPorts[0])), rand.Text()
 	holds := func() bool { return n.placers.holds() }
 	n.rights = &keyRights{
-		keeper: authority.NewTracker(n.cfg.Fresh.keysAge()), now: n.now, exact: n.clock.NowExact, revision: n.revision, answers: holds,
+		keeper: authority.NewTracker(n.cfg.Fresh.maxKeysAge()), now: n.now, exact: n.clock.NowExact, revision: n.revision, answers: holds,
 		send: func(p peer.Packet, to []string) { n.mesh.send(n.mesh.stamp(p), to) }, log: n.log,
 	}
-	n.allowances = newAllowances(n.cfg.Allowances, process, holds, func() int { return n.mesh.size() }, n.now)
+	n.allowances = newAllowances(n.cfg.Allowances, process, holds, func() int { return n.mesh.listedCount() }, n.now)
 	m := &mesh{
 		rights: n.rights, allowances: n.allowances, permits: n.permits, evacuations: n.newEvacuations(), eras: n.eras,
 		instance: n.cfg.Instance, process: process, address: address,
 		router: n.router, gates: n.gates, demand: &pipeline.Demand{}, refusals: &pipeline.Refusals{}, quarantine: n.quarantine, log: n.log, now: n.now,
-		placed:    func(p []peer.Placement) { _ = n.events.Put(n.work, placementsTold{p}) },
-		demanded:  func(d map[string]peer.Demand) { n.placers.demanded(d) },
-		suspected: func(endpoints []string) { n.placers.suspected(endpoints) },
-		gone:      n.endpointsGone,
-		alone:     func(alone bool) { n.placers.alone(alone) },
-		leaving:   func() bool { return n.stopping.Load() != nil },
-		current:   n.current,
-		inputs:    ring.New[peer.Packet](meshInputs, ring.DropOldest), urgent: make(chan struct{}, 1),
-		listed: map[string]presence{}, board: peer.NewFleetView(),
+		onPlacements: func(p []peer.Placement) { _ = n.events.Put(n.work, placementsTold{p}) },
+		onDemand:     func(d map[string]peer.Demand) { n.placers.demanded(d) },
+		onSuspects:   func(endpoints []string) { n.placers.suspected(endpoints) },
+		onReplaced:   n.endpointsGone,
+		onPartition:  func(alone bool) { n.placers.alone(alone) },
+		leaving:      func() bool { return n.stopping.Load() != nil },
+		storeCurrent: n.current,
+		inputs:       ring.New[peer.Packet](meshInputCapacity, ring.DropOldest), urgent: make(chan struct{}, 1),
+		listed: map[string]presence{}, fleetView: peer.NewFleetView(),
 		self: presence{
 			Datagrams: address, Streams: n.streamsAddress(host), FailureDomain: n.cfg.FailureDomain, Cores: n.cfg.Limits.CPUShare * n.cfg.Limits.CoreSpeed,
 		},
-		revision: n.revision, newer: make(chan struct{}, 1), withdrawn: map[string]withdrawal{},
-		endpointsLeave: func(leaving []endpointStart) { _ = n.events.Put(n.work, endpointsWithdrawn{leaving}) },
-		holds:          holds,
-		counted:        n.counted,
-		linkBytes:      n.cfg.Limits.LinkMbps * bytesPerMbit,
-		totals:         totals{holderLost: n.cfg.Fresh.holderLost()},
+		revision: n.revision, newerSettings: make(chan struct{}, 1), withdrawn: map[string]withdrawal{},
+		onEndpointsLeaving: func(leaving []endpointStart) { _ = n.events.Put(n.work, endpointsWithdrawn{leaving}) },
+		isHolder:           holds,
+		onInstanceCount:    n.counted,
+		linkBytesPerSecond: n.cfg.Limits.LinkMbps * bytesPerMbit,
+		totals:             totals{holderTimeout: n.cfg.Fresh.holderTimeout()},
 	}
-	m.hubSums.Significant = broadcast.Significant(n.router.Concurrency, m.hubPause)
+	m.outgoingTotals.Significant = broadcast.Significant(n.router.Concurrency, m.announceInterval)
 	return m
 }
 
@@ -281,7 +281,7 @@
 	}
 	return &evacuations{log: n.log, changed: func(domains []string) {
 		_ = n.events.Put(n.work, domainsEvacuated{domains})
-		n.mesh.hurry()
+		n.mesh.sendSoon()
 	}}
 }
 
@@ -319,7 +319,7 @@
 	dialect := n.ports.Callers(n.catalog.Load, pipeline.Authenticator{TokensCurrent: n.rights.current})
 	handler := pipeline.New(pipeline.Config{
 		Dialect: dialect, Catalog: n.catalog.Load, Router: n.router, Gates: n.gates, Engine: n.engine, Retries: n.retries,
-		Demand: n.mesh.demand, Refusals: n.mesh.refusals, OnNoReplica: n.mesh.hurry,
+		Demand: n.mesh.demand, Refusals: n.mesh.refusals, OnNoReplica: n.mesh.sendSoon,
 		Metrics: pipeline.NewMetrics(n.vars), Log: n.log, Now: n.now, FailureDomain: n.cfg.FailureDomain,
 		SettingsOutdated: n.mesh.outdated, Revisions: n.revisions, EndpointsAgeMS: n.endpointsAgeMS, Quarantine: n.quarantine, Allowances: n.allowances.local, Permits: n.permits.local,
 	})
@@ -403,40 +403,40 @@
 	n.vars.Set("queue_length", expvar.Func(func() any { return n.gates.Len() }))
 	n.vars.Set("endpoints_age_ms", expvar.Func(func() any { return n.endpointsAgeMS() }))
 	n.vars.Set("settings_revision", expvar.Func(func() any { return n.revision() }))
-	objects := n.ports.Store(store.Config{URL: n.cfg.ObjectStore, Calls: calls, Phase: n.phase, WatchWait: n.cfg.Fresh.settingsWait(), StaleWait: n.cfg.Fresh.behindWait(), OnCall: n.link.asked, OnAnswer: n.link.answered, Transport: n.storeCalls, Eras: n.eras})
+	objects := n.ports.Store(store.Config{URL: n.cfg.ObjectStore, Calls: calls, Phase: n.phase, WatchWait: n.cfg.Fresh.settingsWatchHold(), StaleWait: n.cfg.Fresh.staleWatchHold(), OnCall: n.link.asked, OnAnswer: n.link.answered, Transport: n.storeCalls, Eras: n.eras})
 	n.placers = &placers{
 		ctx: n.work, cfg: n.cfg.Orders, instance: n.cfg.Instance, holder: n.holder(), client: objects, log: n.log, now: n.clock.NowExact, done: &n.done,
-		controls: n.ports.Controls(n.control, n.cfg.Instance), campaigns: n.campaigns, looks: n.looks, place: n.mesh.place, running: map[string]*placer{}, era: n.eras.Newest,
+		controls: n.ports.Controls(n.control, n.cfg.Instance), campaigns: n.campaigns, looks: n.looks, place: n.mesh.publishPlacements, running: map[string]*placer{}, era: n.eras.Newest,
 	}
 	n.presence = &presenceDuty{
 		client: objects, writer: store.NewWriter(objects), instance: n.cfg.Instance, link: n.link, log: n.log,
-		self: n.mesh.self, opened: n.open, found: n.mesh.find,
+		self: n.mesh.self, onKey: n.open, onInstance: n.mesh.updateInstance,
 	}
-	n.relays.known = n.presence.listedOnce.Load
+	n.relays.fleetKnown = n.presence.initialListRead.Load
 	n.eventsApplied = newApplied(n.events.Added, n.now)
-	entryInputs := ring.New[membership.EntryEvent](entryInputs, ring.Block)
+	entryInputs := ring.New[membership.EntryEvent](entryInputCapacity, ring.Block)
 	n.entriesApplied = newApplied(entryInputs.Added, n.now)
 	view := &viewDuty{
 		applied: n.eventsApplied,
-		events:  n.events, router: n.router, log: n.log, now: n.now, kick: n.gates.Wake,
-		cells: n.placers.update, peers: func(*membership.List) {},
+		events:  n.events, router: n.router, log: n.log, now: n.now, notify: n.gates.Wake,
+		updateCells: n.placers.update, updatePeers: func(*membership.List) {},
 		list: membership.NewList(), endpoints: map[string]*routing.Endpoint{}, residency: newResidency(), withdrawnUntil: map[string]withdrawal{},
-		catalog: n.adopt, leaving: n.mesh.withdraw, listed: n.mesh.endpoints.Store, differs: n.mesh.listsOthers,
-		cold: n.endpointCold, heardAgo: n.mesh.heardAgo,
+		resolve: n.adopt, onLeaving: n.mesh.recordWithdrawal, onDigest: n.mesh.endpointsDigest.Store, listDiffers: n.mesh.listDiffersFromHolder,
+		onCold: n.endpointCold, sinceRevisionSeen: n.mesh.sinceRevisionSeen,
 	}
-	config := &configDuty{
+	config := &settingsWatch{
 		client: objects, kind: n.ports.SettingsKind, name: n.ports.SettingsName, decode: n.ports.DecodeSettings,
-		newer: n.mesh.newer, behind: n.settingsMayBeBehind, inForce: n.mesh.settingsInForce, events: n.events, link: n.link, log: n.log,
-		confirmed: n.rights.confirmed, now: n.now, wait: n.settingsWait,
+		newer: n.mesh.newerSettings, allowStale: n.settingsMayBeBehind, hasNewest: n.mesh.hasNewestSettings, events: n.events, link: n.link, log: n.log,
+		onConfirmed: n.rights.confirmed, now: n.now, watchHold: n.settingsWait,
 	}
 	entries := &entriesDuty{
-		client: objects, kind: n.ports.MembersKind, decode: n.ports.DecodeMember, entries: membership.NewEntries(), parse: n.ports.StoreVersion,
+		client: objects, kind: n.ports.MembersKind, decode: n.ports.DecodeMember, entries: membership.NewEntries(), parseVersion: n.ports.StoreVersion,
 		inputs: entryInputs, applied: n.entriesApplied, events: n.events, link: n.link, log: n.log, now: n.now,
-		behind: n.entriesMayBeBehind, same: n.mesh.listsTheSame, closeWait: n.cfg.Fresh.entriesWait(),
-		relays:     n.relays,
-		storeThere: func() time.Time { return n.mesh.totals.storeThere(n.now()) },
+		allowStale: n.entriesMayBeBehind, matchesHolder: n.mesh.listMatchesHolder, freshWatchHold: n.cfg.Fresh.entriesWatchHold(),
+		relays:               n.relays,
+		holderStoreBackSince: func() time.Time { return n.mesh.totals.storeBackSince(n.now()) },
 	}
-	n.relays.listing, n.relays.version, n.relays.listedAt, n.relays.heardAt = entries.listing, entries.version, entries.listedAt, entries.heardAt
+	n.relays.listing, n.relays.listingVersion, n.relays.storeVersion, n.relays.newestStoreVersion = entries.listing, entries.listingVersion, entries.storeVersion, entries.newestStoreVersion
 	evacuations := &evacuationsDuty{
 		client: objects, kind: n.ports.EvacuationsKind, version: n.ports.StoreVersion, known: n.mesh.evacuations, told: n.evacuationsTold,
 		wait: n.settingsWait, now: n.now, link: n.link, log: n.log,
@@ -446,10 +446,10 @@
 		client: objects, keeper: n.quarantine, words: n.held, isolated: n.mesh.isolated, memory: n.cfg.Quarantine.limits().Retention(),
 		log: n.log, timeOfDay: time.Now,
 	}
-	renew := func(ctx context.Context) { n.renew(ctx, entries) }
-	keys := func(ctx context.Context) { n.rights.keep(ctx, n.cfg.Fresh.keysAge(), config.askStore) }
+	renew := func(ctx context.Context) { n.rewriteOnEra(ctx, entries) }
+	keys := func(ctx context.Context) { n.rights.keep(ctx, n.cfg.Fresh.maxKeysAge(), config.checkStore) }
 	for _, run := range []func(context.Context){
-		view.run, config.run, config.confirm, entries.watch, entries.run, n.idle.run, n.kick, n.mesh.run, n.presence.run, n.presence.watch, n.wake, holds.run, holds.write, keys, renew, n.permits.run,
+		view.run, config.run, config.readNewer, entries.watch, entries.run, n.idle.run, n.kick, n.mesh.run, n.presence.run, n.presence.watch, n.wake, holds.run, holds.write, keys, renew, n.permits.run,
 	} {
 		n.done.Go(func() { run(n.work) })
 	}
@@ -472,7 +472,7 @@
 // to have.
 func (n *Node) revisions() pipeline.Revisions {
 	inForce := n.revision()
-	return pipeline.Revisions{InForce: inForce, Newest: max(inForce, n.mesh.newest.Load())}
+	return pipeline.Revisions{InForce: inForce, Newest: max(inForce, n.mesh.newestRevision.Load())}
 }
 
 // adopt puts a configuration in force.
@@ -495,7 +495,7 @@
 		return
 	}
 	n.retrySettings.Store(&cfg.Retries)
-	n.shareRetries(n.mesh.size())
+	n.shareRetries(n.mesh.listedCount())
 	n.quarantine.SetLimits(cfg.Quarantine.limits())
 	n.log.Info("reload", "retry_ratio", cfg.Retries.Ratio, "retry_slack", cfg.Retries.Slack)
 }
--- a/daemon/node_test.go
+++ b/daemon/node_test.go
@@ -19,12 +19,12 @@
 	n.cfg.Instance = "weak"
 	n.mesh = &mesh{
 		instance: "weak", now: time.Now, self: presence{Cores: 0.2}, listed: map[string]presence{},
-		counted: func(int) {}, board: peer.NewFleetView(),
+		onInstanceCount: func(int) {}, fleetView: peer.NewFleetView(),
 	}
-	n.mesh.totals.take(time.Now(), peer.Packet{Address: "hub", Instances: 1})
+	n.mesh.totals.receive(time.Now(), peer.Packet{Address: "hub", Instances: 1})
 	require.True(t, n.campaigns("pool", false), "it knows nobody else")
-	n.mesh.find("strong", &presence{Cores: 0.8})
-	n.mesh.find("stronger", &presence{Cores: 0.9})
+	n.mesh.updateInstance("strong", &presence{Cores: 0.8})
+	n.mesh.updateInstance("stronger", &presence{Cores: 0.9})
 	require.False(t, n.campaigns("pool", false))
 	require.True(t, n.campaigns("pool", true))
 	now := time.Now()
@@ -38,30 +38,30 @@
 	now := time.Now()
 	n := &Node{now: func() time.Time { return now }, startedAt: now}
 	n.cfg.Instance = "weak"
-	n.mesh = &mesh{instance: "weak", now: n.now, self: presence{Cores: 0.2}, listed: map[string]presence{}, counted: func(int) {}}
-	n.mesh.totals.take(now, peer.Packet{Address: "hub", Instances: 1})
+	n.mesh = &mesh{instance: "weak", now: n.now, self: presence{Cores: 0.2}, listed: map[string]presence{}, onInstanceCount: func(int) {}}
+	n.mesh.totals.receive(now, peer.Packet{Address: "hub", Instances: 1})
 	require.False(t, n.campaigns("pool", false))
 	now = now.Add(campaignDelay)
-	n.mesh.totals.take(now, peer.Packet{Address: "hub", Instances: 1})
+	n.mesh.totals.receive(now, peer.Packet{Address: "hub", Instances: 1})
 	require.True(t, n.campaigns("pool", false), "it knows nobody else")
-	n.mesh.find("strong", &presence{Cores: 0.8})
-	n.mesh.find("stronger", &presence{Cores: 0.9})
+	n.mesh.updateInstance("strong", &presence{Cores: 0.8})
+	n.mesh.updateInstance("stronger", &presence{Cores: 0.9})
 	require.False(t, n.campaigns("pool", false))
 }
 
 // TestHubLeavesItsLinkToCallers compares what the hub's words take with its link.
 func TestHubLeavesItsLinkToCallers(t *testing.T) {
-	m := &mesh{now: time.Now, listed: map[string]presence{}, counted: func(int) {}, sum: make([]peer.EndpointLoad, 140)}
+	m := &mesh{now: time.Now, listed: map[string]presence{}, onInstanceCount: func(int) {}, fleetTotals: make([]peer.EndpointLoad, 140)}
 	for i := range 90 {
-		m.find(fmt.Sprint(i), &presence{})
+		m.updateInstance(fmt.Sprint(i), &presence{})
 	}
 	const word = 6 * peer.MaxPacketBytes * 90
-	m.linkBytes = 200 * bytesPerMbit
-	require.LessOrEqual(t, word/m.hubPause().Seconds(), hubLinkShare*m.linkBytes*1.01)
-	require.GreaterOrEqual(t, m.hubPause(), hubTick)
-	m.linkBytes = 10 * bytesPerMbit
-	require.Equal(t, hubSlow, m.hubPause())
-	require.Less(t, m.hubPause()+meshTick, leastHolderLost, "the others still hear it in time")
+	m.linkBytesPerSecond = 200 * bytesPerMbit
+	require.LessOrEqual(t, word/m.announceInterval().Seconds(), announceLinkShare*m.linkBytesPerSecond*1.01)
+	require.GreaterOrEqual(t, m.announceInterval(), minAnnounceInterval)
+	m.linkBytesPerSecond = 10 * bytesPerMbit
+	require.Equal(t, maxAnnounceInterval, m.announceInterval())
+	require.Less(t, m.announceInterval()+meshTick, minHolderTimeout, "the others still hear it in time")
 }
 
 // TestSilentHubIsReplaced lets entries of instances that are gone rank first.
@@ -70,10 +70,10 @@
 	n := &Node{now: func() time.Time { return now }}
 	n.cfg.Instance = "weak"
 	n.mesh = &mesh{
-		instance: "weak", now: n.now, self: presence{Cores: 0.2}, counted: func(int) {},
+		instance: "weak", now: n.now, self: presence{Cores: 0.2}, onInstanceCount: func(int) {},
 		listed: map[string]presence{"gone1": {Cores: 1}, "gone2": {Cores: 1}, "gone3": {Cores: 1}},
 	}
-	n.mesh.totals.take(now, peer.Packet{Address: "hub", Instances: 1})
+	n.mesh.totals.receive(now, peer.Packet{Address: "hub", Instances: 1})
 	require.False(t, n.campaigns("pool", false))
 	now = now.Add(silentCampaign + 4*silentStep)
 	require.True(t, n.campaigns("pool", false))
@@ -85,14 +85,14 @@
 	const instances = 90
 	n := &Node{log: logr.Discard(), retries: pipeline.NewRetryBudgets(pipeline.RetryLimits{})}
 	n.retrySettings.Store(&NodeRetry{})
-	n.mesh = &mesh{now: time.Now, listed: map[string]presence{}, counted: n.shareRetries}
+	n.mesh = &mesh{now: time.Now, listed: map[string]presence{}, onInstanceCount: n.shareRetries}
 	for i := range instances {
-		n.mesh.find(fmt.Sprint(i), &presence{})
+		n.mesh.updateInstance(fmt.Sprint(i), &presence{})
 	}
 	cfg := NodeConfig{Retries: NodeRetry{Ratio: 0.2, Slack: 220}}
 	n.Reload(cfg, nil)
 	require.LessOrEqual(t, n.retries.Limits().Burst*instances, 220.0)
-	n.mesh.find("one more", &presence{})
+	n.mesh.updateInstance("one more", &presence{})
 	require.LessOrEqual(t, n.retries.Limits().Burst*(instances+1), 220.0, "what was reloaded stays in force")
 	require.Positive(t, n.retries.Limits().Burst)
 }
--- a/daemon/nodecampaign.go
+++ b/daemon/nodecampaign.go
@@ -27,7 +27,7 @@
 		return false
 	}
 	if held {
-		return n.mesh.small() || !n.mesh.hearsStronger(tooWeak)
+		return n.mesh.isSmallFleet() || !n.mesh.hasStrongerPeer(tooWeak)
 	}
 	if !n.knowsOthers() {
 		return false
@@ -40,7 +40,7 @@
 // that has just begun: behind a common start the lease of the former holder has to be seen
 // unrenewed for its whole duration.
 func (n *Node) looks(pool string) bool {
-	return n.stopping.Load() == nil && n.presence.listedOnce.Load() && !n.knowsOthers() && n.rank(pool) < nodeCampaigners
+	return n.stopping.Load() == nil && n.presence.initialListRead.Load() && !n.knowsOthers() && n.rank(pool) < nodeCampaigners
 }
 
 // poolRank is a place in the order of campaigners, by what was known in a version.
@@ -57,7 +57,7 @@
 	if r, ranked := n.ranks.Load(pool); ranked && r.(poolRank).version == version {
 		return r.(poolRank).at
 	}
-	known := n.mesh.known()
+	known := n.mesh.knownInstances()
 	names := slices.Collect(maps.Keys(known))
 	rendezvous(pool, names)
 	// Placing units takes processor time, so the strong go first.
@@ -77,21 +77,21 @@
 // mostJoining for how long after campaignDelay that is waited for: entries of instances
 // that start together come within about two seconds.
 const (
-	joinSettle  = presenceGather + 200*time.Millisecond
+	joinSettle  = presenceBatchDelay + 200*time.Millisecond
 	mostJoining = 2 * time.Second
 )
 
 // knowsOthers tells whether this process has had the time to learn who the others are.
 func (n *Node) knowsOthers() bool {
 	age := n.now().Sub(n.startedAt)
-	return age >= campaignDelay && (n.mesh.joined() >= joinSettle || age >= campaignDelay+mostJoining)
+	return age >= campaignDelay && (n.mesh.sinceJoin() >= joinSettle || age >= campaignDelay+mostJoining)
 }
 
 // nobodyPlaces tells whether nobody who places units was heard for so long, and step
 // besides. A process that has just begun has not been able to hear one.
 func (n *Node) nobodyPlaces(step time.Duration) bool {
 	sinceStart := n.now().Sub(n.startedAt) - campaignDelay - joinSettle
-	return n.mesh.hubSilent() >= silentCampaign+step && sinceStart >= silentStart+step
+	return n.mesh.coordinatorSilence() >= silentCampaign+step && sinceStart >= silentStart+step
 }
 
 // Entries of instances that are gone may rank first. So one that has heard
--- a/daemon/nodeconfig.go
+++ b/daemon/nodeconfig.go
@@ -24,10 +24,10 @@
 	// RoutingPolicy names one of routing.Policies.
 	RoutingPolicy string `json:"routingPolicy"`
 	// LogLevel is debug, info or error.
-	LogLevel string     `json:"logLevel"`
-	Retries  NodeRetry  `json:"retries"`
-	Orders   NodeOrders `json:"orders"`
-	Fresh    NodeFresh  `json:"fresh"`
+	LogLevel string        `json:"logLevel"`
+	Retries  NodeRetry     `json:"retries"`
+	Orders   NodeOrders    `json:"orders"`
+	Fresh    NodeFreshness `json:"fresh"`
 	// Allowances bounds by how much accounts may exceed their allowances for moments.
 	Allowances AllowanceConfig `json:"allowances"`
 	Limits     NodeLimits      `json:"limits"`
@@ -79,7 +79,7 @@
 		RoutingPolicy: routing.PolicyTimely, LogLevel: "info",
 		Retries: NodeRetry{Ratio: 0.1, Slack: 10},
 		Orders:  NodeOrders{LeaseMS: 3000, RateWindowS: 5, RateOver: 1},
-		Fresh:   NodeFresh{LeavingMS: 2000, SettingsMS: 2000, ContactMS: 3000},
+		Fresh:   NodeFreshness{LeavingMS: 2000, SettingsMS: 2000, ContactMS: 3000},
 
 		Allowances: AllowanceConfig{WindowS: 8, Over: 0.1},
 		Quarantine: defaultQuarantine(),
--- a/daemon/nodeconfig_test.go
+++ b/daemon/nodeconfig_test.go
@@ -36,7 +36,7 @@
 		"bounds.strictRevoke": "true", "bounds.revokeMs": "5000",
 		"bounds.quotaWindowS": "8", "bounds.quotaOver": "0.1", "bounds.quotaSlack": "17000",
 	})
-	require.Equal(t, 4500*time.Millisecond, cfg.Fresh.keysAge())
+	require.Equal(t, 4500*time.Millisecond, cfg.Fresh.maxKeysAge())
 	require.Equal(t, AllowanceConfig{WindowS: 8, Over: 0.1, Slack: 17000}, cfg.Allowances)
 }
 
--- a/daemon/nodefresh.go
+++ b/daemon/nodefresh.go
@@ -24,11 +24,11 @@
 	switch {
 	case n.link.lost():
 		return phaseAway
-	case n.mesh.holds():
+	case n.mesh.isHolder():
 		return phaseHolder
-	case n.mesh.holderTells():
+	case n.mesh.holderAttests():
 		return phaseTold
-	case n.mesh.totals.vouchedAge(n.now()) == neverConfirmed:
+	case n.mesh.totals.attestationAge(n.now()) == neverConfirmed:
 		return phaseStart
 	default:
 		return phaseUntold
@@ -40,7 +40,7 @@
 func (n *Node) vouchFor(news *relay.Delta) {
 	news.Revision = n.revision()
 	var p peer.Packet
-	told := !n.mesh.holds() && n.mesh.totals.vouchedAge(n.now()) < n.cfg.Fresh.relayLost()
+	told := !n.mesh.isHolder() && n.mesh.totals.attestationAge(n.now()) < n.cfg.Fresh.relayAttestationLifetime()
 	news.Current = (told || n.current()) && n.mesh.evacuations.tell(&p)
 	news.FollowsStore = told || n.followsStore()
 	news.Evacuated, news.EvacuatedEra, news.EvacuatedRevision = p.Evacuated, p.EvacuatedEra, p.EvacuatedRevision
@@ -51,14 +51,14 @@
 	n.mesh.evacuations.heard(peer.Packet{
 		From: byRelay, Evacuated: news.Evacuated, EvacuatedEra: news.EvacuatedEra, EvacuatedRevision: news.EvacuatedRevision,
 	})
-	n.mesh.hearRevision(news.Revision)
+	n.mesh.receiveRevision(news.Revision)
 }
 
 // relayHold is for how long an instance that tells the members may hold a question: longer while
 // the holder of the lease vouches, as its word is not needed then.
 func (n *Node) relayHold() time.Duration {
-	if n.mesh.holderTells() {
-		return mostWait
+	if n.mesh.holderAttests() {
+		return maxWatchHold
 	}
 	return n.cfg.Fresh.relayHold()
 }
@@ -68,13 +68,15 @@
 
 // told tells whether another instance, the holder of the lease or one that tells the members,
 // vouches for telling what is new.
-func (n *Node) told() bool { return n.mesh.holderTells() || !n.mesh.holds() && n.relays.tells() }
+func (n *Node) told() bool {
+	return n.mesh.holderAttests() || !n.mesh.isHolder() && n.relays.attested()
+}
 
 // entriesMayBeBehind tells whether the watch on endpoints may be seconds behind: the
 // holder of the lease tells which of them leave, and no entry is on its way back
 // behind an outage, which an old answer would show as gone.
 func (n *Node) entriesMayBeBehind() bool {
-	return n.mesh.holderTells() && n.link.settled() || n.starting()
+	return n.mesh.holderAttests() && n.link.settled() || n.starting()
 }
 
 // settingsMayBeBehind tells the same of the watch on settings.
@@ -86,10 +88,10 @@
 
 // settingsWait is how long the store may hold a close watch on settings.
 func (n *Node) settingsWait() time.Duration {
-	if n.mesh.holds() {
-		return n.cfg.Fresh.keysWait()
+	if n.mesh.isHolder() {
+		return n.cfg.Fresh.keysWatchHold()
 	}
-	return n.cfg.Fresh.settingsWait()
+	return n.cfg.Fresh.settingsWatchHold()
 }
 
 // contactReserve is how long before an instance counts as in contact its watches are
@@ -101,7 +103,7 @@
 // All instances start together at times, and would make some ten calls each. The few that the
 // others ask for the endpoints look closely from the beginning.
 func (n *Node) starting() bool {
-	if n.relays.asked() || n.mesh.holds() || n.mesh.totals.vouchedAge(n.now()) != neverConfirmed {
+	if n.relays.servesFollowers() || n.mesh.isHolder() || n.mesh.totals.attestationAge(n.now()) != neverConfirmed {
 		return false
 	}
 	return n.now().Sub(n.startedAt) < milliseconds(n.cfg.Fresh.ContactMS)-contactReserve
@@ -120,21 +122,21 @@
 		age = max(age, n.link.age(n.ports.EvacuationsKind))
 	}
 	// An age that is unknown is the largest there is, to which nothing can be added.
-	return age != neverConfirmed && age+n.lag() < n.cfg.Fresh.vouchAge()
+	return age != neverConfirmed && age+n.lag() < n.cfg.Fresh.maxAttestedAge()
 }
 
 // followsStore tells whether this instance knows of endpoints in time, by its own watch, but for
 // entries that may be on their way back.
 func (n *Node) followsStore() bool {
 	age := n.link.age(n.ports.MembersKind)
-	return age != neverConfirmed && age+n.lag() < n.cfg.Fresh.vouchAge()
+	return age != neverConfirmed && age+n.lag() < n.cfg.Fresh.maxAttestedAge()
 }
 
 // storeAnswers tells whether the store answers the close watch on settings, which every instance
 // has while nobody vouches.
 func (n *Node) storeAnswers() bool {
 	age := n.link.age(n.ports.SettingsKind)
-	return age != neverConfirmed && age < n.cfg.Fresh.settingsWait()+2*answerTime
+	return age != neverConfirmed && age < n.cfg.Fresh.settingsWatchHold()+2*storeAnswerTime
 }
 
 // lag is for how long answers of the store have waited here to be in force.
@@ -144,5 +146,5 @@
 // endpoints leave, by its own watch or by the word of the holder of the lease, whose
 // own knowledge may be vouchAge old, in milliseconds; -1 if it never was.
 func (n *Node) endpointsAgeMS() int64 {
-	return ageMS(min(n.link.age(n.ports.MembersKind), n.mesh.totals.vouchedAge(n.now()), n.relays.vouchedAge()))
+	return ageMS(min(n.link.age(n.ports.MembersKind), n.mesh.totals.attestationAge(n.now()), n.relays.attestationAge()))
 }
--- a/daemon/nodefront.go
+++ b/daemon/nodefront.go
@@ -79,7 +79,7 @@
 func (n *Node) drain() {
 	began := n.now()
 	n.stopping.Store(&began)
-	n.mesh.hurry()
+	n.mesh.sendSoon()
 	n.done.Go(func() { n.presence.withdraw(n.work) })
 	n.log.Info("draining", "waiting", n.gates.Len())
 	wait.For(context.Background(), stopTaking)
--- a/daemon/owncut_test.go
+++ b/daemon/owncut_test.go
@@ -46,9 +46,9 @@
 		go func() {
 			for ctx.Err() == nil {
 				if hear.Load() {
-					i.mesh.totals.take(time.Now(), wordOfHolder(true))
+					i.mesh.totals.receive(time.Now(), holderAnnouncement(true))
 				}
-				time.Sleep(hubTick)
+				time.Sleep(minAnnounceInterval)
 			}
 		}()
 		time.Sleep(6*time.Second + c.phase)
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -22,25 +22,25 @@
 	sealer    *peer.Sealer
 	datagrams peer.Datagrams
 	events    *ring.Ring[peer.Event]
-	wanted    *ring.Ring[wanted]
-	heard     *freshness
+	fetches   *ring.Ring[wanted]
+	freshness *freshness
 	log       logr.Logger
 	now       func() time.Time
 	// leaving is told of instances that make a planned stop.
-	leaving func(name string)
+	onPeerLeaving func(name string)
 	// counted is told how many instances are live; nil tells nobody.
-	counted func(n int)
+	onLiveCount func(n int)
 	// askList is told of a newer version of the platform's list that another instance
 	// has.
-	askList func(version int64)
+	refreshList func(version int64)
 	// repliedAt is when a hint that told of other endings was replied to last.
 	repliedAt time.Time
 	// quarantine is told, and tells, which requests end endpoints.
 	quarantine *quarantine.Manager
 	// addresses holds where each instance is reached; the view duty writes it.
-	addresses atomic.Pointer[map[string]peerAddress]
-	sent      func(bytes int)
-	received  func(bytes int)
+	addresses     atomic.Pointer[map[string]peerAddress]
+	countSent     func(bytes int)
+	countReceived func(bytes int)
 }
 
 type peerAddress struct{ datagrams, streams string }
@@ -48,15 +48,15 @@
 const (
 	// peerEvents bounds the hints that wait; the oldest are dropped, as newer
 	// ones say more.
-	peerEvents = 256
-	peerTick   = 250 * time.Millisecond
+	peerEventCapacity = 256
+	peerTickInterval  = 250 * time.Millisecond
 	// hintHead bounds what a hint takes besides words of endings, in bytes.
-	hintHead = 400
+	hintOverhead = 400
 )
 
 // receive is called on the datagrams' event loop.
 func (d *peersDuty) receive(sealed []byte) {
-	d.received(len(sealed))
+	d.countReceived(len(sealed))
 	plain, err := d.sealer.Open(sealed)
 	if err != nil {
 		d.log.V(1).Info("datagram dropped", "error", err.Error())
@@ -72,40 +72,40 @@
 
 func (d *peersDuty) run(ctx context.Context) {
 	go d.tick(ctx)
-	heardAt := time.Time{}
+	contactAt := time.Time{}
 	for {
 		e, err := d.events.Take(ctx)
 		if err != nil {
 			return
 		}
-		actions := d.gossip.Step(d.now(), d.answering(e))
-		words := d.endings(actions)
+		actions := d.gossip.Step(d.now(), d.markForReply(e))
+		reports := d.endingsToSend(actions)
 		for _, a := range actions {
-			d.carryOut(ctx, a, words)
+			d.execute(ctx, a, reports)
 		}
-		if at := d.gossip.LastPeerContact(); at.After(heardAt) {
-			heardAt = at
-			d.heard.peer()
+		if at := d.gossip.LastPeerContact(); at.After(contactAt) {
+			contactAt = at
+			d.freshness.peerContacted()
 		}
 	}
 }
 
 func (d *peersDuty) tick(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, peerTick)
+		wait.For(ctx, peerTickInterval)
 		_ = d.events.Put(ctx, peer.Tick{})
 	}
 }
 
 // replyEvery is the least time between two replies to instances that know other endings:
 // both may answer each other.
-const replyEvery = peerTick
+const replyInterval = peerTickInterval
 
 // answering makes a hint that tells of other endings than are known here one to be replied
 // to: an instance sends to others than those that send to it.
-func (d *peersDuty) answering(e peer.Event) peer.Event {
+func (d *peersDuty) markForReply(e peer.Event) peer.Event {
 	r, ok := e.(peer.Received)
-	if !ok || !d.quarantine.ReceiveDigest(r.Hint.EndingsDigest) || d.now().Sub(d.repliedAt) < replyEvery {
+	if !ok || !d.quarantine.ReceiveDigest(r.Hint.EndingsDigest) || d.now().Sub(d.repliedAt) < replyInterval {
 		return e
 	}
 	d.repliedAt, r.Reply = d.now(), true
@@ -114,16 +114,16 @@
 
 // endings is what the hints among the actions tell of requests that end endpoints, all
 // neighbours the same.
-func (d *peersDuty) endings(actions []peer.Action) []quarantine.Report {
+func (d *peersDuty) endingsToSend(actions []peer.Action) []quarantine.Report {
 	for _, a := range actions {
 		if _, sends := a.(peer.Send); sends {
-			return d.quarantine.PendingReports(peer.MaxHintBytes - hintHead)
+			return d.quarantine.PendingReports(peer.MaxHintBytes - hintOverhead)
 		}
 	}
 	return nil
 }
 
-func (d *peersDuty) carryOut(ctx context.Context, a peer.Action, words []quarantine.Report) {
+func (d *peersDuty) execute(ctx context.Context, a peer.Action, reports []quarantine.Report) {
 	switch a := a.(type) {
 	case peer.Send:
 		address := d.address(a.To).datagrams
@@ -132,23 +132,23 @@
 		}
 		// Others judge by the time of day how old a hint is.
 		a.Hint.SentMS = time.Now().UnixMilli()
-		a.Hint.Endings, a.Hint.EndingsDigest = words, d.quarantine.Digest()
+		a.Hint.Endings, a.Hint.EndingsDigest = reports, d.quarantine.Digest()
 		data, err := peer.EncodeHint(a.Hint)
 		if err != nil {
 			return
 		}
 		sealed := d.sealer.Seal(data)
-		d.sent(len(sealed))
+		d.countSent(len(sealed))
 		d.datagrams.Send(address, sealed)
 	case peer.Fetch:
-		_ = d.wanted.Put(ctx, wanted{stream: d.address(a.From).streams, revision: a.Revision})
+		_ = d.fetches.Put(ctx, wanted{stream: d.address(a.From).streams, revision: a.Revision})
 	case peer.RefreshList:
-		d.askList(a.Version)
+		d.refreshList(a.Version)
 	case peer.EndingsReceived:
 		// Each instance tells a few others, so news goes from one to the next.
 		d.quarantine.ReceiveReports(a.Reports, true)
 	case peer.PeerLeaving:
-		d.leaving(a.Name)
+		d.onPeerLeaving(a.Name)
 	}
 }
 
@@ -161,12 +161,12 @@
 
 // listHeld takes the version of an answer of the platform's list, and the version on
 // whose word it was asked for.
-func (d *peersDuty) listHeld(version, asked int64) {
+func (d *peersDuty) listReceived(version, asked int64) {
 	_ = d.events.Put(context.Background(), peer.ListReceived{Version: version, Asked: asked})
 }
 
 // members takes the instances of a new list.
-func (d *peersDuty) members(list *membership.List) {
+func (d *peersDuty) updateMembers(list *membership.List) {
 	addresses := map[string]peerAddress{}
 	var live []string
 	for _, m := range list.Pool(membership.InstancePool) {
@@ -183,8 +183,8 @@
 		}
 	}
 	d.addresses.Store(&addresses)
-	if d.counted != nil {
-		d.counted(len(live))
+	if d.onLiveCount != nil {
+		d.onLiveCount(len(live))
 	}
 	_ = d.events.Put(context.Background(), peer.LiveInstances{Names: live})
 }
--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -49,7 +49,7 @@
 
 // connect joins the part to the link between instances.
 func (p *permits) connect(m *mesh, kick func()) {
-	p.fleet, p.tell, p.kick = m.issuers, m.tellOne, kick
+	p.fleet, p.tell, p.kick = m.permitIssuers, m.sendTo, kick
 	p.answer = func(packet peer.Packet, address string) { m.send(m.stamp(packet), []string{address}) }
 }
 
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -66,7 +66,7 @@
 	log        logr.Logger
 	now        func() time.Time
 	// place tells all instances what endpoints hold.
-	place func([]placedNews)
+	place func([]outgoingPlacement)
 	// orderLease is how long an endpoint must have had no order of another
 	// holder.
 	orderLease time.Duration
@@ -135,7 +135,7 @@
 }
 
 func (p *placer) carryOut(ctx context.Context, actions []counted.Action) {
-	var told []placedNews
+	var told []outgoingPlacement
 	for _, a := range actions {
 		switch a := a.(type) {
 		case counted.RequestReport:
@@ -143,7 +143,7 @@
 		case counted.SendOrder:
 			go p.send(ctx, a)
 		case counted.AnnounceUnits:
-			told = append(told, placedNews{
+			told = append(told, outgoingPlacement{
 				Placement: peer.Placement{Epoch: p.heldEpoch(), Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, Units: a.Units, Draining: a.Draining},
 				urgency:   urgencyOf(a.Change),
 			})
@@ -225,7 +225,7 @@
 	campaigns func(pool string, held bool) bool
 	// looks tells whether it is about to campaign for it.
 	looks func(pool string) bool
-	place func([]placedNews)
+	place func([]outgoingPlacement)
 	// era returns the store's newest era.
 	era func() int64
 
--- a/daemon/presence.go
+++ b/daemon/presence.go
@@ -48,60 +48,60 @@
 	log      logr.Logger
 	// opened gets the key of the datagrams, found gets the entry of an instance;
 	// nil says that it is gone.
-	opened func(key []byte) error
-	found  func(instance string, p *presence)
+	onKey      func(key []byte) error
+	onInstance func(instance string, p *presence)
 	// running is held while run is under way, which happens again in each era of the store.
 	running sync.Mutex
 	// ownKey is the datagrams' key that is in use: a store that has come back from a copy
 	// may have lost it. run alone uses it.
 	ownKey []byte
 	// listedOnce is set once the list has been read.
-	listedOnce atomic.Bool
+	initialListRead atomic.Bool
 	// known are the instances whose entries are there; the watch alone uses it.
 	known map[string]bool
 }
 
 // presenceGather is how long entries of instances gather.
-const presenceGather = time.Second
+const presenceBatchDelay = time.Second
 
 // presencePause is the pause before a call that failed is made again.
-const presencePause = 500 * time.Millisecond
+const presenceRetryDelay = 500 * time.Millisecond
 
 func (d *presenceDuty) run(ctx context.Context) {
 	d.running.Lock()
 	defer d.running.Unlock()
 	// Neither waits for the other: behind a common start each call waits for the store's link.
 	var both sync.WaitGroup
-	both.Go(func() { d.until(ctx, "presence", d.register) })
-	both.Go(func() { d.until(ctx, "key", d.key) })
+	both.Go(func() { d.retry(ctx, "presence", d.register) })
+	both.Go(func() { d.retry(ctx, "key", d.loadKey) })
 	both.Wait()
 }
 
 // until makes a call until it succeeds.
-func (d *presenceDuty) until(ctx context.Context, what string, call func(context.Context) error) {
+func (d *presenceDuty) retry(ctx context.Context, what string, call func(context.Context) error) {
 	for ctx.Err() == nil {
 		err := call(ctx)
 		if err == nil {
 			return
 		}
 		d.log.V(1).Info("not registered yet", "what", what, "error", err.Error())
-		wait.For(ctx, jitter(presencePause))
+		wait.For(ctx, jitter(presenceRetryDelay))
 	}
 }
 
 // keyPause is the longest pause before an instance makes the key that it has not found:
 // all start together at times, and one of them is enough.
-const keyPause = 1200 * time.Millisecond
+const keyCreateJitter = 1200 * time.Millisecond
 
 // key reads the datagrams' key, or makes it if there is none.
-func (d *presenceDuty) key(ctx context.Context) error {
-	o, err := d.findKey(ctx)
+func (d *presenceDuty) loadKey(ctx context.Context) error {
+	o, err := d.readKey(ctx)
 	if store.IsNotFound(err) {
-		wait.For(ctx, time.Duration(randv2.Int64N(int64(keyPause))))
-		o, err = d.findKey(ctx)
+		wait.For(ctx, time.Duration(randv2.Int64N(int64(keyCreateJitter))))
+		o, err = d.readKey(ctx)
 	}
 	if store.IsNotFound(err) {
-		o, err = d.makeKey(ctx)
+		o, err = d.createKey(ctx)
 	}
 	if store.IsConflict(err) {
 		o, err = d.client.Get(ctx, store.KindPeerKey, peerKeyName)
@@ -122,23 +122,23 @@
 	}
 	d.ownKey = key
 	d.log.Info("link between instances opens")
-	return d.opened(key)
+	return d.onKey(key)
 }
 
 // findKey reads the key. It never changes, so an old answer is as good.
-func (d *presenceDuty) findKey(ctx context.Context) (store.Object, error) {
-	return d.readBehind(ctx, store.KindPeerKey, peerKeyName)
+func (d *presenceDuty) readKey(ctx context.Context) (store.Object, error) {
+	return d.readStale(ctx, store.KindPeerKey, peerKeyName)
 }
 
 // readBehind reads an object, where an old answer is as good.
-func (d *presenceDuty) readBehind(ctx context.Context, kind store.Kind, name string) (store.Object, error) {
+func (d *presenceDuty) readStale(ctx context.Context, kind store.Kind, name string) (store.Object, error) {
 	if reader, offered := d.client.(store.StaleReader); offered {
 		return reader.GetStale(ctx, kind, name)
 	}
 	return d.client.Get(ctx, kind, name)
 }
 
-func (d *presenceDuty) makeKey(ctx context.Context) (store.Object, error) {
+func (d *presenceDuty) createKey(ctx context.Context) (store.Object, error) {
 	key := d.ownKey
 	if key == nil {
 		key = make([]byte, peer.KeyBytes)
@@ -158,7 +158,7 @@
 	if err != nil {
 		return err
 	}
-	if old, err := d.readBehind(ctx, store.KindInstance, d.instance); err == nil && d.same(old) {
+	if old, err := d.readStale(ctx, store.KindInstance, d.instance); err == nil && d.isCurrent(old) {
 		// A write would go to the watches of all instances.
 		return nil
 	}
@@ -167,7 +167,7 @@
 		return err
 	}
 	old, err := d.client.Get(ctx, store.KindInstance, d.instance)
-	if err != nil || d.same(old) {
+	if err != nil || d.isCurrent(old) {
 		return err
 	}
 	o.Metadata.ResourceVersion = old.Metadata.ResourceVersion
@@ -176,7 +176,7 @@
 }
 
 // same tells whether this instance's object is as it should be.
-func (d *presenceDuty) same(o store.Object) bool {
+func (d *presenceDuty) isCurrent(o store.Object) bool {
 	var known presence
 	return json.Unmarshal(o.Spec, &known) == nil && known == d.self
 }
@@ -190,25 +190,25 @@
 
 // whoIsThereMayBeOld: instances that nobody hears count for nothing, and those
 // that are heard tell where they are themselves.
-func whoIsThereMayBeOld() bool { return true }
+func staleInstancesAllowed() bool { return true }
 
 // watch follows the other instances.
 func (d *presenceDuty) watch(ctx context.Context) {
-	r := store.NewReflector(d.client, store.KindInstance, store.WatchOptions{AllowStale: whoIsThereMayBeOld, Now: d.link.now},
+	r := store.NewReflector(d.client, store.KindInstance, store.WatchOptions{AllowStale: staleInstancesAllowed, Now: d.link.now},
 		func(l store.List) {
 			d.link.listed(store.KindInstance, l)
-			d.listed(l)
+			d.applyList(l)
 		},
 		func(e store.Event) {
 			d.link.heard()
 			switch e.Type {
 			case store.EventBookmark:
 				// Many instances start together; their entries gather meanwhile.
-				wait.For(ctx, presenceGather)
+				wait.For(ctx, presenceBatchDelay)
 			case store.EventDeleted:
-				d.gone(e.Object.Metadata.Name)
+				d.remove(e.Object.Metadata.Name)
 			default:
-				d.note(e.Object)
+				d.update(e.Object)
 			}
 		},
 		func(err error) { d.link.failed(store.KindInstance, err) })
@@ -217,31 +217,31 @@
 
 // listed notes who is listed, and that all others are gone: where history was dropped
 // nothing else tells.
-func (d *presenceDuty) listed(l store.List) {
+func (d *presenceDuty) applyList(l store.List) {
 	before := d.known
 	d.known = make(map[string]bool, len(l.Items))
 	for _, o := range l.Items {
-		d.note(o)
+		d.update(o)
 	}
 	for name := range before {
 		if !d.known[name] {
-			d.gone(name)
+			d.remove(name)
 		}
 	}
-	d.listedOnce.Store(true)
+	d.initialListRead.Store(true)
 }
 
-func (d *presenceDuty) gone(instance string) {
+func (d *presenceDuty) remove(instance string) {
 	delete(d.known, instance)
-	d.found(instance, nil)
+	d.onInstance(instance, nil)
 }
 
-func (d *presenceDuty) note(o store.Object) {
+func (d *presenceDuty) update(o store.Object) {
 	d.known[o.Metadata.Name] = true
 	var p presence
 	if err := json.Unmarshal(o.Spec, &p); err != nil {
 		d.log.Error(err, "presence unreadable", "name", o.Metadata.Name)
 		return
 	}
-	d.found(o.Metadata.Name, &p)
+	d.onInstance(o.Metadata.Name, &p)
 }
--- a/daemon/presence_test.go
+++ b/daemon/presence_test.go
@@ -57,21 +57,21 @@
 	return &store.StatusError{Code: 410}
 }
 
-func TestInstanceThatWentWithTheHistoryIsNotListed(t *testing.T) {
+func TestInstanceRemovedWithTheHistoryIsNotListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		m := &mesh{now: time.Now, listed: map[string]presence{}, counted: func(int) {}}
+		m := &mesh{now: time.Now, listed: map[string]presence{}, onInstanceCount: func(int) {}}
 		d := &presenceDuty{
 			client: &forgetfulStore{lists: [][]string{{"n1", "n2", "n3"}, {"n1", "n3"}, {"n1", "n3"}}},
-			link:   &storeLink{log: logr.Discard(), now: time.Now}, log: logr.Discard(), found: m.find,
+			link:   &storeLink{log: logr.Discard(), now: time.Now}, log: logr.Discard(), onInstance: m.updateInstance,
 		}
 		go d.watch(ctx)
 		time.Sleep(500 * time.Millisecond)
 		synctest.Wait()
-		require.Equal(t, 3, m.size())
+		require.Equal(t, 3, m.listedCount())
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		require.Equal(t, 2, m.size())
+		require.Equal(t, 2, m.listedCount())
 		stop()
 		synctest.Wait()
 	})
@@ -80,19 +80,19 @@
 // keyStore has no key at first; reads that may be behind see it a while after it was made.
 type keyStore struct {
 	store.Client
-	mu      sync.Mutex
-	key     *store.Object
-	madeAt  time.Time
-	creates int
-	closely int
+	mu         sync.Mutex
+	key        *store.Object
+	createdAt  time.Time
+	creates    int
+	freshReads int
 }
 
-const keyShownAfter = 300 * time.Millisecond
+const keyVisibleAfter = 300 * time.Millisecond
 
 func (s *keyStore) Get(context.Context, store.Kind, string) (store.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closely++
+	s.freshReads++
 	if s.key == nil {
 		return store.Object{}, &store.StatusError{Code: 404}
 	}
@@ -102,7 +102,7 @@
 func (s *keyStore) GetStale(context.Context, store.Kind, string) (store.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.key == nil || time.Since(s.madeAt) < keyShownAfter {
+	if s.key == nil || time.Since(s.createdAt) < keyVisibleAfter {
 		return store.Object{}, &store.StatusError{Code: 404}
 	}
 	return *s.key, nil
@@ -119,27 +119,27 @@
 	if s.key != nil {
 		return store.Object{}, &store.StatusError{Code: 409}
 	}
-	s.key, s.madeAt = &o, time.Now()
+	s.key, s.createdAt = &o, time.Now()
 	return o, nil
 }
 
 // Each of 295 instances that started together looked for the key of the datagrams, tried
 // to make it and read it again. Now most find the one that a few have tried to make, and
 // all have the same.
-func TestFewMakeTheKeyAtACommonStart(t *testing.T) {
+func TestFewCreateTheKeyAtACommonStart(t *testing.T) {
 	const instances = 295
 	synctest.Test(t, func(t *testing.T) {
 		s := &keyStore{}
 		var mu sync.Mutex
 		keys := map[string]int{}
 		for range instances {
-			d := &presenceDuty{client: s, writer: store.NewWriter(s), log: logr.Discard(), opened: func(key []byte) error {
+			d := &presenceDuty{client: s, writer: store.NewWriter(s), log: logr.Discard(), onKey: func(key []byte) error {
 				mu.Lock()
 				defer mu.Unlock()
 				keys[string(key)]++
 				return nil
 			}}
-			go d.until(t.Context(), "key", d.key)
+			go d.retry(t.Context(), "key", d.loadKey)
 		}
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
@@ -149,7 +149,7 @@
 		}
 		// A third of keyPause passes at most until the key that was made shows.
 		require.Less(t, s.creates, instances/2)
-		require.Less(t, s.closely, instances/2)
+		require.Less(t, s.freshReads, instances/2)
 	})
 }
 
@@ -166,15 +166,15 @@
 // TestKeyIsNotReadBehindTheEntry guards against a link between instances that opens a call later
 // than it can: behind a common start of hundreds of instances each call takes a tenth of a second
 // and more.
-func TestKeyIsNotReadBehindTheEntry(t *testing.T) {
+func TestKeyReadDoesNotWaitForTheEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		made, err := store.NewObject(store.KindPeerKey, peerKeyName, peerKey{Key: hex.EncodeToString(make([]byte, peer.KeyBytes))})
 		require.NoError(t, err)
 		s := slowEntryStore{&keyStore{key: &made}}
-		time.Sleep(keyShownAfter)
+		time.Sleep(keyVisibleAfter)
 		began := time.Now()
 		var opened time.Duration
-		d := &presenceDuty{client: s, writer: store.NewWriter(s), instance: "i", log: logr.Discard(), opened: func([]byte) error {
+		d := &presenceDuty{client: s, writer: store.NewWriter(s), instance: "i", log: logr.Discard(), onKey: func([]byte) error {
 			opened = time.Since(began)
 			return nil
 		}}
--- a/daemon/relays_test.go
+++ b/daemon/relays_test.go
@@ -29,12 +29,12 @@
 	members   membership.Listing
 	// blind is set while those that are asked do not follow the store, holderTells while the
 	// holder of the lease is heard, storeAnswers while the store answers the one that follows.
-	blind, holderTells, storeAnswers atomic.Bool
+	notFollowing, holderTells, storeAnswers atomic.Bool
 }
 
 // vouch adds what one who is asked says of itself.
-func (s *relaySite) vouch(n *relay.Delta) {
-	n.Current, n.FollowsStore, n.Revision = !s.blind.Load(), !s.blind.Load(), 7
+func (s *relaySite) attest(n *relay.Delta) {
+	n.Current, n.FollowsStore, n.Revision = !s.notFollowing.Load(), !s.notFollowing.Load(), 7
 }
 
 func (s *relaySite) fleet() []relay.Instance {
@@ -66,7 +66,7 @@
 	return s.members
 }
 
-func (s *relaySite) versionAt() evacuation.Version {
+func (s *relaySite) storeVersion() evacuation.Version {
 	return evacuation.Version{Revision: s.listing().Version}
 }
 
@@ -78,12 +78,12 @@
 	address := conn.LocalAddr().String()
 	require.NoError(s.t, conn.Close())
 	r := &relays{
-		instance: name, domain: "z", address: address, fleet: s.fleet, known: func() bool { return true }, listedVersion: func() int64 { return 1 },
-		holds: func() bool { return false }, listing: s.listing, version: func() int64 { return s.listing().Version },
-		vouch: s.vouch, holderTells: s.holderTells.Load, storeAnswers: s.storeAnswers.Load, heard: func(relay.Delta) {}, feed: relay.NewFeed("p-" + name),
-		hold: func() time.Duration { return 100 * time.Millisecond }, lost: time.Second, log: logr.Discard(), now: time.Now,
-		listedAt: s.versionAt, heardAt: func() evacuation.Version { return evacuation.Version{} },
-		reached: func(name string) string {
+		instance: name, failureDomain: "z", address: address, fleet: s.fleet, fleetKnown: func() bool { return true }, fleetVersion: func() int64 { return 1 },
+		isHolder: func() bool { return false }, listing: s.listing, listingVersion: func() int64 { return s.listing().Version },
+		attest: s.attest, holderAttests: s.holderTells.Load, storeAnswers: s.storeAnswers.Load, onDelta: func(relay.Delta) {}, feed: relay.NewFeed("p-" + name),
+		holdTime: func() time.Duration { return 100 * time.Millisecond }, attestationLifetime: time.Second, log: logr.Discard(), now: time.Now,
+		storeVersion: s.storeVersion, newestStoreVersion: func() evacuation.Version { return evacuation.Version{} },
+		streamAddress: func(name string) string {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return s.addresses[name]
@@ -115,7 +115,7 @@
 		f.relays.follow(ctx, func(e membership.EntryEvent) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			if at, told := e.(entriesAt); told {
+			if at, told := e.(versionedEvent); told {
 				e = at.EntryEvent
 			}
 			f.entries.Step(time.Now(), e)
@@ -135,33 +135,33 @@
 	return names
 }
 
-const relayPatience = 20 * time.Second
+const relayTestTimeout = 20 * time.Second
 
 // TestMembersAreToldByRelays follows a relay through changes. The relay that is asked first is
 // gone; behind the end of the other one the store is to be asked.
-func TestMembersAreToldByRelays(t *testing.T) {
+func TestMembersAreFollowedFromRelays(t *testing.T) {
 	s := &relaySite{t: t, addresses: map[string]string{}}
 	order := relay.Rank("i50", relay.Select("z", s.fleet()))
 	require.Len(t, order, relay.RelaysPerDomain)
-	teller := s.start(order[1])
+	server := s.start(order[1])
 	s.list("a", "b")
 	f := s.follow("i50")
-	require.Eventually(t, func() bool { return len(f.names()) == 2 }, relayPatience, 10*time.Millisecond)
-	require.Eventually(t, f.tells, relayPatience, 10*time.Millisecond, "its word vouches")
+	require.Eventually(t, func() bool { return len(f.names()) == 2 }, relayTestTimeout, 10*time.Millisecond)
+	require.Eventually(t, f.attested, relayTestTimeout, 10*time.Millisecond, "its word vouches")
 	s.list("b", "c", "d")
 	require.Eventually(t, func() bool {
 		names := f.names()
 		return len(names) == 3 && f.following.Load()
-	}, relayPatience, 10*time.Millisecond)
+	}, relayTestTimeout, 10*time.Millisecond)
 	require.ElementsMatch(t, []string{"b", "c", "d"}, f.names())
-	require.False(t, teller.worthAsking(), "a relay asks the store")
-	teller.close()
+	require.False(t, server.canFollow(), "a relay asks the store")
+	server.close()
 	<-f.ended
-	require.False(t, f.worthAsking(), "the store is asked for a while")
+	require.False(t, f.canFollow(), "the store is asked for a while")
 }
 
 // TestNoneGoInCircles asks one that follows another itself.
-func TestNoneGoInCircles(t *testing.T) {
+func TestFollowerServesNobody(t *testing.T) {
 	s := &relaySite{t: t, addresses: map[string]string{}}
 	order := relay.Rank("i50", relay.Select("z", s.fleet()))
 	s.list("a")
@@ -173,29 +173,29 @@
 
 // TestNewsIsPackedOnceForAll has many instances ask for the same news: 65 of them each had a
 // packing of its own of every change, more than a relay's processor bears while entries come in.
-func TestNewsIsPackedOnceForAll(t *testing.T) {
+func TestDeltaIsEncodedOnceForAll(t *testing.T) {
 	s := &relaySite{t: t, addresses: map[string]string{}}
 	r := s.start("i0")
 	now := time.Unix(1000, 0)
 	r.now = func() time.Time { return now }
 	s.list("a")
-	whole, told := r.news(peer.MembersRequest{}, false)
-	require.True(t, told)
-	again, _ := r.news(peer.MembersRequest{}, false)
-	require.Same(t, &whole[0], &again[0])
-	n, err := relay.Decode(whole)
+	full, ok := r.encodedDelta(peer.MembersRequest{}, false)
+	require.True(t, ok)
+	again, _ := r.encodedDelta(peer.MembersRequest{}, false)
+	require.Same(t, &full[0], &again[0])
+	n, err := relay.Decode(full)
 	require.NoError(t, err)
 	known := peer.MembersRequest{Process: n.Process, Seq: n.Seq}
 	s.list("a", "b")
-	_, told = r.news(known, false)
-	require.False(t, told, "changes gather")
-	now = now.Add(relayGather)
-	first, told := r.news(known, false)
-	require.True(t, told)
-	second, _ := r.news(known, false)
+	_, ok = r.encodedDelta(known, false)
+	require.False(t, ok, "changes gather")
+	now = now.Add(relayBatchDelay)
+	first, ok := r.encodedDelta(known, false)
+	require.True(t, ok)
+	second, _ := r.encodedDelta(known, false)
 	require.Same(t, &first[0], &second[0])
-	now = now.Add(packedKept)
-	later, _ := r.news(known, false)
+	now = now.Add(encodedLifetime)
+	later, _ := r.encodedDelta(known, false)
 	require.NotSame(t, &first[0], &later[0], "what vouches is not told for long")
 }
 
@@ -208,46 +208,46 @@
 		s.start(name)
 	}
 	f := &follower{relays: s.start("i50"), entries: membership.NewEntries()}
-	f.heardAt = func() evacuation.Version { return evacuation.Version{Revision: 2} }
+	f.newestStoreVersion = func() evacuation.Version { return evacuation.Version{Revision: 2} }
 	f.relays.follow(context.Background(), func(e membership.EntryEvent) { require.Fail(t, "older members", "%v", e) })
-	require.EqualValues(t, mostRelaysAsked, f.unanswered.Load())
+	require.EqualValues(t, maxRelayAttempts, f.unanswered.Load())
 	s.list("stays")
-	ctx, cancel := context.WithTimeout(context.Background(), relayPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), relayTestTimeout)
 	defer cancel()
-	told := evacuation.Version{}
+	version := evacuation.Version{}
 	for ctx.Err() == nil {
 		f.relays.follow(ctx, func(e membership.EntryEvent) {
-			if at, whole := e.(entriesAt); whole {
-				told = at.version
+			if at, whole := e.(versionedEvent); whole {
+				version = at.version
 				cancel()
 			}
 		})
 	}
-	require.Equal(t, evacuation.Version{Revision: 2}, told)
+	require.Equal(t, evacuation.Version{Revision: 2}, version)
 }
 
 // TestNewsTellsNoLaterVersionThanItsMembers changes the members of a relay that gathers changes:
 // its news must not claim to be of the store as it is by then.
-func TestNewsTellsNoLaterVersionThanItsMembers(t *testing.T) {
+func TestDeltaCarriesNoLaterVersionThanItsMembers(t *testing.T) {
 	s := &relaySite{t: t, addresses: map[string]string{}}
 	r := s.start("i0")
 	now := time.Unix(1000, 0)
 	r.now = func() time.Time { return now }
-	told := func() relay.Delta {
-		packed, _ := r.news(peer.MembersRequest{}, true)
-		n, err := relay.Decode(packed)
+	delta := func() relay.Delta {
+		data, _ := r.encodedDelta(peer.MembersRequest{}, true)
+		n, err := relay.Decode(data)
 		require.NoError(t, err)
 		return n
 	}
 	s.list("a")
-	require.EqualValues(t, 1, told().StoreRevision)
+	require.EqualValues(t, 1, delta().StoreRevision)
 	s.list("a", "b")
-	now = now.Add(packedKept)
-	n := told()
+	now = now.Add(encodedLifetime)
+	n := delta()
 	require.EqualValues(t, 1, n.StoreRevision)
 	require.Len(t, n.Members, 1)
-	now = now.Add(relayGather)
-	n = told()
+	now = now.Add(relayBatchDelay)
+	n = delta()
 	require.EqualValues(t, 2, n.StoreRevision)
 	require.Len(t, n.Members, 2)
 }
@@ -260,59 +260,59 @@
 		began := time.Now()
 		unopened := func(name string) *relays {
 			return &relays{
-				instance: name, domain: "z", address: "127.0.0.1:1", fleet: s.fleet, listedVersion: func() int64 { return 1 },
-				known: func() bool { return time.Since(began) >= 100*time.Millisecond }, holds: func() bool { return false }, now: time.Now,
-				heardAt: func() evacuation.Version { return evacuation.Version{} }, reached: func(string) string { return "" }, log: logr.Discard(),
+				instance: name, failureDomain: "z", address: "127.0.0.1:1", fleet: s.fleet, fleetVersion: func() int64 { return 1 },
+				fleetKnown: func() bool { return time.Since(began) >= 100*time.Millisecond }, isHolder: func() bool { return false }, now: time.Now,
+				newestStoreVersion: func() evacuation.Version { return evacuation.Version{} }, streamAddress: func(string) string { return "" }, log: logr.Discard(),
 			}
 		}
 		unopened(relay.Select("z", s.fleet())[0]).follow(t.Context(), nil)
 		require.Less(t, time.Since(began), 200*time.Millisecond)
 		unopened("i50").follow(t.Context(), func(membership.EntryEvent) {})
-		require.GreaterOrEqual(t, time.Since(began), firstWait, "the others wait for relays")
+		require.GreaterOrEqual(t, time.Since(began), initialFollowWait, "the others wait for relays")
 	})
 }
 
 // TestRelaysLookCloselyFromTheirStart guards against endpoints that leave right behind a common
 // start and are not known to for seconds: nobody vouches yet, and all others go by the relays.
-func TestRelaysLookCloselyFromTheirStart(t *testing.T) {
+func TestRelaysFollowTheStoreFromTheirStart(t *testing.T) {
 	s := &relaySite{t: t}
 	now := time.Now()
 	for _, c := range []struct {
 		instance string
 		starting bool
 	}{{relay.Select("z", s.fleet())[0], false}, {"i50", true}} {
-		n := vouchingNode(&now)
-		n.startedAt, n.mesh.holds = now, func() bool { return false }
+		n := attestingNode(&now)
+		n.startedAt, n.mesh.isHolder = now, func() bool { return false }
 		n.relays = &relays{
-			instance: c.instance, domain: "z", address: "127.0.0.1:1", fleet: s.fleet, listedVersion: func() int64 { return 1 },
-			known: func() bool { return true }, holds: func() bool { return false }, now: n.now,
+			instance: c.instance, failureDomain: "z", address: "127.0.0.1:1", fleet: s.fleet, fleetVersion: func() int64 { return 1 },
+			fleetKnown: func() bool { return true }, isHolder: func() bool { return false }, now: n.now,
 		}
 		require.Equal(t, c.starting, n.starting(), c.instance)
 		require.Equal(t, c.starting, n.entriesMayBeBehind(), c.instance)
 		require.Equal(t, c.starting, n.settingsMayBeBehind(), c.instance)
 	}
-	small := vouchingNode(&now)
-	small.startedAt, small.mesh.holds = now, func() bool { return false }
+	small := attestingNode(&now)
+	small.startedAt, small.mesh.isHolder = now, func() bool { return false }
 	require.True(t, small.starting(), "in a small fleet nobody asks others")
 }
 
 // TestRelayThatDoesNotFollowTheStoreIsLeft cuts relays off from the store while nobody holds the
 // lease: who went by them did not hear of endpoints that leave, though the store would have
 // told it.
-func TestRelayThatDoesNotFollowTheStoreIsLeft(t *testing.T) {
+func TestRelayThatDoesNotFollowTheStoreIsDropped(t *testing.T) {
 	s := &relaySite{t: t, addresses: map[string]string{}}
 	for _, name := range relay.Select("z", s.fleet()) {
 		s.start(name)
 	}
 	s.list("a")
 	f := s.follow("i50")
-	require.Eventually(t, f.tells, relayPatience, 10*time.Millisecond)
+	require.Eventually(t, f.attested, relayTestTimeout, 10*time.Millisecond)
 	s.holderTells.Store(true)
-	s.blind.Store(true)
-	require.Eventually(t, func() bool { return !f.tells() }, relayPatience, 10*time.Millisecond, "it does not vouch")
+	s.notFollowing.Store(true)
+	require.Eventually(t, func() bool { return !f.attested() }, relayTestTimeout, 10*time.Millisecond, "it does not vouch")
 	require.True(t, f.following.Load(), "the holder's word tells who leaves")
 	s.holderTells.Store(false)
-	time.Sleep(2 * relayBlind)
+	time.Sleep(2 * relayStoreTimeout)
 	require.True(t, f.following.Load(), "the store is away for all")
 	s.storeAnswers.Store(true)
 	require.Eventually(t, func() bool {
@@ -322,6 +322,6 @@
 		default:
 			return false
 		}
-	}, relayPatience, 10*time.Millisecond)
-	require.EqualValues(t, mostRelaysAsked, f.unanswered.Load(), "the store is asked")
+	}, relayTestTimeout, 10*time.Millisecond)
+	require.EqualValues(t, maxRelayAttempts, f.unanswered.Load(), "the store is asked")
 }
--- a/daemon/relaysfollow.go
+++ b/daemon/relaysfollow.go
@@ -14,21 +14,21 @@
 
 // firstWait is for how long a new process waits for others to be worth asking: in a large
 // fleet it would read the whole list from the store. One that others ask does not wait.
-const firstWait = 1500 * time.Millisecond
+const initialFollowWait = 1500 * time.Millisecond
 
 // follow puts what others tell of the members, for as long as one does.
-func (r *relays) follow(ctx context.Context, put func(membership.EntryEvent)) {
+func (r *relays) follow(ctx context.Context, apply func(membership.EntryEvent)) {
 	if r == nil || r.address == "" {
 		return
 	}
-	wait.While(ctx, firstWait, func() bool { return !r.known() || len(r.order()) > 0 && r.streams() == nil })
+	wait.While(ctx, initialFollowWait, func() bool { return !r.fleetKnown() || len(r.candidates()) > 0 && r.streamClient() == nil })
 	failed := 0
-	for ctx.Err() == nil && failed < mostRelaysAsked {
-		order := r.order()
-		if failed >= len(order) {
+	for ctx.Err() == nil && failed < maxRelayAttempts {
+		candidates := r.candidates()
+		if failed >= len(candidates) {
 			break
 		}
-		if r.followOne(ctx, order[failed], put) {
+		if r.followOne(ctx, candidates[failed], apply) {
 			failed = 0
 		}
 		failed++
@@ -42,108 +42,108 @@
 
 // followOne follows one relay for as long as it answers and is to be asked. It tells whether it
 // has answered at all.
-func (r *relays) followOne(ctx context.Context, name string, put func(membership.EntryEvent)) (answered bool) {
-	began := r.now()
+func (r *relays) followOne(ctx context.Context, name string, apply func(membership.EntryEvent)) (answered bool) {
+	start := r.now()
 	session, err := r.dial(ctx, name)
 	if err != nil {
-		r.failed(name, err)
+		r.recordFailure(name, err)
 		return false
 	}
 	defer session.Close()
-	asked, seesAt := r.firstQuestion(), time.Time{}
-	for ctx.Err() == nil && len(r.order()) > 0 {
-		news, err := r.askOne(ctx, session, asked)
+	request, followsStoreAt := r.initialRequest(), time.Time{}
+	for ctx.Err() == nil && len(r.candidates()) > 0 {
+		delta, err := r.request(ctx, session, request)
 		if err != nil {
-			r.failed(name, err)
+			r.recordFailure(name, err)
 			return answered
 		}
-		if !answered && r.older(news) {
-			r.failed(name, errOlder)
+		if !answered && r.isOutdated(delta) {
+			r.recordFailure(name, errOutdatedMembers)
 			return false
 		}
-		if r.sees(news) {
-			seesAt = r.now()
+		if r.noticesLeaving(delta) {
+			followsStoreAt = r.now()
 		}
-		if r.now().Sub(seesAt) >= relayBlind {
-			r.failed(name, errBlind)
+		if r.now().Sub(followsStoreAt) >= relayStoreTimeout {
+			r.recordFailure(name, errNotFollowingStore)
 			return false
 		}
 		if !answered {
-			r.log.Info("members told", "by", name, "members", len(news.Members), "took_ms", r.now().Sub(began).Milliseconds())
-			put(membership.StoreAnswered{})
+			r.log.Info("members told", "by", name, "members", len(delta.Members), "took_ms", r.now().Sub(start).Milliseconds())
+			apply(membership.StoreAnswered{})
 		}
 		answered = true
 		r.following.Store(true)
-		if !news.Empty() {
-			put(entriesAt{EntryEvent: news.Event(), version: storeVersionOf(news)})
+		if !delta.Empty() {
+			apply(versionedEvent{EntryEvent: delta.Event(), version: storeVersionOf(delta)})
 		}
-		r.heard(news)
-		if news.Current {
+		r.onDelta(delta)
+		if delta.Current {
 			now := r.now()
-			r.vouchedAt.Store(&now)
+			r.attestedAt.Store(&now)
 		}
-		asked = peer.MembersRequest{Process: news.Process, Seq: news.Seq, Hold: r.hold()}
+		request = peer.MembersRequest{Process: delta.Process, Seq: delta.Seq, Hold: r.holdTime()}
 	}
 	return answered
 }
 
 // firstQuestion asks for the whole, as of what is known here or later. One who knows members
 // already does not wait for long, as nobody tells it meanwhile who leaves.
-func (r *relays) firstQuestion() peer.MembersRequest {
-	heard := r.heardAt()
-	if heard == (evacuation.Version{}) {
-		return peer.MembersRequest{Hold: relayFirst}
+func (r *relays) initialRequest() peer.MembersRequest {
+	newest := r.newestStoreVersion()
+	if newest == (evacuation.Version{}) {
+		return peer.MembersRequest{Hold: relayInitialHold}
 	}
-	return peer.MembersRequest{Hold: relayAgain, StoreEra: heard.Era, StoreRevision: heard.Revision}
+	return peer.MembersRequest{Hold: relayResumeHold, StoreEra: newest.Era, StoreRevision: newest.Revision}
 }
 
-func (r *relays) failed(name string, err error) {
+func (r *relays) recordFailure(name string, err error) {
 	r.unanswered.Add(1)
 	r.log.Info("members not told", "by", name, "error", err.Error())
 }
 
 // errOlder is news of members as they were before what is known here.
-var errOlder = errors.New("its members are older than those known here")
+var errOutdatedMembers = errors.New("its members are older than those known here")
 
 // errBlind is a relay that does not follow the store itself, and nobody else's word.
-var errBlind = errors.New("it does not follow the store")
+var errNotFollowingStore = errors.New("it does not follow the store")
 
 // sees tells whether endpoints that leave are told by a relay's news, or by the holder of the
 // lease, as far as the store can tell it at all.
-func (r *relays) sees(news relay.Delta) bool {
-	return news.Current || news.FollowsStore || r.holderTells() || !r.storeAnswers()
+func (r *relays) noticesLeaving(delta relay.Delta) bool {
+	return delta.Current || delta.FollowsStore || r.holderAttests() || !r.storeAnswers()
 }
 
 // older tells whether news is of members as they were before what is known here: a member that
 // has left would take requests again.
-func (r *relays) older(news relay.Delta) bool {
-	told := storeVersionOf(news)
-	return told != evacuation.Version{} && told.Compare(r.heardAt()) < 0
+func (r *relays) isOutdated(delta relay.Delta) bool {
+	version := storeVersionOf(delta)
+	return version != evacuation.Version{} && version.Compare(r.newestStoreVersion()) < 0
 }
 
-func storeVersionOf(news relay.Delta) evacuation.Version {
-	return evacuation.Version{Era: news.StoreEra, Revision: news.StoreRevision}
+func storeVersionOf(delta relay.Delta) evacuation.Version {
+	return evacuation.Version{Era: delta.StoreEra, Revision: delta.StoreRevision}
 }
 
 // errNotOpen is an instance that cannot be asked yet.
 var errNotOpen = errors.New("no stream to the instance")
 
 func (r *relays) dial(ctx context.Context, name string) (*peer.Session, error) {
-	client, address := r.streams(), r.reached(name)
+	client, address := r.streamClient(), r.streamAddress(name)
 	if client == nil || address == "" {
 		return nil, errNotOpen
 	}
-	ctx, cancel := context.WithTimeout(ctx, relayDial)
+	ctx, cancel := context.WithTimeout(ctx, relayDialTimeout)
 	defer cancel()
 	return client.Dial(ctx, address)
 }
 
-func (r *relays) askOne(ctx context.Context, s *peer.Session, q peer.MembersRequest) (relay.Delta, error) {
-	ctx, cancel := context.WithTimeout(ctx, q.Hold+relayTime)
+func (r *relays) request(ctx context.Context, s *peer.Session, request peer.MembersRequest) (relay.Delta, error) {
+	ctx, cancel := context.WithTimeout(ctx, request.Hold+relayReplyTimeout)
 	defer cancel()
-	packed, err := s.Call(ctx, peer.Request{Members: &q})
+	data, err := s.Call(ctx, peer.Request{Members: &request})
 	if err != nil {
 		return relay.Delta{}, err
 	}
-	return relay.Decode(packed)
+	return relay.Decode(data)
 }
--- a/daemon/relaystell.go
+++ b/daemon/relaystell.go
@@ -18,12 +18,12 @@
 	}
 	until := r.now().Add(q.Members.Hold)
 	for !r.following.Load() {
-		over := !r.now().Before(until)
-		if packed, told := r.news(*q.Members, over); told {
+		expired := !r.now().Before(until)
+		if data, ok := r.encodedDelta(*q.Members, expired); ok {
 			r.answered.Add(1)
-			return peer.Reply{Found: true, Data: packed}
+			return peer.Reply{Found: true, Data: data}
 		}
-		if over || !wait.For(ctx, relayLook) {
+		if expired || !wait.For(ctx, relayPollInterval) {
 			break
 		}
 	}
@@ -31,54 +31,54 @@
 }
 
 // news is what is new for one who asks, packed; false if there is nothing, and it is not over.
-func (r *relays) news(q peer.MembersRequest, over bool) (packed []byte, told bool) {
+func (r *relays) encodedDelta(q peer.MembersRequest, expired bool) (data []byte, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.take()
+	r.refreshFeed()
 	if r.feed.ListingVersion() == 0 {
 		return nil, false
 	}
-	news := r.feed.Since(q.Process, q.Seq)
-	heard := evacuation.Version{Era: q.StoreEra, Revision: q.StoreRevision}
-	if !over && (news.Empty() || r.fedAt.Compare(heard) < 0) {
+	delta := r.feed.Since(q.Process, q.Seq)
+	newest := evacuation.Version{Era: q.StoreEra, Revision: q.StoreRevision}
+	if !expired && (delta.Empty() || r.feedStoreVersion.Compare(newest) < 0) {
 		return nil, false
 	}
 	key := q.Seq
-	if news.Full {
-		key = wholeKey
+	if delta.Full {
+		key = fullKey
 	}
-	if packed, known := r.packed[key]; known {
-		return packed, true
+	if data, cached := r.encoded[key]; cached {
+		return data, true
 	}
-	news.StoreEra, news.StoreRevision = r.fedAt.Era, r.fedAt.Revision
-	r.vouch(&news)
-	packed, err := relay.Encode(news)
+	delta.StoreEra, delta.StoreRevision = r.feedStoreVersion.Era, r.feedStoreVersion.Revision
+	r.attest(&delta)
+	data, err := relay.Encode(delta)
 	if err != nil {
 		r.log.Error(err, "members not packed")
 		return nil, false
 	}
-	r.packed[key] = packed
-	return packed, true
+	r.encoded[key] = data
+	return data, true
 }
 
 // wholeKey stands for the whole among what was packed.
-const wholeKey = -1
+const fullKey = -1
 
 // take takes the listing if it has changed, now and then; mu must be held.
-func (r *relays) take() {
+func (r *relays) refreshFeed() {
 	now := r.now()
 	// What is listed later is of this version or a later one.
-	at, differs := r.listedAt(), r.version() != r.feed.ListingVersion()
-	changed := differs && now.Sub(r.takenAt) >= relayGather
+	storeVersion, differs := r.storeVersion(), r.listingVersion() != r.feed.ListingVersion()
+	changed := differs && now.Sub(r.feedUpdatedAt) >= relayBatchDelay
 	if changed {
 		r.feed.Update(r.listing())
-		r.takenAt = now
+		r.feedUpdatedAt = now
 	}
 	if changed || !differs {
-		r.fedAt = at
+		r.feedStoreVersion = storeVersion
 	}
-	if changed || now.Sub(r.packedAt) >= packedKept {
-		r.packed, r.packedAt = map[int64][]byte{}, now
+	if changed || now.Sub(r.encodedAt) >= encodedLifetime {
+		r.encoded, r.encodedAt = map[int64][]byte{}, now
 	}
 }
 
--- a/daemon/restart_test.go
+++ b/daemon/restart_test.go
@@ -55,14 +55,14 @@
 	e.SetReportedLoad(routing.Load{At: h.clock, Running: 60, Waiting: 9})
 	h.step(placementsTold{[]peer.Placement{{Epoch: 4, Endpoint: "e1", StartedAtMS: 100, Units: []string{"m1", "m2"}}}})
 	h.step(endpointsWithdrawn{[]endpointStart{{"e1", 100}}})
-	require.False(t, h.takes("e1"))
+	require.False(t, h.acceptsRequests("e1"))
 
 	h.list(started("e1", 200))
 	again := h.endpointNamed("e1")
 	require.NotSame(t, e, again)
 	require.False(t, again.Replaced() || again.Ejected(h.clock))
 	require.Zero(t, again.Estimate())
-	require.True(t, h.takes("e1"), "the word was on the former start")
+	require.True(t, h.acceptsRequests("e1"), "the word was on the former start")
 	require.False(t, h.serves("e1", "m1") || h.serves("e1", "m2"))
 }
 
@@ -71,7 +71,7 @@
 	h := newViewHarness()
 	h.list(started("e1", 200))
 	h.step(endpointsWithdrawn{[]endpointStart{{"e1", 100}}})
-	require.True(t, h.takes("e1"))
+	require.True(t, h.acceptsRequests("e1"))
 	h.step(placementsTold{[]peer.Placement{{Epoch: 9, Endpoint: "e1", StartedAtMS: 100, Units: []string{"m1"}}}})
 	require.False(t, h.serves("e1", "m1"))
 	require.False(t, endpointStart{"e1", 100}.concerns(200))
@@ -79,7 +79,7 @@
 	h.step(placementsTold{[]peer.Placement{{Epoch: 3, Endpoint: "e1", StartedAtMS: 200, Units: []string{"m2"}}}})
 	require.True(t, h.serves("e1", "m2"), "an older holder's word on the former start does not outrank it")
 	h.step(endpointsWithdrawn{[]endpointStart{{"e1", 200}}})
-	require.False(t, h.takes("e1"))
+	require.False(t, h.acceptsRequests("e1"))
 }
 
 // The instance that places units may hear of a new start before the own list tells:
--- a/daemon/resting_test.go
+++ b/daemon/resting_test.go
@@ -39,8 +39,8 @@
 		time.Sleep(span)
 		after, closeAfter := follower.client.counted()
 		all, closely = after-before, closeAfter-closeBefore
-		require.NotZero(t, holder.mesh.endpoints.Load())
-		require.Equal(t, holder.mesh.endpoints.Load(), follower.mesh.endpoints.Load(), "it lists the same in the end")
+		require.NotZero(t, holder.mesh.endpointsDigest.Load())
+		require.Equal(t, holder.mesh.endpointsDigest.Load(), follower.mesh.endpointsDigest.Load(), "it lists the same in the end")
 		stop()
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -52,7 +52,7 @@
 	const span = 60 * time.Second
 	all, closely := restingCalls(t, span, func(*lateStore) {})
 	require.Zero(t, closely)
-	require.LessOrEqual(t, all, int(span/untilTold)+1)
+	require.LessOrEqual(t, all, int(span/maxStalePause)+1)
 }
 
 // Units come and go at endpoints all the time, which the holder tells otherwise.
@@ -65,7 +65,7 @@
 		}
 	})
 	require.Zero(t, closely)
-	require.LessOrEqual(t, all, int(span/untilTold)+1)
+	require.LessOrEqual(t, all, int(span/maxStalePause)+1)
 }
 
 // Endpoints that come, leave and go cost some calls each, none of them close.
@@ -82,7 +82,7 @@
 	})
 	require.Zero(t, closely)
 	// Each may be asked for until answers that are behind have it.
-	require.LessOrEqual(t, all, changes*(int(staleAnswers/behindGather)+3)+5)
+	require.LessOrEqual(t, all, changes*(int(staleAnswers/staleBatchDelay)+3)+5)
 }
 
 // holding enters an endpoint with a unit that it holds.
@@ -156,7 +156,7 @@
 			now := start.Add(after)
 			n := &Node{now: func() time.Time { return now }, startedAt: start}
 			n.cfg.Instance = fmt.Sprintf("n%d", i)
-			n.mesh = &mesh{instance: n.cfg.Instance, now: n.now, listed: map[string]presence{}, counted: func(int) {}}
+			n.mesh = &mesh{instance: n.cfg.Instance, now: n.now, listed: map[string]presence{}, onInstanceCount: func(int) {}}
 			for k := range instances {
 				n.mesh.listed[fmt.Sprintf("n%d", k)] = presence{Cores: 1}
 			}
--- a/daemon/returngrace_test.go
+++ b/daemon/returngrace_test.go
@@ -120,8 +120,8 @@
 func entriesOf(session store.Client, link *storeLink) *entriesDuty {
 	return &entriesDuty{
 		client: session, decode: liveMember, entries: membership.NewEntries(), link: link, log: logr.Discard(), now: time.Now,
-		inputs: ring.New[membership.EntryEvent](entryInputs, ring.Block), events: ring.New[event](eventsCapacity, ring.Block),
-		behind: func() bool { return false }, storeThere: func() time.Time { return time.Time{} },
+		inputs: ring.New[membership.EntryEvent](entryInputCapacity, ring.Block), events: ring.New[event](eventsCapacity, ring.Block),
+		allowStale: func() bool { return false }, holderStoreBackSince: func() time.Time { return time.Time{} },
 	}
 }
 
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -95,7 +95,7 @@
 
 // watch keeps the one watch of this instance on the settings' root.
 func (d *settingsDuty) watch(ctx context.Context) {
-	r := watched(d.client, store.KindSettings, store.WatchOptions{}, d.heard.store,
+	r := watchLatest(d.client, store.KindSettings, store.WatchOptions{}, d.heard.storeAnswered,
 		func(o store.Object) { d.found(ctx, o) },
 		func(err error) { d.log.Info("settings watch interrupted", "error", err.Error()) })
 	r.Run(ctx)
@@ -124,7 +124,7 @@
 	if err != nil && !store.IsNotFound(err) {
 		return false
 	}
-	d.heard.store()
+	d.heard.storeAnswered()
 	if err == nil {
 		d.found(ctx, o)
 	}
--- a/daemon/settingspath_test.go
+++ b/daemon/settingspath_test.go
@@ -66,7 +66,7 @@
 	name   string
 	link   *storeLink
 	mesh   *mesh
-	config *configDuty
+	config *settingsWatch
 	view   *viewDuty
 
 	mu      sync.Mutex
@@ -124,7 +124,7 @@
 	f.store.record(store.EventModified, store.Object{Kind: "settings", Metadata: store.Metadata{Name: "main"}, Spec: json.RawMessage(`{}`)})
 	f.busy = &placer{
 		events: ring.New[counted.Event](placerEvents, ring.Block), runner: lease.NewRunner(lease.RunnerConfig{}), log: logr.Discard(),
-		controller: counted.NewController(counted.Config{}), place: func([]placedNews) {},
+		controller: counted.NewController(counted.Config{}), place: func([]outgoingPlacement) {},
 		now: func() time.Time {
 			time.Sleep(busyStep)
 			return time.Now()
@@ -160,24 +160,24 @@
 	lag := newApplied(events.Added, time.Now)
 	i.mesh = &mesh{
 		instance: name, now: time.Now, log: logr.Discard(), sealer: sealer, withdrawn: map[string]withdrawal{}, listed: map[string]presence{},
-		self: presence{Cores: size.cores}, linkBytes: size.mbits * bytesPerMbit, counted: func(int) {}, newer: make(chan struct{}, 1),
+		self: presence{Cores: size.cores}, linkBytesPerSecond: size.mbits * bytesPerMbit, onInstanceCount: func(int) {}, newerSettings: make(chan struct{}, 1),
 		router: routing.NewRouter(routing.Policies()[routing.PolicyTimely], nil), revision: i.revision,
-		holds: func() bool { return first },
-		current: func() bool {
-			return link.settled() && link.age("settings")+lag.lag() < fresh.vouchAge()
+		isHolder: func() bool { return first },
+		storeCurrent: func() bool {
+			return link.settled() && link.age("settings")+lag.lag() < fresh.maxAttestedAge()
 		},
 	}
 	i.view = &viewDuty{
-		events: events, router: i.mesh.router, log: logr.Discard(), now: time.Now, applied: lag, catalog: i.adopt, kick: func() {},
-		cells: func(*settings.Catalog, *membership.List) {}, peers: func(*membership.List) {}, heardAgo: i.mesh.heardAgo,
+		events: events, router: i.mesh.router, log: logr.Discard(), now: time.Now, applied: lag, resolve: i.adopt, notify: func() {},
+		updateCells: func(*settings.Catalog, *membership.List) {}, updatePeers: func(*membership.List) {}, sinceRevisionSeen: i.mesh.sinceRevisionSeen,
 		list: membership.NewList(), endpoints: map[string]*routing.Endpoint{}, residency: newResidency(), withdrawnUntil: map[string]withdrawal{},
 	}
 	if first {
-		i.view.cells = f.placers.update
+		i.view.updateCells = f.placers.update
 	}
-	i.config = &configDuty{
+	i.config = &settingsWatch{
 		client: settingsClient{&lateClient{store: f.store, link: link, fresh: fresh, cut: make(chan struct{})}, f.storeLink},
-		kind:   "settings", name: "main", decode: decodeSettings, newer: i.mesh.newer, behind: i.mesh.holderTells, inForce: i.mesh.settingsInForce,
+		kind:   "settings", name: "main", decode: decodeSettings, newer: i.mesh.newerSettings, allowStale: i.mesh.holderAttests, hasNewest: i.mesh.hasNewestSettings,
 		now: time.Now, events: events, link: link, log: logr.Discard(),
 	}
 	return i
@@ -188,7 +188,7 @@
 	for _, i := range f.instances {
 		go i.view.run(ctx)
 		go i.config.run(ctx)
-		go i.config.confirm(ctx)
+		go i.config.readNewer(ctx)
 	}
 	go f.busy.run(ctx)
 	go f.changeEndpoints(ctx)
@@ -204,8 +204,8 @@
 	go func() {
 		holder := f.instances[0].mesh
 		for ctx.Err() == nil {
-			holder.tellSum()
-			time.Sleep(holder.hubPause())
+			holder.announceTotals()
+			time.Sleep(holder.announceInterval())
 		}
 	}()
 }
@@ -216,7 +216,7 @@
 	for n := int64(1); ctx.Err() == nil; n++ {
 		m := membership.Member{Name: "e", Incarnation: strconv.FormatInt(n, 10), StartedAtMS: n, Pool: "pool", State: membership.Live}
 		_ = f.instances[0].view.events.Put(ctx, membersListed{membership.Listing{Version: n, Members: []membership.Member{m}}})
-		time.Sleep(entriesGather)
+		time.Sleep(entriesBatchDelay)
 	}
 }
 
@@ -239,8 +239,8 @@
 	}
 	to := w.fleet.instances[n].mesh
 	time.AfterFunc(w.link.send(len(sealed))+time.Millisecond, func() {
-		to.totals.take(time.Now(), p)
-		to.hearRevision(p.Revision)
+		to.totals.receive(time.Now(), p)
+		to.receiveRevision(p.Revision)
 	})
 }
 
--- a/daemon/summary_test.go
+++ b/daemon/summary_test.go
@@ -15,9 +15,9 @@
 // kept the hub's processor and socket busy.
 func TestUnchangedSummariesAreNotSent(t *testing.T) {
 	now := time.Unix(1000, 0)
-	m := &mesh{now: func() time.Time { return now }, listed: map[string]presence{}, counted: func(int) {}}
-	for i := range smallFleet + 1 {
-		m.find(fmt.Sprint(i), &presence{})
+	m := &mesh{now: func() time.Time { return now }, listed: map[string]presence{}, onInstanceCount: func(int) {}}
+	for i := range smallFleetSize + 1 {
+		m.updateInstance(fmt.Sprint(i), &presence{})
 	}
 	hub := []string{"10.0.0.1:1"}
 	seq := uint64(0)
@@ -25,7 +25,7 @@
 		seq++
 		return peer.Packet{From: "a", Seq: seq, Loads: []peer.EndpointLoad{{Endpoint: "e", Running: running}}}
 	}
-	sent := func(p peer.Packet, to []string) bool { return !m.saysNothingNew(p, to) }
+	sent := func(p peer.Packet, to []string) bool { return !m.summaryUnchanged(p, to) }
 	require.True(t, sent(summary(1), hub))
 	require.False(t, sent(summary(1), hub))
 	require.True(t, sent(summary(2), hub), "a change")
@@ -43,5 +43,5 @@
 		}
 	}
 	require.Equal(t, 10, told, "four words a second, of ten")
-	require.Less(t, 3*summaryKept, peer.PeerTimeout)
+	require.Less(t, 3*summaryRepeatInterval, peer.PeerTimeout)
 }
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -28,33 +28,33 @@
 	applied *applied
 	// heardAgo is how long ago another instance was first heard to have a revision or a later
 	// one, neverConfirmed if none was; nil means that nobody knows.
-	heardAgo func(revision int64) time.Duration
+	sinceRevisionSeen func(revision int64) time.Duration
 	// catalog puts a revision in force.
-	catalog func(*revision.Accepted) *settings.Catalog
+	resolve func(*revision.Accepted) *settings.Catalog
 	// cells gives the settings and the list to the cells.
-	cells func(*settings.Catalog, *membership.List)
+	updateCells func(*settings.Catalog, *membership.List)
 	// peers gives the list to the link between instances.
-	peers func(*membership.List)
-	kick  func()
+	updatePeers func(*membership.List)
+	notify      func()
 	// leaving is told of each endpoint that begins to leave; nil tells nobody.
-	leaving func(endpoint endpointStart)
+	onLeaving func(endpoint endpointStart)
 	// differs tells whether the holder of the lease is known to list other endpoints than
 	// this instance; nil means that nobody knows.
-	differs func() bool
+	listDiffers func() bool
 	// listed is told the digest of the list when it has changed; nil tells nobody.
-	listed func(digest uint64)
+	onDigest func(digest uint64)
 
 	// cold is told of endpoints that are cold for some time; nil tells nobody.
-	cold func(e *routing.Endpoint, perSecond float64, remaining time.Duration)
+	onCold func(e *routing.Endpoint, perSecond float64, remaining time.Duration)
 
 	// told are the failure domains that the platform has evacuated, evacuated those and the
 	// ones that the settings evacuate.
-	told      []string
-	evacuated map[string]bool
+	platformEvacuated []string
+	evacuated         map[string]bool
 	// warming are the failure domains that are evacuated no longer since the last view.
 	warming map[string]bool
 	// coldSaid holds the endpoints whose entries say since the last view that they are cold.
-	coldSaid map[string]int64
+	coldReported map[string]int64
 
 	accepted  *revision.Accepted
 	resolved  *settings.Catalog
@@ -66,8 +66,8 @@
 	residency residency
 	// placedAt holds the endpoints whose units have changed since the last view, and whole is
 	// set where something else has.
-	placedAt []string
-	whole    bool
+	changedEndpoints []string
+	fullRebuild      bool
 	// replicas is which endpoints serve each unit.
 	replicas replicas
 }
@@ -83,26 +83,26 @@
 			taken = 1
 		}
 		changed := d.apply(e)
-		more, news := d.gathered(ctx, e)
+		more, news := d.drainEvents(ctx, e)
 		changed = changed || news
-		if d.forgetWords() || changed {
+		if d.expireWithdrawals() || changed {
 			d.rebuild()
 		}
 		d.applied.finished(taken + more)
-		d.kick()
+		d.notify()
 	}
 }
 
 // placedGather is how long placements gather before the view is built again: their words
 // come in bursts of packets, and with 245 endpoints two thirds of an instance's own
 // processor time went into views that the next packet made old.
-const placedGather = 15 * time.Millisecond
+const placementBatchDelay = 15 * time.Millisecond
 
 // gathered records the events that wait behind e, and tells how many these were and whether
 // the view must be rebuilt for them.
-func (d *viewDuty) gathered(ctx context.Context, e event) (taken int64, changed bool) {
+func (d *viewDuty) drainEvents(ctx context.Context, e event) (taken int64, changed bool) {
 	if _, placed := e.(placementsTold); placed {
-		wait.For(ctx, placedGather)
+		wait.For(ctx, placementBatchDelay)
 	}
 	for d.events.Len() > 0 {
 		e, err := d.events.Take(ctx)
@@ -116,14 +116,14 @@
 }
 
 // wordsLook is the time between two looks at whether words on endpoints have run out.
-const wordsLook = time.Second
+const withdrawalCheckInterval = time.Second
 
 // next returns the next event, or nil after a while if words may have run out.
 func (d *viewDuty) next(ctx context.Context) (event, error) {
 	if len(d.withdrawnUntil) == 0 {
 		return d.events.Take(ctx)
 	}
-	soon, cancel := context.WithTimeout(ctx, wordsLook)
+	soon, cancel := context.WithTimeout(ctx, withdrawalCheckInterval)
 	defer cancel()
 	e, err := d.events.Take(soon)
 	if err != nil && ctx.Err() == nil && errors.Is(soon.Err(), context.DeadlineExceeded) {
@@ -137,32 +137,32 @@
 //
 // A word does not run out, but for wordsMost, while the holder of the lease lists other
 // endpoints than this instance: no list has come since that would tell.
-func (d *viewDuty) forgetWords() bool {
+func (d *viewDuty) expireWithdrawals() bool {
 	known := len(d.withdrawnUntil)
 	now := d.now()
-	if d.differs != nil && d.differs() {
-		now = now.Add(-wordsMost)
+	if d.listDiffers != nil && d.listDiffers() {
+		now = now.Add(-maxWithdrawalExtension)
 	}
 	maps.DeleteFunc(d.withdrawnUntil, func(_ string, w withdrawal) bool { return !now.Before(w.at) })
 	forgotten := len(d.withdrawnUntil) < known
-	d.whole = d.whole || forgotten
+	d.fullRebuild = d.fullRebuild || forgotten
 	return forgotten
 }
 
 // wordsMost is for how much longer a word counts, at most, while no list comes: longer
 // than an instance is cut off from the store.
-const wordsMost = 12 * time.Second
+const maxWithdrawalExtension = 12 * time.Second
 
 // apply records an event and tells whether the view must be rebuilt.
 func (d *viewDuty) apply(e event) bool {
 	switch e := e.(type) {
 	case loadReported:
-		return d.report(e)
+		return d.applyLoad(e)
 	case placementsTold:
-		return d.placed(e)
+		return d.applyPlacements(e)
 	default:
 		changed := d.applyMembers(e)
-		d.whole = d.whole || changed
+		d.fullRebuild = d.fullRebuild || changed
 		return changed
 	}
 }
@@ -171,10 +171,10 @@
 func (d *viewDuty) applyMembers(e event) bool {
 	switch e := e.(type) {
 	case settingsAccepted:
-		return d.accept(e) && d.inform()
+		return d.accept(e) && d.informDuties()
 	case domainsEvacuated:
-		d.told = e.domains
-		return d.evacuate() && d.inform()
+		d.platformEvacuated = e.domains
+		return d.evacuate() && d.informDuties()
 	case membersListed:
 		changes := d.list.Step(d.now(), membership.Listed{Listing: e.listing})
 		for _, c := range changes {
@@ -182,26 +182,26 @@
 			d.noteCold(c)
 			d.log.V(1).Info("member", "name", c.Member.Name, "pool", c.Member.Pool, "state", c.Member.State, "address", c.Member.Address)
 		}
-		if len(changes) > 0 && d.listed != nil {
-			d.listed(d.list.Digest())
+		if len(changes) > 0 && d.onDigest != nil {
+			d.onDigest(d.list.Digest())
 		}
-		return len(changes) > 0 && d.inform()
+		return len(changes) > 0 && d.informDuties()
 	case instanceLeaving:
 		m, known := d.list.Member(e.name)
 		observed := membership.Observed{Name: e.name, Incarnation: m.Incarnation, State: membership.Leaving}
-		return known && len(d.list.Step(d.now(), observed)) > 0 && d.inform()
+		return known && len(d.list.Step(d.now(), observed)) > 0 && d.informDuties()
 	case endpointsWithdrawn:
-		return d.withdrawn(e.endpoints)
+		return d.applyWithdrawals(e.endpoints)
 	default:
 		return false
 	}
 }
 
 // inform tells the cells what has changed.
-func (d *viewDuty) inform() bool {
-	d.peers(d.list)
+func (d *viewDuty) informDuties() bool {
+	d.updatePeers(d.list)
 	if d.resolved != nil {
-		d.cells(d.resolved, d.list)
+		d.updateCells(d.resolved, d.list)
 	}
 	return true
 }
@@ -213,11 +213,11 @@
 		return false
 	}
 	d.accepted = a
-	d.resolved = d.catalog(a)
+	d.resolved = d.resolve(a)
 	d.evacuate()
 	values := []any{"revision", a.Entry.Revision, "author", a.Entry.Author}
 	if !e.at.IsZero() {
-		values = append(values, "by", e.by, "waited_ms", d.now().Sub(e.at).Milliseconds(), "heard_ms", d.heardMS(a.Entry.Revision))
+		values = append(values, "by", e.by, "waited_ms", d.now().Sub(e.at).Milliseconds(), "heard_ms", d.revisionSeenMS(a.Entry.Revision))
 	}
 	d.log.Info("settings in force", values...)
 	return true
@@ -225,14 +225,14 @@
 
 // heardMS is how long ago, in milliseconds, another instance was first heard to have a revision
 // or a later one; -1 if none was.
-func (d *viewDuty) heardMS(revision int64) int64 {
-	if d.heardAgo == nil {
+func (d *viewDuty) revisionSeenMS(revision int64) int64 {
+	if d.sinceRevisionSeen == nil {
 		return -1
 	}
-	return ageMS(d.heardAgo(revision))
+	return ageMS(d.sinceRevisionSeen(revision))
 }
 
-func (d *viewDuty) report(e loadReported) bool {
+func (d *viewDuty) applyLoad(e loadReported) bool {
 	endpoint, known := d.endpoints[e.endpoint]
 	if !known || endpoint.Incarnation != e.report.Incarnation {
 		return false
@@ -246,7 +246,7 @@
 	}
 	changed := d.residency.reported(e.endpoint, ready)
 	if changed {
-		d.placedAt = append(d.placedAt, e.endpoint)
+		d.changedEndpoints = append(d.changedEndpoints, e.endpoint)
 	}
 	return changed
 }
@@ -254,11 +254,11 @@
 // withdrawnTime is for how long another instance's word that an endpoint leaves
 // counts. By then the own list tells, also where it is seconds behind; an endpoint
 // whose entry only lapsed is back.
-const withdrawnTime = 4 * time.Second
+const withdrawalLifetime = 4 * time.Second
 
 // withdrawn takes another instance's word on endpoints. One that the own list does
 // not hold yet may come by an answer from before the word.
-func (d *viewDuty) withdrawn(starts []endpointStart) bool {
+func (d *viewDuty) applyWithdrawals(starts []endpointStart) bool {
 	changed := false
 	for _, s := range starts {
 		e, listed := d.endpoints[s.name]
@@ -266,19 +266,19 @@
 			// It has been started again since.
 			continue
 		}
-		if w, told := d.withdrawnUntil[s.name]; !told || w.startedAtMS < s.startedAtMS {
+		if w, known := d.withdrawnUntil[s.name]; !known || w.startedAtMS < s.startedAtMS {
 			changed = changed || listed
 			d.log.Info("endpoint leaves", "endpoint", s.name, "by", "the holder's word", "listed", listed)
 		}
-		d.withdrawnUntil[s.name] = withdrawal{startedAtMS: s.startedAtMS, at: d.now().Add(withdrawnTime)}
+		d.withdrawnUntil[s.name] = withdrawal{startedAtMS: s.startedAtMS, at: d.now().Add(withdrawalLifetime)}
 	}
 	return changed
 }
 
 // withheld tells whether another instance's word keeps requests from a member.
 func (d *viewDuty) withheld(m membership.Member) bool {
-	w, told := d.withdrawnUntil[m.Name]
-	return told && endpointStart{m.Name, w.startedAtMS}.concerns(m.StartedAtMS)
+	w, known := d.withdrawnUntil[m.Name]
+	return known && endpointStart{m.Name, w.startedAtMS}.concerns(m.StartedAtMS)
 }
 
 // noteLeaving tells that an endpoint has begun to leave or has gone.
@@ -287,20 +287,20 @@
 		return
 	}
 	d.log.Info("endpoint leaves", "endpoint", c.Member.Name, "by", "its entry", "state", c.Member.State)
-	if d.leaving != nil {
-		d.leaving(endpointStart{c.Member.Name, c.Member.StartedAtMS})
+	if d.onLeaving != nil {
+		d.onLeaving(endpointStart{c.Member.Name, c.Member.StartedAtMS})
 	}
 }
 
 // placed takes the word of the instance that places units.
-func (d *viewDuty) placed(e placementsTold) bool {
-	known := len(d.placedAt)
+func (d *viewDuty) applyPlacements(e placementsTold) bool {
+	known := len(d.changedEndpoints)
 	for _, p := range e.placements {
 		if _, listed := d.endpoints[p.Endpoint]; listed && d.residency.placed(p) {
-			d.placedAt = append(d.placedAt, p.Endpoint)
+			d.changedEndpoints = append(d.changedEndpoints, p.Endpoint)
 		}
 	}
-	return len(d.placedAt) > known
+	return len(d.changedEndpoints) > known
 }
 
 // rebuild gives routing a view of what has changed.
@@ -308,19 +308,19 @@
 	if d.resolved == nil {
 		return
 	}
-	if d.whole {
-		d.rebuildWhole()
+	if d.fullRebuild {
+		d.rebuildAll()
 	} else {
-		d.replace()
+		d.rebuildChanged()
 	}
-	d.whole, d.placedAt = false, nil
+	d.fullRebuild, d.changedEndpoints = false, nil
 }
 
 // replace gives routing a view in which only the units of some endpoints are others: with
 // thousands of endpoints a view made anew for each burst of placements took most of an
 // instance's processor time.
-func (d *viewDuty) replace() {
-	for _, name := range d.placedAt {
+func (d *viewDuty) rebuildChanged() {
+	for _, name := range d.changedEndpoints {
 		d.replicas.set(d.endpoints[name], d.residency.serving(name))
 	}
 	v := *d.router.View()
@@ -329,7 +329,7 @@
 }
 
 // rebuildWhole gives routing a view made anew.
-func (d *viewDuty) rebuildWhole() {
+func (d *viewDuty) rebuildAll() {
 	members := d.list.Members()
 	v := &routing.View{
 		Pools: map[string][]*routing.Endpoint{}, ByName: make(map[string]*routing.Endpoint, len(members)), OpenRegions: map[string]map[string]bool{},
@@ -360,7 +360,7 @@
 			d.residency.forget(name)
 		}
 	}
-	d.warming, d.coldSaid = nil, nil
+	d.warming, d.coldReported = nil, nil
 	d.replicas.keep(v.ByName)
 	v.Replicas = d.replicas.give()
 	if len(d.router.View().ByName) == 0 && len(v.ByName) > 0 {
@@ -378,7 +378,7 @@
 			Name: m.Name, Address: m.Address, Pool: m.Pool, FailureDomain: m.FailureDomain,
 			Region: d.resolved.Tree.Regions[m.FailureDomain], Incarnation: m.Incarnation, StartedAtMS: m.StartedAtMS, Concurrency: concurrency,
 		}
-		d.noteStart(d.endpoints[m.Name], e)
+		d.logRestart(d.endpoints[m.Name], e)
 		d.endpoints[m.Name] = e
 		d.residency.begin(m)
 	}
@@ -387,8 +387,8 @@
 }
 
 // noteStart tells that an endpoint has been started again under its name.
-func (d *viewDuty) noteStart(former, e *routing.Endpoint) {
-	if former != nil && former.Incarnation != e.Incarnation {
-		d.log.Info("endpoint started again", "endpoint", e.Name, "former", former.Incarnation, "incarnation", e.Incarnation)
+func (d *viewDuty) logRestart(previous, e *routing.Endpoint) {
+	if previous != nil && previous.Incarnation != e.Incarnation {
+		d.log.Info("endpoint started again", "endpoint", e.Name, "former", previous.Incarnation, "incarnation", e.Incarnation)
 	}
 }
