--- a/daemon/view_test.go
+++ b/daemon/view_test.go
@@ -26,21 +26,21 @@
 	version int64
 	// told are the endpoints that this instance tells the others of, as the holder
 	// of the lease does.
-	told *mesh
+	announcer *mesh
 }
 
 func newViewHarness() *viewHarness {
 	h := &viewHarness{clock: time.Unix(1000, 0)}
 	now := func() time.Time { return h.clock }
-	h.told = &mesh{now: now, withdrawn: map[string]withdrawal{}}
+	h.announcer = &mesh{now: now, withdrawn: map[string]withdrawal{}}
 	h.viewDuty = &viewDuty{
 		router: routing.NewRouter(routing.Policies()[routing.PolicyTimely], nil), log: logr.Discard(), now: now,
-		cells: func(*settings.Catalog, *membership.List) {}, peers: func(*membership.List) {}, kick: func() {},
+		updateCells: func(*settings.Catalog, *membership.List) {}, updatePeers: func(*membership.List) {}, notify: func() {},
 		list: membership.NewList(), endpoints: map[string]*routing.Endpoint{}, residency: newResidency(), withdrawnUntil: map[string]withdrawal{},
-		catalog: func(a *revision.Accepted) *settings.Catalog { return settings.NewCatalog(a.Tree) },
-		leaving: h.told.withdraw,
+		resolve:   func(a *revision.Accepted) *settings.Catalog { return settings.NewCatalog(a.Tree) },
+		onLeaving: h.announcer.recordWithdrawal,
 	}
-	h.told.router = h.router
+	h.announcer.router = h.router
 	h.step(settingsAccepted{accepted: &revision.Accepted{Tree: &settings.Tree{Pools: map[string]*settings.Pool{"plain": {}}}}})
 	return h
 }
@@ -62,7 +62,7 @@
 }
 
 // takes tells whether an endpoint gets requests.
-func (h *viewHarness) takes(name string) bool {
+func (h *viewHarness) acceptsRequests(name string) bool {
 	for _, e := range h.router.View().Pools["plain"] {
 		if e.Name == name {
 			return !e.Leaving()
@@ -75,19 +75,19 @@
 // leaves. Its own list, which may be seconds behind while the holder vouches, could
 // then bring that endpoint as live, and it drew requests until the word was repeated,
 // or for good if that was over.
-func TestWordOnAnEndpointThatIsNotListedYetCounts(t *testing.T) {
+func TestWithdrawalOfAnUnlistedEndpointCounts(t *testing.T) {
 	h := newViewHarness()
 	h.listing("e1")
 	h.step(endpointsWithdrawn{[]endpointStart{{name: "e2"}}})
 	h.clock = h.clock.Add(time.Second)
 	h.listing("e1", "e2")
-	require.True(t, h.takes("e1"))
-	require.False(t, h.takes("e2"))
+	require.True(t, h.acceptsRequests("e1"))
+	require.False(t, h.acceptsRequests("e2"))
 }
 
 // The word of another instance runs out: an endpoint whose entry had only lapsed at
 // the holder of the lease takes requests again, also if nothing else happens.
-func TestWordOnAnEndpointRunsOut(t *testing.T) {
+func TestWithdrawalExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		h := newViewHarness()
@@ -95,30 +95,30 @@
 		h.listing("e1")
 		go h.run(ctx)
 		require.NoError(t, h.events.Put(ctx, endpointsWithdrawn{[]endpointStart{{name: "e1"}}}))
-		time.Sleep(withdrawnTime - time.Second)
-		require.False(t, h.takes("e1"))
-		time.Sleep(time.Second + wordsLook)
+		time.Sleep(withdrawalLifetime - time.Second)
+		require.False(t, h.acceptsRequests("e1"))
+		time.Sleep(time.Second + withdrawalCheckInterval)
 		synctest.Wait()
-		require.True(t, h.takes("e1"))
+		require.True(t, h.acceptsRequests("e1"))
 		stop()
 	})
 }
 
 // An entry that lapsed and came back is live again: the others are not told any more
 // that its endpoint leaves.
-func TestEndpointThatIsBackIsNotToldToLeave(t *testing.T) {
+func TestReturnedEndpointIsNotAnnouncedAsLeaving(t *testing.T) {
 	h := newViewHarness()
 	h.listing("e1", "e2")
 	h.listing("e1")
-	require.Equal(t, []endpointStart{{name: "e2"}}, h.told.withdrawnLately())
+	require.Equal(t, []endpointStart{{name: "e2"}}, h.announcer.recentlyWithdrawn())
 	h.clock = h.clock.Add(time.Second)
 	h.listing("e1", "e2")
-	require.Empty(t, h.told.withdrawnLately())
+	require.Empty(t, h.announcer.recentlyWithdrawn())
 }
 
 // TestViewOfWhatHasChangedIsTheWholeOne lets endpoints come and go, leave, and hold other units.
 // Each view is what one made anew would be, and so is an earlier one that is still in use.
-func TestViewOfWhatHasChangedIsTheWholeOne(t *testing.T) {
+func TestPartialRebuildEqualsFullRebuild(t *testing.T) {
 	const endpoints, units, rounds = 8, 6, 2000
 	random := rand.New(rand.NewPCG(3, 4))
 	h := newViewHarness()
@@ -142,7 +142,7 @@
 			h.step(placementsTold{[]peer.Placement{p}})
 		}
 		view := *h.router.View()
-		h.rebuildWhole()
+		h.rebuildAll()
 		require.Equal(t, *h.router.View(), view)
 		h.router.SetView(&view)
 	}
--- a/daemon/vouch_test.go
+++ b/daemon/vouch_test.go
@@ -15,39 +15,39 @@
 )
 
 // wordOfHolder is what the holder of the lease tells.
-func wordOfHolder(current bool) peer.Packet {
+func holderAnnouncement(current bool) peer.Packet {
 	return peer.Packet{From: "holder", Address: "10.0.0.1:1", Instances: 6, StoreCurrent: current}
 }
 
 // TestInstancesLookThemselvesUnlessTheHolderVouches goes through the ways in
 // which the holder's word ends: silence, a holder that the store does not answer,
 // and the lease coming here.
-func TestInstancesLookThemselvesUnlessTheHolderVouches(t *testing.T) {
+func TestInstancesFollowTheStoreUnlessTheHolderAttests(t *testing.T) {
 	now := time.Now()
 	holds := false
-	m := &mesh{now: func() time.Time { return now }, holds: func() bool { return holds }}
-	require.False(t, m.holderTells(), "nobody was heard")
+	m := &mesh{now: func() time.Time { return now }, isHolder: func() bool { return holds }}
+	require.False(t, m.holderAttests(), "nobody was heard")
 
-	m.totals.take(now, wordOfHolder(true))
-	require.True(t, m.holderTells())
-	now = now.Add(leastHolderLost)
-	require.False(t, m.holderTells(), "silence")
+	m.totals.receive(now, holderAnnouncement(true))
+	require.True(t, m.holderAttests())
+	now = now.Add(minHolderTimeout)
+	require.False(t, m.holderAttests(), "silence")
 
-	m.totals.take(now, wordOfHolder(true))
+	m.totals.receive(now, holderAnnouncement(true))
 	for range 3 {
-		now = now.Add(leastHolderLost / 2)
-		m.totals.take(now, wordOfHolder(false))
+		now = now.Add(minHolderTimeout / 2)
+		m.totals.receive(now, holderAnnouncement(false))
 	}
-	require.False(t, m.holderTells(), "the holder speaks but has lost the store")
+	require.False(t, m.holderAttests(), "the holder speaks but has lost the store")
 
-	m.totals.take(now, wordOfHolder(true))
+	m.totals.receive(now, holderAnnouncement(true))
 	holds = true
-	require.False(t, m.holderTells(), "the holder itself must look")
+	require.False(t, m.holderAttests(), "the holder itself must look")
 }
 
 // vouchingNode is a node of which only its link to the store and its word to the
 // others are there.
-func vouchingNode(now *time.Time) *Node {
+func attestingNode(now *time.Time) *Node {
 	n := &Node{now: func() time.Time { return *now }, ports: NodePorts{MembersKind: "members", SettingsKind: "settings"}}
 	n.cfg = DefaultNodeConfig()
 	n.cfg.PeerPorts = []int{1, 1}
@@ -56,24 +56,24 @@
 	return n
 }
 
-func TestHolderVouchesOnlyWhileTheStoreAnswers(t *testing.T) {
+func TestHolderAttestsOnlyWhileTheStoreAnswers(t *testing.T) {
 	now := time.Now()
-	n := vouchingNode(&now)
-	require.False(t, n.mesh.current())
+	n := attestingNode(&now)
+	require.False(t, n.mesh.storeCurrent())
 	n.link.confirmed(n.ports.MembersKind)
-	require.False(t, n.mesh.current(), "no settings were heard yet")
+	require.False(t, n.mesh.storeCurrent(), "no settings were heard yet")
 	n.link.confirmed(n.ports.SettingsKind)
-	require.True(t, n.mesh.current())
-	now = now.Add(n.cfg.Fresh.vouchAge())
-	require.False(t, n.mesh.current())
+	require.True(t, n.mesh.storeCurrent())
+	now = now.Add(n.cfg.Fresh.maxAttestedAge())
+	require.False(t, n.mesh.storeCurrent())
 }
 
 // TestHolderVouchesForWhatIsInForce lets the store answer while what it has told waits behind
 // other events, as at a holder that thousands of endpoints keep busy: the others relied on its
 // word, and went on by older settings for as long.
-func TestHolderVouchesForWhatIsInForce(t *testing.T) {
+func TestHolderAttestsOnlyWhatIsInForce(t *testing.T) {
 	now := time.Now()
-	n := vouchingNode(&now)
+	n := attestingNode(&now)
 	added := int64(0)
 	n.eventsApplied = newApplied(func() int64 { return added }, n.now)
 	answered := func() {
@@ -81,27 +81,27 @@
 		n.link.confirmed(n.ports.SettingsKind)
 	}
 	answered()
-	require.True(t, n.mesh.current())
+	require.True(t, n.mesh.storeCurrent())
 	added++
-	require.True(t, n.mesh.current(), "it has just come")
-	now = now.Add(n.cfg.Fresh.vouchAge())
+	require.True(t, n.mesh.storeCurrent(), "it has just come")
+	now = now.Add(n.cfg.Fresh.maxAttestedAge())
 	answered()
-	require.False(t, n.mesh.current(), "the store answers, but what it told is not in force")
+	require.False(t, n.mesh.storeCurrent(), "the store answers, but what it told is not in force")
 	n.eventsApplied.finished(1)
-	require.True(t, n.mesh.current())
+	require.True(t, n.mesh.storeCurrent())
 }
 
 // boundsForNews are times that there may be for news, in milliseconds.
-var boundsForNews = []int{1700, 2000, 3000, 5000, 10_000}
+var changeBoundsMS = []int{1700, 2000, 3000, 5000, 10_000}
 
 // TestNewsIsInTimeWhenTheHolderIsLost adds up what may pass until an instance
 // whose watch is behind looks closely, the holder being cut off right after it
 // has vouched: its calls are over, and its pauses look up, by then.
-func TestNewsIsInTimeWhenTheHolderIsLost(t *testing.T) {
-	for _, ms := range boundsForNews {
-		f := NodeFresh{LeavingMS: ms, SettingsMS: 10_000, ContactMS: 4000}
+func TestChangesAreInTimeWhenTheHolderIsLost(t *testing.T) {
+	for _, ms := range changeBoundsMS {
+		f := NodeFreshness{LeavingMS: ms, SettingsMS: 10_000, ContactMS: 4000}
 		for range 2 {
-			noticed := f.vouchAge() + f.holderLost() + max(f.behindWait(), wait.PollInterval)
+			noticed := f.maxAttestedAge() + f.holderTimeout() + max(f.staleWatchHold(), wait.PollInterval)
 			require.LessOrEqual(t, noticed+newsReserve, milliseconds(ms), "%d ms", ms)
 			f.LeavingMS, f.SettingsMS = f.SettingsMS, f.LeavingMS
 		}
@@ -111,17 +111,17 @@
 // TestHungWatchIsReplacedInTime adds up what may pass until a close watch that nobody
 // answers is made again, and until a healthy holder's next answer.
 func TestHungWatchIsReplacedInTime(t *testing.T) {
-	for _, ms := range boundsForNews {
-		f := NodeFresh{LeavingMS: ms, SettingsMS: ms, ContactMS: 4000}
-		again := store.WatchSlack + store.MaxFirstRetryDelay + answerTime
-		require.LessOrEqual(t, entriesGather+f.entriesWait()+again, milliseconds(ms), "endpoints, %d ms", ms)
-		require.LessOrEqual(t, f.settingsWait()+again, milliseconds(ms), "settings, %d ms", ms)
+	for _, ms := range changeBoundsMS {
+		f := NodeFreshness{LeavingMS: ms, SettingsMS: ms, ContactMS: 4000}
+		again := store.WatchSlack + store.MaxFirstRetryDelay + storeAnswerTime
+		require.LessOrEqual(t, entriesBatchDelay+f.entriesWatchHold()+again, milliseconds(ms), "endpoints, %d ms", ms)
+		require.LessOrEqual(t, f.settingsWatchHold()+again, milliseconds(ms), "settings, %d ms", ms)
 		for _, f.ContactMS = range []int{2500, 3000, 4000} {
-			behindOutage := store.WatchSlack + store.MaxRetryDelay + answerTime
-			require.LessOrEqual(t, f.settingsWait()+behindOutage, milliseconds(f.ContactMS))
+			afterOutage := store.WatchSlack + store.MaxRetryDelay + storeAnswerTime
+			require.LessOrEqual(t, f.settingsWatchHold()+afterOutage, milliseconds(f.ContactMS))
 		}
-		require.LessOrEqual(t, entriesGather+f.entriesWait()+answerTime, f.vouchAge())
-		require.LessOrEqual(t, f.settingsWait()+answerTime, f.vouchAge())
+		require.LessOrEqual(t, entriesBatchDelay+f.entriesWatchHold()+storeAnswerTime, f.maxAttestedAge())
+		require.LessOrEqual(t, f.settingsWatchHold()+storeAnswerTime, f.maxAttestedAge())
 	}
 }
 
@@ -133,7 +133,7 @@
 
 // TestHolderTellsOfAllThatLeave lets more endpoints leave at once than one packet
 // holds.
-func TestHolderTellsOfAllThatLeave(t *testing.T) {
+func TestHolderAnnouncesAllLeavingEndpoints(t *testing.T) {
 	now := time.Now()
 	sealer, err := peer.NewSealer([][]byte{make([]byte, peer.KeyBytes)})
 	require.NoError(t, err)
@@ -141,14 +141,14 @@
 	m := &mesh{
 		instance: "n1", now: func() time.Time { return now }, log: logr.Discard(), sealer: sealer, datagrams: datagrams,
 		listed: map[string]presence{"n2": {Datagrams: "127.0.0.1:1"}}, withdrawn: map[string]withdrawal{},
-		router: routing.NewRouter(routing.Policies()[routing.PolicyTimely], nil), revision: func() int64 { return 1 }, current: func() bool { return true },
+		router: routing.NewRouter(routing.Policies()[routing.PolicyTimely], nil), revision: func() int64 { return 1 }, storeCurrent: func() bool { return true },
 	}
 	const leave = 2*maxWithdrawn + 3
 	for i := range leave {
-		m.withdraw(endpointStart{name: fmt.Sprintf("i-%03d", i)})
+		m.recordWithdrawal(endpointStart{name: fmt.Sprintf("i-%03d", i)})
 	}
-	m.tellSum()
-	told := map[string]bool{}
+	m.announceTotals()
+	announced := map[string]bool{}
 	for _, sealed := range datagrams.sent {
 		plain, err := sealer.Open(sealed)
 		require.NoError(t, err)
@@ -156,10 +156,10 @@
 		require.NoError(t, err)
 		require.True(t, p.StoreCurrent)
 		for _, name := range p.Withdrawn {
-			told[name] = true
+			announced[name] = true
 		}
 	}
-	require.Len(t, told, leave)
+	require.Len(t, announced, leave)
 }
 
 // For 2.4 s the holder of the lease vouched for endpoints of which it had heard
@@ -171,9 +171,9 @@
 //	37.5351 msg="watch ended" kind=servers confirmed_ms=12640 error="... context deadline exceeded"
 //
 // Only an answer to the watch itself proves that what came by it is current.
-func TestHolderWhoseWatchHangsDoesNotVouch(t *testing.T) {
+func TestHolderWhoseWatchHangsDoesNotAttest(t *testing.T) {
 	now := time.Now()
-	n := vouchingNode(&now)
+	n := attestingNode(&now)
 	m := n.mesh
 	for range int(settleTime/leaseRenewal) + 1 {
 		n.link.answered()
@@ -188,7 +188,7 @@
 		for _, kind := range kinds {
 			confirm(kind)
 		}
-		require.True(t, m.current())
+		require.True(t, m.storeCurrent())
 		for range 10 {
 			now = now.Add(leaseRenewal)
 			for _, kind := range kinds {
@@ -197,15 +197,15 @@
 				}
 			}
 		}
-		require.False(t, m.current(), "%s was not heard for 5 s", hung)
+		require.False(t, m.storeCurrent(), "%s was not heard for 5 s", hung)
 	}
 }
 
 // Behind an outage an instance keeps entries that may have lapsed or have left; until
 // that is settled it does not vouch, and its own watch of them is close.
-func TestNobodyVouchesOrIsBehindUntilEntriesAreSettled(t *testing.T) {
+func TestNobodyAttestsOrIsStaleUntilEntriesAreSettled(t *testing.T) {
 	now := time.Now()
-	n := vouchingNode(&now)
+	n := attestingNode(&now)
 	n.placers = &placers{}
 	answer := func() {
 		n.link.answered()
@@ -213,21 +213,21 @@
 		n.link.asked(0)
 		n.link.confirmed(n.ports.MembersKind)
 		n.link.confirmed(n.ports.SettingsKind)
-		n.mesh.totals.take(now, wordOfHolder(true))
+		n.mesh.totals.receive(now, holderAnnouncement(true))
 	}
 	answer()
 	for since := time.Duration(0); since < settleTime; since += leaseRenewal {
-		require.False(t, n.mesh.current(), "%s behind the outage", since)
+		require.False(t, n.mesh.storeCurrent(), "%s behind the outage", since)
 		require.False(t, n.entriesMayBeBehind(), "%s behind the outage", since)
 		now = now.Add(leaseRenewal)
 		answer()
 	}
-	require.True(t, n.mesh.current())
+	require.True(t, n.mesh.storeCurrent())
 	require.True(t, n.entriesMayBeBehind())
 	now = now.Add(awayAfter - time.Millisecond)
 	answer()
-	require.True(t, n.mesh.current(), "a slow answer is no outage")
+	require.True(t, n.mesh.storeCurrent(), "a slow answer is no outage")
 	now = now.Add(awayAfter)
 	answer()
-	require.False(t, n.mesh.current())
+	require.False(t, n.mesh.storeCurrent())
 }
--- a/daemon/wake.go
+++ b/daemon/wake.go
@@ -33,7 +33,7 @@
 	n.engine.Close()
 	n.control.Close()
 	n.overdue()
-	n.mesh.hurry()
+	n.mesh.sendSoon()
 	n.gates.Wake()
 }
 
--- a/daemon/watched.go
+++ b/daemon/watched.go
@@ -7,19 +7,19 @@
 // watched follows the objects of a kind of which only what they say now counts:
 // heard is told of each answer of the store, found gets each object that is new
 // or has changed, and fail what interrupts the watch.
-func watched(c store.Client, kind store.Kind, o store.WatchOptions, heard func(), found func(store.Object), fail func(error)) *store.Reflector {
-	return store.NewReflector(c, kind, o,
+func watchLatest(client store.Client, kind store.Kind, options store.WatchOptions, onAnswer func(), onObject func(store.Object), onError func(error)) *store.Reflector {
+	return store.NewReflector(client, kind, options,
 		func(l store.List) {
-			heard()
-			for _, o := range l.Items {
-				found(o)
+			onAnswer()
+			for _, options := range l.Items {
+				onObject(options)
 			}
 		},
 		func(e store.Event) {
-			heard()
+			onAnswer()
 			if e.Type != store.EventDeleted && e.Type != store.EventBookmark {
-				found(e.Object)
+				onObject(e.Object)
 			}
 		},
-		fail)
+		onError)
 }
