--- a/daemon/attestation_test.go
+++ b/daemon/attestation_test.go
@@ -12,19 +12,19 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// wordOfHolder is what the holder of the lease tells.
+// holderAnnouncement returns an announcement of the lease holder.
 func holderAnnouncement(current bool) peer.Packet {
 	return peer.Packet{From: "holder", Address: "10.0.0.1:1", Instances: 6, StoreCurrent: current}
 }
 
-// TestInstancesLookThemselvesUnlessTheHolderVouches goes through the ways in
-// which the holder's word ends: silence, a holder that the store does not answer,
-// and the lease coming here.
+// TestInstancesFollowTheStoreUnlessTheHolderAttests covers the ways in which attestations
+// cease: the holder is silent, the store does not answer it, or this instance becomes the
+// holder.
 func TestInstancesFollowTheStoreUnlessTheHolderAttests(t *testing.T) {
 	now := time.Now()
 	holds := false
 	m := &mesh{now: func() time.Time { return now }, isHolder: func() bool { return holds }}
-	require.False(t, m.holderAttests(), "nobody was heard")
+	require.False(t, m.holderAttests(), "no announcement was received")
 
 	m.totals.receive(now, holderAnnouncement(true))
 	require.True(t, m.holderAttests())
@@ -36,15 +36,14 @@
 		now = now.Add(minHolderTimeout / 2)
 		m.totals.receive(now, holderAnnouncement(false))
 	}
-	require.False(t, m.holderAttests(), "the holder speaks but has lost the store")
+	require.False(t, m.holderAttests(), "the holder announces but has lost the store")
 
 	m.totals.receive(now, holderAnnouncement(true))
 	holds = true
-	require.False(t, m.holderAttests(), "the holder itself must look")
+	require.False(t, m.holderAttests(), "the holder itself must follow the store")
 }
 
-// vouchingNode is a node of which only its link to the store and its word to the
-// others are there.
+// attestingNode returns a node with only its link to the store and its mesh.
 func attestingNode(now *time.Time) *Node {
 	n := &Node{now: func() time.Time { return *now }, ports: NodePorts{MembersKind: "members", SettingsKind: "settings"}}
 	n.cfg = DefaultNodeConfig()
@@ -59,16 +58,16 @@
 	n := attestingNode(&now)
 	require.False(t, n.mesh.storeCurrent())
 	n.link.confirmed(n.ports.MembersKind)
-	require.False(t, n.mesh.storeCurrent(), "no settings were heard yet")
+	require.False(t, n.mesh.storeCurrent(), "no settings were received yet")
 	n.link.confirmed(n.ports.SettingsKind)
 	require.True(t, n.mesh.storeCurrent())
 	now = now.Add(n.cfg.Fresh.maxAttestedAge())
 	require.False(t, n.mesh.storeCurrent())
 }
 
-// TestHolderVouchesForWhatIsInForce lets the store answer while what it has told waits behind
-// other events, as at a holder that thousands of endpoints keep busy: the others relied on its
-// word, and went on by older settings for as long.
+// TestHolderAttestsOnlyWhatIsInForce guards against attesting while the store answers but its
+// answers are queued behind other events, as at a holder that thousands of endpoints keep
+// busy: the other instances would rely on it, and use older settings for as long.
 func TestHolderAttestsOnlyWhatIsInForce(t *testing.T) {
 	now := time.Now()
 	n := attestingNode(&now)
@@ -81,33 +80,33 @@
 	answered()
 	require.True(t, n.mesh.storeCurrent())
 	added++
-	require.True(t, n.mesh.storeCurrent(), "it has just come")
+	require.True(t, n.mesh.storeCurrent(), "it has just arrived")
 	now = now.Add(n.cfg.Fresh.maxAttestedAge())
 	answered()
-	require.False(t, n.mesh.storeCurrent(), "the store answers, but what it told is not in force")
+	require.False(t, n.mesh.storeCurrent(), "the store answers, but its last change is not in force")
 	n.eventsApplied.finished(1)
 	require.True(t, n.mesh.storeCurrent())
 }
 
-// boundsForNews are times that there may be for news, in milliseconds.
+// changeBoundsMS are times within which changes must be in force, in milliseconds.
 var changeBoundsMS = []int{1700, 2000, 3000, 5000, 10_000}
 
-// TestNewsIsInTimeWhenTheHolderIsLost adds up what may pass until an instance
-// whose watch is behind looks closely, the holder being cut off right after it
-// has vouched: its calls are over, and its pauses look up, by then.
+// TestChangesAreInTimeWhenTheHolderIsLost adds up the longest time until an instance whose
+// watch is stale uses a fresh one, if the holder is cut off right after it has attested: by
+// then its calls have ended and its pauses have been checked again.
 func TestChangesAreInTimeWhenTheHolderIsLost(t *testing.T) {
 	for _, ms := range changeBoundsMS {
 		f := NodeFreshness{LeavingMS: ms, SettingsMS: 10_000, ContactMS: 4000}
 		for range 2 {
 			noticed := f.maxAttestedAge() + f.holderTimeout() + max(f.staleWatchHold(), wait.PollInterval)
-			require.LessOrEqual(t, noticed+newsReserve, milliseconds(ms), "%d ms", ms)
+			require.LessOrEqual(t, noticed+applyReserve, milliseconds(ms), "%d ms", ms)
 			f.LeavingMS, f.SettingsMS = f.SettingsMS, f.LeavingMS
 		}
 	}
 }
 
-// TestHungWatchIsReplacedInTime adds up what may pass until a close watch that nobody
-// answers is made again, and until a healthy holder's next answer.
+// TestHungWatchIsReplacedInTime adds up the longest time until a fresh watch that is never
+// answered is repeated, and until the next answer to a healthy holder.
 func TestHungWatchIsReplacedInTime(t *testing.T) {
 	for _, ms := range changeBoundsMS {
 		f := NodeFreshness{LeavingMS: ms, SettingsMS: ms, ContactMS: 4000}
@@ -123,15 +122,16 @@
 	}
 }
 
-// For 2.4 s the holder of the lease vouched for endpoints of which it had heard
-// nothing for 12 s, so that the others let their own watches be behind. Its lease
-// was renewed in time, on another connection, and that counted as proof:
+// TestHolderWhoseWatchHangsDoesNotAttest guards against a holder that attested for 2.4 s that
+// its endpoints were current although its watch on them had not been answered for 12 s, so that
+// the other instances accepted stale answers. Its lease was renewed in time, on another
+// connection, and that counted as proof:
 //
 //	35.1344 msg="lease acquired" epoch=3
-//	35.1931 msg="holder vouches" any=true                                  (the others)
+//	35.1931 msg="lease holder attestation" any=true                        (the others)
 //	37.5351 msg="watch ended" kind=servers confirmed_ms=12640 error="... context deadline exceeded"
 //
-// Only an answer to the watch itself proves that what came by it is current.
+// Only an answer to the watch itself proves that what it has delivered is current.
 func TestHolderWhoseWatchHangsDoesNotAttest(t *testing.T) {
 	now := time.Now()
 	n := attestingNode(&now)
@@ -158,12 +158,13 @@
 				}
 			}
 		}
-		require.False(t, m.storeCurrent(), "%s was not heard for 5 s", hung)
+		require.False(t, m.storeCurrent(), "the watch on %s was not answered for 5 s", hung)
 	}
 }
 
-// Behind an outage an instance keeps entries that may have lapsed or have left; until
-// that is settled it does not vouch, and its own watch of them is close.
+// TestNobodyAttestsOrIsStaleUntilEntriesAreSettled guards against relying on entries that have
+// lapsed or left during an outage: after one, an instance keeps such entries for a while, and
+// until they are settled it does not attest, and its own watch of them is fresh.
 func TestNobodyAttestsOrIsStaleUntilEntriesAreSettled(t *testing.T) {
 	now := time.Now()
 	n := attestingNode(&now)
@@ -178,8 +179,8 @@
 	}
 	answer()
 	for since := time.Duration(0); since < settleTime; since += leaseRenewal {
-		require.False(t, n.mesh.storeCurrent(), "%s behind the outage", since)
-		require.False(t, n.entriesMayBeBehind(), "%s behind the outage", since)
+		require.False(t, n.mesh.storeCurrent(), "%s after the outage", since)
+		require.False(t, n.entriesMayBeBehind(), "%s after the outage", since)
 		now = now.Add(leaseRenewal)
 		answer()
 	}
--- a/daemon/entries.go
+++ b/daemon/entries.go
@@ -15,64 +15,64 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// entriesDuty follows the entries of members in the store.
+// entriesDuty follows the entries of members, through a relay or in the store.
 type entriesDuty struct {
 	client store.Client
 	kind   store.Kind
 	decode func(store.Object) (membership.Member, error)
-	// mu guards entries, which run alone changes.
+	// mu guards entries, which only run modifies.
 	mu      sync.Mutex
 	entries *membership.Entries
-	// listed is the version of the store as of which entries are known, heard the newest one
-	// that was heard of; mu guards both.
+	// entriesVersion is the version of the store as of which entries are known, newestVersion
+	// the newest version that was reported; mu guards both.
 	entriesVersion, newestVersion evacuation.Version
-	// parse reads a version of the store; nil where versions are not compared.
+	// parseVersion parses a version of the store; nil if versions are not compared.
 	parseVersion func(resourceVersion string) (evacuation.Version, error)
-	// relays asks another instance for the list; nil where none tells it.
+	// relays lets this instance follow a relay; nil if there are none.
 	relays *relays
 	inputs *ring.Ring[membership.EntryEvent]
 	events *ring.Ring[event]
 	link   *storeLink
 	log    logr.Logger
 	now    func() time.Time
-	// applied is told of inputs that have been passed on; nil tells nobody.
+	// applied counts the inputs that have been passed on; may be nil.
 	applied *applied
-	// behind tells whether another instance tells in time which endpoints leave.
+	// allowStale reports whether another instance announces leaving endpoints in time, so that
+	// stale answers of the store suffice here.
 	allowStale func() bool
-	// same tells whether this instance lists the same endpoints as the one that tells;
-	// nil means that nobody knows.
+	// matchesHolder reports whether this instance lists the same endpoints as the lease
+	// holder; nil means that this is not known.
 	matchesHolder func() bool
-	// closeWait is how long the store may hold a close watch.
+	// freshWatchHold is how long the store may hold a fresh watch.
 	freshWatchHold time.Duration
-	// storeThere is since when the store has been there by another instance's word;
-	// zero if none tells.
+	// holderStoreBackSince returns since when the store has answered the lease holder without
+	// a break; zero if it does not attest that.
 	holderStoreBackSince func() time.Time
-	// refused holds why each entry was refused that cannot be used; the watch alone
-	// uses it. entriesRefused counts how often that was.
+	// refused holds the reason why each invalid entry was refused; only the watch uses it.
+	// entriesRefused counts the refusals.
 	refused        map[string]string
 	entriesRefused expvar.Int
 }
 
-// maxRefusedEntries bounds the refused entries that are known, so as to log each once.
+// maxRefusedEntries bounds the refused entries that are remembered so as to log each once.
 const maxRefusedEntries = 1024
 
 const (
-	// entryInputs bounds the changes that wait for the duty.
+	// entryInputCapacity bounds the queued inputs of the duty.
 	entryInputCapacity = 256
-	// entriesGather is how long changes of endpoints gather, behindGather that where
-	// another instance tells of those that matter.
+	// entriesBatchDelay is how long changes of endpoints are batched, staleBatchDelay the same
+	// while another instance announces the urgent ones.
 	entriesBatchDelay = 500 * time.Millisecond
 	staleBatchDelay   = time.Second
-	// entriesTick is the time between two looks at entries that are missing.
+	// entriesTick is the time between two checks for entries that are missing.
 	entriesTick = 250 * time.Millisecond
 )
 
-// untilTold is for how long a watch that may be behind rests, at most, while nothing is
-// new by another instance's word: the platform's store keeps changes for 20 s.
+// maxStalePause is the longest pause of a stale watch while another instance announces that
+// nothing has changed: the platform's store keeps changes for 20 s.
 const maxStalePause = 15 * time.Second
 
-// watch follows the entries: by the word of another instance that tells them, or else by the
-// store.
+// watch follows the entries: through a relay, or else in the store.
 func (d *entriesDuty) watch(ctx context.Context) {
 	var watch *store.Reflector
 	var watchedAt time.Time
@@ -92,19 +92,20 @@
 	}
 }
 
-// cancelWhenTold calls cancel when another instance is to be asked, or ctx has ended.
+// cancelWhenCanFollow calls cancel when a relay is to be followed, or ctx has ended.
 func (d *entriesDuty) cancelWhenCanFollow(ctx context.Context, cancel context.CancelFunc) {
 	d.relays.awaitCanFollow(ctx)
 	cancel()
 }
 
-// entriesAt is an event behind which entries are known as of a version of the store.
+// versionedEvent is an event with the version of the store as of which entries are known after
+// it.
 type versionedEvent struct {
 	membership.EntryEvent
 	version evacuation.Version
 }
 
-// put passes on an event, and notes of which version of the store it tells.
+// put queues an event, and records the version of the store that it carries.
 func (d *entriesDuty) put(ctx context.Context, e membership.EntryEvent) {
 	if at, ok := e.(versionedEvent); ok {
 		d.mu.Lock()
@@ -114,14 +115,14 @@
 	_ = d.inputs.Put(ctx, e)
 }
 
-// at adds the version of the store to an event that an answer of the store has brought.
+// withVersion adds the version of the store to an event from an answer of the store.
 func (d *entriesDuty) withVersion(resourceVersion string, e membership.EntryEvent) membership.EntryEvent {
 	if d.parseVersion == nil {
 		return e
 	}
 	version, err := d.parseVersion(resourceVersion)
 	if err != nil {
-		d.log.Error(err, "version of the store unreadable", "version", resourceVersion)
+		d.log.Error(err, "invalid version of the store", "version", resourceVersion)
 		return e
 	}
 	return versionedEvent{EntryEvent: e, version: version}
@@ -134,8 +135,8 @@
 	return a
 }
 
-// listedAt is the version of the store as of which the members are known here, heardAt the
-// newest one that was heard of.
+// storeVersion returns the version of the store as of which the members are known here,
+// newestStoreVersion the newest version that was reported.
 func (d *entriesDuty) storeVersion() evacuation.Version {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -148,8 +149,8 @@
 	return d.newestVersion
 }
 
-// storeWatch returns what follows the entries in the store, and pauses for as long as the
-// context lasts in which it does.
+// newStoreWatch returns a watch on the entries in the store. Its pauses end with the context
+// that following returns.
 func (d *entriesDuty) newStoreWatch(ctx context.Context, following func() context.Context) *store.Reflector {
 	put := func(e membership.EntryEvent) { d.put(ctx, e) }
 	var changes batch
@@ -167,9 +168,9 @@
 				d.link.heard()
 				put(membership.StoreAnswered{Since: d.storeBackSince()})
 				put(d.withVersion(e.Object.Metadata.ResourceVersion, membership.EntriesChanged{Changes: d.changes(changes.take())}))
-				// Endpoints change many times a second as units come and go, and
-				// each answer of the store costs a call: changes gather meanwhile.
-				d.batchDelay(following(), e.Stale)
+				// Endpoints change many times a second as they load and unload units, and each
+				// answer of the store costs a call: changes are batched meanwhile.
+				d.pauseForBatch(following(), e.Stale)
 			default:
 				changes.add(e)
 			}
@@ -182,9 +183,9 @@
 		})
 }
 
-// returned is since when the store is back: by its answers to this instance, or by the
-// word of another, if that is earlier, as this one may have been cut off alone. Entries
-// lapse only while members cannot reach the store.
+// storeBackSince returns since when the store is reachable again: by its answers to this
+// instance, or by the lease holder's attestations if that is earlier, as this instance alone
+// may have been cut off. Entries lapse only while their members cannot reach the store.
 func (d *entriesDuty) storeBackSince() time.Time {
 	own, holder := d.link.returned(), d.holderStoreBackSince()
 	if !holder.IsZero() && holder.Before(own) {
@@ -193,10 +194,10 @@
 	return own
 }
 
-// gather lets changes gather before they are asked for: each answer of the store
-// costs a call, and wakes the instance. Behind an answer that may be old it goes on
-// only for as long as another instance tells what matters.
-func (d *entriesDuty) batchDelay(ctx context.Context, stale bool) {
+// pauseForBatch pauses before the next call, so that changes are batched: each answer of the
+// store costs a call and wakes the instance. After a stale answer the pause lasts only as long
+// as another instance announces the urgent changes.
+func (d *entriesDuty) pauseForBatch(ctx context.Context, stale bool) {
 	if stale {
 		wait.While(ctx, staleBatchDelay, d.allowStale)
 		if d.matchesHolder != nil {
@@ -215,14 +216,14 @@
 	return d.entries.Listing()
 }
 
-// version grows with each change of the members; 0 means that nothing is known.
+// listingVersion grows with each change of the members; 0 means that none are known.
 func (d *entriesDuty) listingVersion() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.entries.Version()
 }
 
-// step passes an event on to the entries.
+// step applies an event to the entries.
 func (d *entriesDuty) step(e membership.EntryEvent) (membership.Listing, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -233,7 +234,7 @@
 	return d.entries.Step(d.now(), e)
 }
 
-// changes decodes what an answer of the store brings.
+// changes decodes the events of an answer of the store.
 func (d *entriesDuty) changes(events []store.Event) []membership.EntryChange {
 	var changes []membership.EntryChange
 	for _, e := range events {
@@ -242,7 +243,7 @@
 			continue
 		}
 		change := membership.EntryChange{Name: e.Object.Metadata.Name}
-		// An entry that another writer has spoilt names no member any more.
+		// An entry overwritten by another writer with an invalid one no longer names a member.
 		if m, ok := d.member(e.Object); ok {
 			change.Member = &m
 		}
@@ -261,7 +262,7 @@
 	return members
 }
 
-// member decodes an entry. One that is refused is counted, and logged when it is new.
+// member decodes an entry. An invalid one is counted, and logged if its error is new.
 func (d *entriesDuty) member(o store.Object) (membership.Member, bool) {
 	m, err := d.decode(o)
 	if err == nil {
--- a/daemon/entries_test.go
+++ b/daemon/entries_test.go
@@ -13,14 +13,14 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// An entry that another writer has spoilt names no member to use, by a list or by a
-// change, until its member writes it again; it is logged once.
+// TestInvalidEntryNamesNoMember checks that an entry overwritten with an invalid one names no
+// member, in a list or in a change, until its member writes it again; it is logged once.
 func TestInvalidEntryNamesNoMember(t *testing.T) {
 	logged := 0
 	log := logr.New(countingSink{&logged})
 	d := &entriesDuty{log: log, decode: func(o store.Object) (membership.Member, error) {
 		if len(o.Spec) == 0 {
-			return membership.Member{}, errors.New("no entry of a worker")
+			return membership.Member{}, errors.New("not an entry of a worker")
 		}
 		return liveMember(o)
 	}}
@@ -43,15 +43,15 @@
 		return membership.EntriesChanged{Changes: d.changes([]store.Event{{Type: store.EventModified, Object: o}})}
 	}
 	require.ElementsMatch(t, []string{"e1", "e3"}, names(change(valid("e3"))))
-	require.Equal(t, []string{"e3"}, names(change(memberObject("e1"))), "it is spoilt")
+	require.Equal(t, []string{"e3"}, names(change(memberObject("e1"))), "its entry is invalid")
 	require.Equal(t, 2, logged)
 	names(change(memberObject("e1")))
-	require.Equal(t, 2, logged, "nothing new")
+	require.Equal(t, 2, logged, "the same error is not logged again")
 	require.ElementsMatch(t, []string{"e1", "e3"}, names(change(valid("e1"))), "its member has written it again")
 	require.EqualValues(t, 3, d.entriesRefused.Value())
 }
 
-// countingSink counts what is logged.
+// countingSink counts log messages.
 type countingSink struct{ n *int }
 
 func (countingSink) Init(logr.RuntimeInfo)            {}
--- a/daemon/eras.go
+++ b/daemon/eras.go
@@ -8,13 +8,13 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// eraSettle is for how long behind the beginning of an era the store may lack settings that
+// eraSettleTime is for how long after the beginning of an era the store may lack settings that
 // it had acknowledged: their operator writes them again.
 const eraSettleTime = 3 * time.Second
 
-// eraBegan is told that the store has come back from a copy some seconds old. Watches begin
-// anew by themselves, as do leases; what else rests on what the store has acknowledged is
-// seen to here.
+// onEraBegin is called when the store has been restored from a copy some seconds old. Watches
+// and leases recover by themselves; whatever else depends on what the store has acknowledged
+// is handled here.
 func (n *Node) onEraBegin(era int64) {
 	n.vars.Add("store_eras", 1)
 	n.log.Info("store came back from a copy", "era", era)
@@ -27,7 +27,7 @@
 	n.mesh.sendSoon()
 }
 
-// renew writes again, in each new era, what this node keeps in the store.
+// rewriteOnEra writes again, in each new era, what this node keeps in the store.
 func (n *Node) rewriteOnEra(ctx context.Context, entries *entriesDuty) {
 	for {
 		select {
@@ -36,7 +36,7 @@
 		case <-n.eraBegun:
 		}
 		_ = entries.inputs.Put(ctx, membership.StoreRestored{})
-		// All nodes do so at once.
+		// All nodes write at the same time, so each waits for a random delay.
 		wait.For(ctx, jitter(presenceRetryDelay))
 		n.presence.run(ctx)
 		for _, w := range n.quarantine.HeldReports() {
--- a/daemon/followsettings.go
+++ b/daemon/followsettings.go
@@ -13,39 +13,40 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// configDuty follows the one object that holds the settings, where an operator
-// writes it whole.
+// settingsWatch follows the one object that holds the settings, which an operator writes as a
+// whole.
 type settingsWatch struct {
 	client store.Client
 	kind   store.Kind
 	name   string
 	decode func(store.Object) (*revision.Accepted, error)
-	// newer is told when another instance has newer settings in force.
+	// newer is signalled when another instance has newer settings in force.
 	newer <-chan struct{}
-	// behind tells whether another instance tells of newer settings in time, so
-	// that this one need not look so closely.
+	// allowStale reports whether another instance announces newer settings in time, so that
+	// stale answers of the store suffice here.
 	allowStale func() bool
-	// inForce tells whether no instance is known to have newer settings; nil means that
-	// nobody knows.
+	// hasNewest reports whether no instance is known to have newer settings; nil means that
+	// this is not known.
 	hasNewest func() bool
-	// confirmed is told that a call to the store, made at a moment, has shown a revision to
-	// be the newest; nil tells nobody. now stamps the calls.
-	onConfirmed func(asked time.Time, revision int64)
+	// onConfirmed is called when a call to the store that was made at the given time has shown
+	// a revision to be the newest; may be nil. now returns the time of calls.
+	onConfirmed func(askedAt time.Time, revision int64)
 	now         func() time.Time
-	// wait is how long the store may hold a close call; nil leaves it to the client.
+	// watchHold returns how long the store may hold a fresh call; nil leaves it to the client.
 	watchHold func() time.Duration
 	events    *ring.Ring[event]
 	link      *storeLink
 	log       logr.Logger
 
-	// version is where the watch stands in the store, and newest the newest revision that
-	// was found; refused is set while what was found last cannot be used.
+	// version is the watch's position in the store, and newestRevision the newest revision
+	// that was read; rejected is set while the settings read last cannot be used.
 	version        atomic.Pointer[string]
 	newestRevision atomic.Int64
 	rejected       atomic.Bool
 }
 
-// shown tells that all that the store had acknowledged when a call was made has been found.
+// confirmShown reports that everything that the store had acknowledged when a call was made
+// has been read.
 func (d *settingsWatch) confirmShown(askedAt time.Time) {
 	if d.onConfirmed == nil || askedAt.IsZero() || d.rejected.Load() {
 		return
@@ -53,7 +54,8 @@
 	d.onConfirmed(askedAt, d.newestRevision.Load())
 }
 
-// askStore asks the store whether there are newer settings, by the smallest call.
+// checkStore asks the store whether there are newer settings, by the smallest call that shows
+// it.
 func (d *settingsWatch) checkStore(ctx context.Context) {
 	version := d.version.Load()
 	if version == nil {
@@ -78,11 +80,11 @@
 		err = d.readWhole(ctx)
 	}
 	if err != nil && ctx.Err() == nil {
-		d.log.V(1).Info("settings not confirmed", "error", err.Error())
+		d.log.V(1).Info("settings not checked with the store", "error", err.Error())
 	}
 }
 
-// askWhole reads the settings, where the store no longer knows what has changed.
+// readWhole reads the settings if the store no longer knows what has changed.
 func (d *settingsWatch) readWhole(ctx context.Context) error {
 	askedAt := d.now()
 	o, err := d.client.Get(ctx, d.kind, d.name)
@@ -94,11 +96,11 @@
 	return nil
 }
 
-// askStoreTime bounds a call of askStore: a slow store needs up to 0.4 s.
+// checkStoreTimeout bounds the call of checkStore: a slow store needs up to 0.4 s.
 const checkStoreTimeout = 700 * time.Millisecond
 
-// confirm reads the settings when another instance is known to have newer ones:
-// a watch may have broken unnoticed.
+// readNewer reads the settings when another instance is known to have newer ones: a watch may
+// have broken unnoticed.
 func (d *settingsWatch) readNewer(ctx context.Context) {
 	for {
 		select {
@@ -107,7 +109,7 @@
 		case <-d.newer:
 		}
 		if d.hasNewest != nil && wait.For(ctx, watchGrace) && d.hasNewest() {
-			// The watch has brought them.
+			// The watch has delivered them.
 			continue
 		}
 		o, err := d.client.Get(ctx, d.kind, d.name)
@@ -117,7 +119,7 @@
 			continue
 		}
 		d.accept(ctx, o, byRequest)
-		// Until they are in force, every packet says again that they are newer.
+		// Until they are in force, every packet signals again that they are newer.
 		wait.For(ctx, settingsApplyDelay)
 		select {
 		case <-d.newer:
@@ -126,20 +128,20 @@
 	}
 }
 
-// watchedGrace is how long the watch may take to bring newer settings, by an answer that
-// may be behind and costs a tenth, before they are read.
+// watchGrace is how long the watch may take to deliver newer settings, by an answer that may
+// be stale and costs a tenth of a read, before they are read.
 const watchGrace = 250 * time.Millisecond
 
-// confirmSettle is how long settings that were read may take to be in force.
+// settingsApplyDelay is how long settings that were read may take to be in force.
 const settingsApplyDelay = 100 * time.Millisecond
 
-// confirmPause is the pause after a read of newer settings has failed.
+// settingsRetryDelay is the pause after a read of newer settings has failed.
 const settingsRetryDelay = 300 * time.Millisecond
 
 func (d *settingsWatch) run(ctx context.Context) {
 	var listed atomic.Bool
-	// Settings that a new process begins with are never old ones: all instances may have
-	// ended right after newer ones were acknowledged.
+	// A new process must not begin with stale settings: all instances may have ended right
+	// after newer ones were acknowledged.
 	allowStale := func() bool { return listed.Load() && d.allowStale() }
 	options := store.WatchOptions{AllowStale: allowStale, OnFresh: func() { d.link.confirmed(d.kind) }, Now: d.now, WaitNow: d.watchHold}
 	var changes batch
@@ -164,11 +166,11 @@
 				}
 				d.confirmShown(e.FreshAsOf)
 				if e.Stale && d.hasNewest != nil {
-					// There is nothing to ask for until another instance has newer ones.
+					// There is nothing to ask for until another instance has newer settings.
 					wait.While(ctx, maxStalePause, func() bool { return d.allowStale() && d.hasNewest() })
 				}
 			case store.EventDeleted:
-				// Settings that were removed stay in force.
+				// Settings stay in force when their object is removed.
 			default:
 				changes.add(e)
 			}
@@ -177,7 +179,7 @@
 	r.Run(ctx)
 }
 
-// stamp is the time, zero where nobody notes it.
+// timestamp returns the current time; zero if there is no clock.
 func (d *settingsWatch) timestamp() time.Time {
 	if d.now == nil {
 		return time.Time{}
--- a/daemon/followsettings_test.go
+++ b/daemon/followsettings_test.go
@@ -26,8 +26,8 @@
 	return store.Object{Metadata: store.Metadata{Name: "main"}}, nil
 }
 
-// TestNewerSettingsAreReadOnce hears of newer settings in every packet until they
-// are in force, a little after they were read.
+// TestNewerSettingsAreReadOnce signals newer settings with every packet until they are in
+// force, which is a little after they were read.
 func TestNewerSettingsAreReadOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -52,6 +52,6 @@
 		require.EqualValues(t, 1, client.reads.Load())
 		hint()
 		time.Sleep(time.Second)
-		require.EqualValues(t, 2, client.reads.Load(), "settings newer still")
+		require.EqualValues(t, 2, client.reads.Load(), "even newer settings")
 	})
 }
--- a/daemon/freshbounds.go
+++ b/daemon/freshbounds.go
@@ -6,52 +6,53 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// NodeFresh says how old what a node knows may be, in milliseconds.
+// NodeFreshness bounds how old the knowledge of a node may be, in milliseconds.
 type NodeFreshness struct {
-	// LeavingMS is how soon a leaving endpoint must get no more requests.
+	// LeavingMS is the time within which a leaving endpoint must receive no more requests.
 	LeavingMS int `json:"leavingMS"`
-	// SettingsMS is how soon accepted settings must be in force.
+	// SettingsMS is the time within which accepted settings must be in force.
 	SettingsMS int `json:"settingsMS"`
-	// EvacuateMS is how soon the endpoints of an evacuated failure domain must get no more
-	// requests; 0 means that the platform evacuates none.
+	// EvacuateMS is the time within which the endpoints of an evacuated failure domain must
+	// receive no more requests; 0 means that the platform evacuates none.
 	EvacuateMS int `json:"evacuateMS"`
-	// ContactMS is how long a node may take to find back to a store that was away.
+	// ContactMS is how long a node may take to regain contact with a store that was
+	// unreachable.
 	ContactMS int `json:"contactMS"`
-	// RevokedMS is how soon an account's key that is taken away must be refused, also by a
-	// node that hears nothing of it; 0 means as soon as accepted settings are in force.
+	// RevokedMS is the time within which a revoked key of an account must be refused, also by
+	// a node that receives no update; 0 means as soon as accepted settings are in force.
 	RevokedMS int `json:"revokedMS"`
 }
 
-// keysAge is the age up to which a node may go by the keys in its settings. The rest is
-// for clocks that go at different speeds.
+// maxKeysAge returns the age up to which a node may accept the keys in its settings. The rest
+// of RevokedMS is a margin for clocks that run at different rates.
 func (f NodeFreshness) maxKeysAge() time.Duration {
 	const used = 0.9
 	return time.Duration(used * float64(milliseconds(f.RevokedMS)))
 }
 
-// What passes until news is in force at an instance whose watches are behind, the
-// holder of the lease being lost right after it has vouched, is in this order:
+// The time until a change is in force at an instance whose watches are stale, if the lease
+// holder is lost right after it has attested, consists in this order of:
 //
-//	vouchAge      since the holder's last answer, which it vouches for
-//	holderLost    until the others notice its silence
-//	behindWait    until a call that is behind is over, or a pause looks up
-//	newsReserve   for the store's answer to the close call, and for routing
+//	maxAttestedAge   since the last answer to the holder, for which it attests
+//	holderTimeout    until the other instances notice the missing attestations
+//	staleWatchHold   until a stale call ends, or a pause is checked again
+//	applyReserve     for the store's answer to the fresh call, and for routing
 //
-// All of them fit into the time that there is for news.
+// The sum must fit into changeBound.
 const (
-	// answerTime is how long the store's answer may take; it comes within some
+	// storeAnswerTime bounds how long the store's answer may take; it arrives within some
 	// milliseconds.
 	storeAnswerTime = 100 * time.Millisecond
-	// newsReserve also covers a request that was routed just before.
-	newsReserve = 150 * time.Millisecond
-	// leastWait and mostWait bound how long the store may hold a watch. A call that
-	// nobody answers is noticed only behind that.
+	// applyReserve also covers a request that was routed just before.
+	applyReserve = 150 * time.Millisecond
+	// minWatchHold and maxWatchHold bound how long the store may hold a watch. A call that is
+	// never answered is noticed only after that time.
 	minWatchHold = 150 * time.Millisecond
 	maxWatchHold = time.Second
 )
 
-// forNews is how soon news must be in force.
-func (f NodeFreshness) newsBound() time.Duration {
+// changeBound returns the time within which changes must be in force.
+func (f NodeFreshness) changeBound() time.Duration {
 	ms := min(f.LeavingMS, f.SettingsMS)
 	if f.EvacuateMS > 0 {
 		ms = min(ms, f.EvacuateMS)
@@ -59,55 +60,55 @@
 	return milliseconds(ms)
 }
 
-// wait is how long the store may hold a watch on endpoints, close or behind: half
-// of what the other parts leave. A call that began while the store was away, and that
-// nobody answers, is also over and made again before the node counts as in contact.
+// watchHold returns how long the store may hold a watch on endpoints, fresh or stale: half of
+// what the other parts leave. A call that began while the store was unreachable and is never
+// answered has also ended and been repeated before the node counts as in contact.
 func (f NodeFreshness) watchHold() time.Duration {
-	left := f.newsBound() - newsReserve - f.holderTimeout() - entriesBatchDelay - storeAnswerTime
+	left := f.changeBound() - applyReserve - f.holderTimeout() - entriesBatchDelay - storeAnswerTime
 	inContact := milliseconds(f.ContactMS) - entriesBatchDelay - store.WatchSlack - store.MaxRetryDelay - storeAnswerTime
 	return min(max(min(left/2, inContact), minWatchHold), maxWatchHold)
 }
 
-// holderLost is for how long the holder of the lease may fail to vouch before the
-// others look closely themselves: longer where there is more time for news, as the
-// words of a hub with many instances and a narrow link come hubSlow apart, and one of
-// them may be lost.
+// holderTimeout returns for how long attestations of the lease holder may be missing before
+// the other instances use fresh watches themselves: longer if there is more time for changes,
+// as the announcements of a coordinator with many instances and a narrow link come
+// maxAnnounceInterval apart, and one of them may be lost.
 func (f NodeFreshness) holderTimeout() time.Duration {
 	const share, beyond = 0.4, 2 * time.Second
-	spare := max(f.newsBound()-beyond, 0)
+	spare := max(f.changeBound()-beyond, 0)
 	return minHolderTimeout + time.Duration(share*float64(spare))
 }
 
-// What an instance hears through one that tells the members, which may rest on the word of the
-// holder of the lease, passes two instances: each word counts for half as long then.
+// What an instance receives through a relay may rest on the attestation of the lease holder
+// and so passes two instances: each attestation counts for half as long then.
 
-// relayLost is for how long the word of an instance that tells the members counts, and how old
-// the holder's may be on which that rests.
+// relayAttestationLifetime returns for how long the attestation of a relay counts, and how old
+// the lease holder's attestation behind it may be.
 func (f NodeFreshness) relayAttestationLifetime() time.Duration {
 	return max(f.holderTimeout()/2, minRelayAttestationLifetime)
 }
 
-// leastRelayLost is several times what an answer takes between weak instances.
+// minRelayAttestationLifetime is several times what an answer takes between weak instances.
 const minRelayAttestationLifetime = 450 * time.Millisecond
 
-// relayHold is how long an instance that tells others the members may hold a question: several
-// answers fit into the time for which its word counts.
+// relayHold returns how long a relay may hold a request: several answers fit into the time for
+// which its attestation counts.
 func (f NodeFreshness) relayHold() time.Duration { return f.relayAttestationLifetime() / 3 }
 
-// entriesWait is how long the store may hold a close watch on endpoints.
+// entriesWatchHold returns how long the store may hold a fresh watch on endpoints.
 func (f NodeFreshness) entriesWatchHold() time.Duration { return f.watchHold() }
 
-// behindWait is how long the store may hold a watch that may be behind.
+// staleWatchHold returns how long the store may hold a stale watch.
 func (f NodeFreshness) staleWatchHold() time.Duration { return f.watchHold() }
 
-// settingsWait is the same for a close watch on settings. They change seldom, so
-// nothing gathers between two calls.
+// settingsWatchHold returns how long the store may hold a fresh watch on settings. They change
+// seldom, so that there is no batching between two calls.
 func (f NodeFreshness) settingsWatchHold() time.Duration { return f.watchHold() + entriesBatchDelay }
 
-// keysWait is the same where this instance tells others whether they may go by the keys of
-// accounts. Their right runs from before the call that shows that none was taken away, so
-// that it is held for a small part of the right only: with 1.15 s of 4.5 s, instances had
-// lost half of the right before an outage began.
+// keysWatchHold is the settingsWatchHold of an instance that replies to confirmation requests
+// for the keys of accounts. The authority to accept keys counts from before the call that
+// shows that none was revoked, so the call is held for only a small part of that time: with
+// 1.15 s of 4.5 s, instances had used up half of it before an outage began.
 func (f NodeFreshness) keysWatchHold() time.Duration {
 	const part = 15
 	if f.RevokedMS == 0 {
@@ -116,8 +117,8 @@
 	return min(f.settingsWatchHold(), f.maxKeysAge()/part)
 }
 
-// vouchAge is the age up to which an answer to a watch shows that what it brought
-// is current: the next one has come by then, if the store answers.
+// maxAttestedAge returns the age up to which an answer to a watch proves that what it brought
+// is current: the next answer arrives by then if the store answers.
 func (f NodeFreshness) maxAttestedAge() time.Duration {
 	return entriesBatchDelay + f.watchHold() + storeAnswerTime
 }
--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -21,8 +21,7 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// mesh tells the other instances what this one has under way and is asked for,
-// and takes what they tell.
+// mesh exchanges load, demand and notices with the other instances, as datagrams.
 type mesh struct {
 	instance, process, address string
 	// self is this instance's own entry.
@@ -31,105 +30,115 @@
 	gates    *pipeline.Gates
 	demand   *pipeline.Demand
 	refusals *pipeline.Refusals
-	// quarantine is told what the others say of requests that end endpoints.
+	// quarantine receives the reports of other instances on requests that end endpoints.
 	quarantine *quarantine.Manager
-	// rights is asked by others whether they may go by their settings' keys, and answered.
+	// rights replies to confirmation requests of other instances for the keys in their
+	// settings, and receives the replies to its own.
 	rights *keyRights
-	// eras follows the store's eras, of which others may hear first; nil where none tells.
+	// eras follows the store's eras, which another instance may have observed first; nil if no
+	// era is reported.
 	eras *store.Eras
-	// allowances is told what accounts have asked of the others.
+	// allowances receives the usage by accounts that other instances report.
 	allowances *allowances
-	// evacuations is told which failure domains are evacuated; nil where none can be.
+	// evacuations receives the set of evacuated failure domains; nil if the platform evacuates
+	// none.
 	evacuations *evacuations
-	// permits is asked by others for permits, and told what endpoints have said.
+	// permits receives permit requests of other instances, and the limits that endpoints have
+	// reported.
 	permits *permits
 	log     logr.Logger
 	now     func() time.Time
 
-	// What others of this instance know: whether it makes a planned stop, the
-	// revision of the settings in force, and whether it places units, and so is
-	// the hub.
+	// These functions return state of this instance: whether it is making a planned stop, the
+	// revision of the settings in force, and whether it holds the lease. The lease holder
+	// places units and is the coordinator, which aggregates load and announces totals.
 	leaving  func() bool
 	revision func() int64
 	isHolder func() bool
-	// current tells whether the store has answered this instance lately.
+	// storeCurrent reports whether the store has answered this instance recently enough to
+	// attest that what it knows is current.
 	storeCurrent func() bool
 
-	// placed gets the word of the instance that places units.
+	// onPlacements receives the placements of the instance that places units.
 	onPlacements func([]peer.Placement)
-	// demanded gets the demand of all instances together.
+	// onDemand receives the demand of all instances together.
 	onDemand func(map[string]peer.Demand)
-	// suspected gets endpoints at which requests of some instance have failed.
+	// onSuspects receives endpoints at which requests of some instance have failed.
 	onSuspects func(endpoints []string)
-	// gone gets endpoints at whose addresses other incarnations have answered.
+	// onReplaced receives endpoints at whose addresses other incarnations have answered.
 	onReplaced func(endpoints []endpointStart)
-	// alone is told whether this instance hears none of the others any more.
+	// onPartition is called with whether this instance has lost contact with all others.
 	onPartition func(alone bool)
-	// endpointsLeave gets endpoints that another instance says take no more work.
+	// onEndpointsLeaving receives endpoints that another instance reports as accepting no more
+	// work.
 	onEndpointsLeaving func(endpoints []endpointStart)
-	// linkBytes is what the instance's link carries, in bytes a second.
+	// linkBytesPerSecond is the bandwidth of the instance's link.
 	linkBytesPerSecond float64
-	// counted gets the number of instances that are listed.
+	// onInstanceCount receives the number of listed instances.
 	onInstanceCount func(n int)
-	// newer is told when another instance has newer settings in force.
+	// newerSettings is signalled when another instance has newer settings in force.
 	newerSettings chan struct{}
 
-	// endpoints is the digest of the endpoints that this instance lists, newest the
-	// newest revision of the settings that any instance was heard to have.
+	// endpointsDigest is the digest of the endpoints that this instance lists, newestRevision
+	// the newest revision of the settings that any instance has reported.
 	endpointsDigest atomic.Uint64
 	newestRevision  atomic.Int64
-	// newestAt is when newest was first heard of; nil for never.
+	// newestRevisionAt is when newestRevision was first reported; nil if never.
 	newestRevisionAt atomic.Pointer[time.Time]
 
 	inputs *ring.Ring[peer.Packet]
-	// urgent holds at most one wish to tell at once.
+	// urgent holds at most one request to send without waiting for the next tick.
 	urgent chan struct{}
 	totals totals
-	// board, othersAt, demandedAt and sharedAt belong to the goroutine of run.
+	// fleetView, lastContactAt, demandReportedAt and routingUpdatedAt belong to the goroutine
+	// of run.
 	fleetView *peer.FleetView
-	// hubSums and hubAt belong to the goroutine of tick.
+	// outgoingTotals and lastAnnouncementAt belong to the goroutine of tick.
 	outgoingTotals broadcast.Totals
-	// toldLast is the summary that was sent last, at toldLastAt to toldLastTo; they belong to
+	// lastSummary is the summary sent last, at lastSummaryAt to lastSummaryTo; they belong to
 	// tick too.
 	lastSummary   peer.Packet
 	lastSummaryAt time.Time
 	lastSummaryTo []string
-	// othersAt is when another instance was last heard.
+	// lastContactAt is when a packet of another instance was last received.
 	lastContactAt time.Time
-	// heardOthers is the same for other goroutines; nil for never.
+	// lastContact is lastContactAt for other goroutines; nil if never.
 	lastContact        atomic.Pointer[time.Time]
 	lastAnnouncementAt time.Time
 	demandReportedAt   time.Time
 	routingUpdatedAt   time.Time
-	// vouchedLast is whether the holder of the lease vouched at the last look.
+	// wasAttested is whether an attestation of the lease holder was valid at the last check.
 	wasAttested bool
 
-	// mu guards the rest.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// key, sealer and datagrams are nil until the key is known; opener is sealer for those
-	// that receive.
+	// key, sealer and datagrams are nil until the key is known; opener is sealer for the
+	// receiving event loop.
 	key       []byte
 	sealer    *peer.Sealer
 	opener    atomic.Pointer[peer.Sealer]
 	datagrams peer.Datagrams
-	// listed holds the entries of instances in the store, told where each that
-	// was heard lately says that it receives packets.
+	// listed holds the entries of instances in the store, reportedAddresses where each
+	// instance that was recently in contact says that it receives packets.
 	listed            map[string]presence
 	reportedAddresses map[string]string
 	// listedVersion grows with each change of listed.
 	listedVersion int64
-	// joinedAt is when an instance was last listed that was not before.
+	// joinedAt is when an instance was last added to listed.
 	joinedAt time.Time
-	// heard is how many instances were heard lately, sum what they have under way.
+	// liveInstances is the number of instances recently in contact, fleetTotals their total
+	// load by endpoint.
 	liveInstances int
 	fleetTotals   []peer.EndpointLoad
-	// unsent holds the placements that wait for room on the link; changes and repeats bound
-	// what is sent of them.
+	// unsentPlacements holds the placements that wait for bandwidth; changeBudget and
+	// repeatBudget limit what is sent of them.
 	unsentPlacements           broadcast.Residency
 	changeBudget, repeatBudget broadcast.Budget
-	// recipients is where the other instances receive packets; nil until it is asked for.
+	// recipients caches where the other instances receive packets; nil if it is to be
+	// computed.
 	recipients []string
-	// passed are refusals of others for the hub's next word.
+	// refusalsToForward holds refusals of other instances for the coordinator's next
+	// announcement.
 	refusalsToForward []uint32
 	// withdrawn holds when endpoints began to leave, by this instance's list.
 	withdrawn map[string]withdrawal
@@ -137,59 +146,61 @@
 }
 
 const (
-	// meshInputs bounds the packets that wait; newer ones say more.
+	// meshInputCapacity bounds the queued packets; the oldest are dropped, as newer ones
+	// supersede them.
 	meshInputCapacity = 256
 	// meshTick is the time between two packets to each instance.
 	meshTick = 100 * time.Millisecond
-	// maxLoads and maxDemands bound what one packet carries, so that it fits a
-	// datagram: entries take about 20 bytes each. An instance has streams at 15 to 25
-	// endpoints where 63 instances share 90.
+	// maxLoads and maxDemands bound what one packet carries, so that it fits a datagram:
+	// entries take about 20 bytes each. An instance has streams at 15 to 25 endpoints where 63
+	// instances share 90.
 	maxLoads   = 24
 	maxDemands = 14
-	// suspectTime is for how long a failed request makes its endpoint suspect,
-	// maxSuspects bounds what one packet tells of them.
+	// suspectDuration is for how long a failed request makes its endpoint suspect, maxSuspects
+	// the most suspects in one packet.
 	suspectDuration = 250 * time.Millisecond
 	maxSuspects     = 8
-	// maxGone bounds the endpoints of which one packet tells that they are gone.
+	// maxReplaced bounds the replaced endpoints in one packet.
 	maxReplaced = 6
-	// maxTotals bounds the sums of a packet that has more to tell.
+	// maxTotals bounds the totals in a packet that also carries other fields.
 	maxTotals = 24
-	// smallFleet is up to how many instances everybody tells everybody.
+	// smallFleetSize is the largest number of instances at which every instance sends to every
+	// other.
 	smallFleetSize = 16
-	// maxPassedOn bounds the refusals in one word of the hub.
+	// maxForwardedRefusals bounds the refusals in one announcement of the coordinator.
 	maxForwardedRefusals = 40
-	// maxWithdrawn bounds the endpoints that one packet tells of.
+	// maxWithdrawn bounds the withdrawn endpoints in one packet.
 	maxWithdrawn = 16
-	// leastHolderLost is for how long the holder of the lease may fail to vouch for
-	// what it knows, at least, before the others look closely themselves: its words
-	// come hubTick apart in small fleets, where several may be lost.
+	// minHolderTimeout is the least time without an attestation of the lease holder after
+	// which the other instances use fresh watches of the store themselves: in small fleets its
+	// announcements come minAnnounceInterval apart, and several may be lost.
 	minHolderTimeout = 550 * time.Millisecond
-	// hubTick is the time between two words of the hub, and hubSlow that where its
-	// link is too narrow. Requests go by what it told last: with a longer time, more
-	// of them meet at the same endpoints.
+	// minAnnounceInterval is the time between two announcements of the coordinator,
+	// maxAnnounceInterval the same if its link is too narrow. Requests are routed by the last
+	// announcement: with a longer interval, more of them are sent to the same endpoints.
 	minAnnounceInterval = 100 * time.Millisecond
 	maxAnnounceInterval = 400 * time.Millisecond
-	// summaryKept is when an instance of a large fleet tells again what has not changed: three
-	// such words fit into the time after which it counts as gone.
+	// summaryRepeatInterval is when an instance of a large fleet sends an unchanged summary
+	// again: three of them fit into the time after which it counts as gone.
 	summaryRepeatInterval = peer.PeerTimeout / 4
-	// hubLinkShare is the share of what it can send that the hub may fill with sums, and the
-	// same for placements that it repeats. changesLinkShare is that for placements that have
-	// changed.
+	// announceLinkShare is the share of its bandwidth that the coordinator may use for totals,
+	// and again for repeated placements. changesLinkShare is the share for changed placements.
 	announceLinkShare = 0.15
 	changesLinkShare  = 0.5
-	// datagramTime is the processor time that a datagram takes to send.
+	// datagramCPUTime is the processor time that sending a datagram takes.
 	datagramCPUTime = 8 * time.Microsecond
-	// linkShareKept is for how long unused parts of these shares are kept.
+	// linkShareCarryover is for how long unused parts of these shares accumulate.
 	linkShareCarryover = maxAnnounceInterval
-	// demandPause is the least time between two looks at the demand of a large fleet: each
-	// packet with waiting requests asks for one, and thousands come in a second.
+	// demandInterval is the least time between two evaluations of the demand of a large fleet:
+	// each packet with waiting requests calls for one, and thousands of packets arrive per
+	// second.
 	demandInterval = 25 * time.Millisecond
-	// bytesPerMbit converts the bandwidth of links.
+	// bytesPerMbit converts the bandwidth of links to bytes per second.
 	bytesPerMbit = 1e6 / 8
 )
 
-// open begins to listen, once the key is known, or goes on with another key. Packets sealed
-// with the one before are still read: not all instances change at the same moment.
+// open starts to listen once the key is known, or switches to another key. Packets sealed with
+// the previous key are still accepted, as instances do not switch at the same moment.
 func (m *mesh) open(key []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -204,7 +215,7 @@
 	m.key, m.sealer = key, sealer
 	m.opener.Store(sealer)
 	if m.datagrams != nil {
-		m.log.Info("datagrams' key changed")
+		m.log.Info("datagram key changed")
 		return nil
 	}
 	m.datagrams, err = peer.ListenUDP(m.address, m.receive)
@@ -219,7 +230,7 @@
 	}
 }
 
-// receive is called on the datagrams' event loop.
+// receive is called on the event loop of the datagrams.
 func (m *mesh) receive(sealed []byte) {
 	plain, err := m.opener.Load().Open(sealed)
 	if err != nil {
@@ -228,13 +239,13 @@
 	}
 	p, err := peer.DecodePacket(plain)
 	if err != nil {
-		m.log.Info("packet refused", "error", err.Error())
+		m.log.Info("invalid packet dropped", "error", err.Error())
 		return
 	}
 	_ = m.inputs.Put(context.Background(), p)
 }
 
-// find records an instance's entry in the store; nil says that it is gone.
+// updateInstance records an instance's entry in the store; nil means that it was removed.
 func (m *mesh) updateInstance(instance string, p *presence) {
 	m.mu.Lock()
 	if p == nil {
@@ -252,7 +263,7 @@
 	m.onInstanceCount(n)
 }
 
-// run takes packets and tells the board's news.
+// run receives packets and applies them.
 func (m *mesh) run(ctx context.Context) {
 	go m.tick(ctx)
 	for {
@@ -261,7 +272,7 @@
 			return
 		}
 		if p.From == m.instance && p.Process != m.process {
-			// An earlier process of this instance; its packets were late.
+			// A late packet of an earlier process of this instance.
 			continue
 		}
 		if p.Era > 0 {
@@ -280,8 +291,8 @@
 	}
 }
 
-// news passes on what a packet has brought. This instance's own packet comes
-// this way too, once in each tick.
+// applyPacket passes on the contents of a packet. This instance's own packet is applied as
+// well, once per tick.
 func (m *mesh) applyPacket(p peer.Packet) {
 	if len(p.Placements) > 0 {
 		m.onPlacements(p.Placements)
@@ -298,7 +309,7 @@
 		m.forwardRefusals(p.Refused)
 	}
 	if p.From != m.instance && len(p.Placements) == 0 {
-		// In a large fleet only the hub reaches all.
+		// In a large fleet only the coordinator reaches all instances.
 		m.quarantine.ReceiveReports(p.Endings, m.isSmallFleet() || m.isHolder())
 		m.quarantine.ReceiveDigest(p.EndingsDigest)
 	}
@@ -328,7 +339,7 @@
 	}
 }
 
-// hearRevision takes the revision of the settings that another instance has in force.
+// receiveRevision handles the revision of the settings that another instance has in force.
 func (m *mesh) receiveRevision(revision int64) {
 	if revision <= m.revision() {
 		return
@@ -340,7 +351,7 @@
 	}
 }
 
-// heardRevision notes a revision of the settings that another instance has.
+// recordRevision records a revision of the settings that another instance has.
 func (m *mesh) recordRevision(revision int64) {
 	if revision <= m.newestRevision.Load() {
 		return
@@ -350,8 +361,8 @@
 	m.newestRevision.Store(revision)
 }
 
-// heardAgo is how long ago another instance was first heard to have a revision of the settings,
-// or a later one; neverConfirmed if none was.
+// sinceRevisionSeen returns how long ago another instance first reported this revision of the
+// settings or a later one; neverConfirmed if none has.
 func (m *mesh) sinceRevisionSeen(revision int64) time.Duration {
 	at := m.newestRevisionAt.Load()
 	if at == nil || m.newestRevision.Load() < revision {
@@ -360,29 +371,29 @@
 	return m.now().Sub(*at)
 }
 
-// outdatedFor is for how long settings that are known to be newer are waited for: they may be
-// such that this release cannot read, or may have been lost with the store.
+// outdatedTimeout is for how long settings that are known to be newer are waited for: this
+// release may be unable to read them, or they may have been lost with the store.
 const outdatedTimeout = 10 * time.Second
 
-// outdated tells whether another instance has lately been heard to have newer settings.
+// outdated reports whether another instance has recently reported newer settings.
 func (m *mesh) outdated() bool {
 	at := m.newestRevisionAt.Load()
 	return at != nil && !m.hasNewestSettings() && m.now().Sub(*at) < outdatedTimeout
 }
 
-// demandDue tells whether the demand is to be looked at before the next tick.
+// demandDue reports whether the demand is to be evaluated before the next tick.
 func (m *mesh) demandDue() bool {
 	return m.isSmallFleet() || m.now().Sub(m.demandReportedAt) >= demandInterval
 }
 
-// An instance that has heard others, and none of them for aloneAfter, may be cut off
-// from them; after aloneFor they are gone for all it can tell.
+// An instance that has had contact with others, and with none of them for partitionAfter, may
+// be partitioned; after partitionTimeout they count as gone.
 const (
 	partitionAfter   = 350 * time.Millisecond
 	partitionTimeout = 10 * time.Second
 )
 
-// hearsNobody tells whether this instance may be cut off from the others.
+// possiblyPartitioned reports whether this instance may be cut off from the others.
 func (m *mesh) possiblyPartitioned() bool {
 	if at := m.fleetView.LastContactExcept(m.instance); at.After(m.lastContactAt) {
 		m.lastContactAt = at
@@ -392,14 +403,15 @@
 	return !m.lastContactAt.IsZero() && silent >= partitionAfter && silent < partitionTimeout
 }
 
-// An instance that hears none of the others for isolatedAfter, or has never heard any
-// neverHeardAfter behind the last that was listed, asks the store for what they would tell.
+// An instance without contact to any other for isolatedAfter, or that has had none at all by
+// noContactAfter after the last one was listed, asks the store for what the others would
+// announce.
 const (
-	isolatedAfter   = time.Second
-	neverHeardAfter = 2 * time.Second
+	isolatedAfter  = time.Second
+	noContactAfter = 2 * time.Second
 )
 
-// isolated tells whether others are listed and none can be heard.
+// isolated reports whether other instances are listed and none is in contact.
 func (m *mesh) isolated() bool {
 	if m.listedCount() <= 1 {
 		return false
@@ -407,10 +419,10 @@
 	if at := m.lastContact.Load(); at != nil {
 		return m.now().Sub(*at) >= isolatedAfter
 	}
-	return m.sinceJoin() >= neverHeardAfter
+	return m.sinceJoin() >= noContactAfter
 }
 
-// publish makes the board's state known to routing and to others that ask.
+// publish makes the state of fleetView available to routing and to other goroutines.
 func (m *mesh) publish() {
 	m.updateRouting()
 	var loads []peer.EndpointLoad
@@ -422,11 +434,11 @@
 	m.reportedAddresses, m.liveInstances, m.fleetTotals, m.recipients = m.fleetView.Addresses(), len(m.fleetView.Live()), loads, nil
 }
 
-// shareEvery is the time between two looks at what all endpoints have, where the hub's word
-// tells of each that has changed.
+// routingUpdateInterval is the time between two updates of the load of all endpoints, where
+// the coordinator's announcements update each endpoint whose load has changed.
 const routingUpdateInterval = 500 * time.Millisecond
 
-// share tells routing what the other instances have under way.
+// updateRouting gives routing the load that the other instances have in flight.
 func (m *mesh) updateRouting() {
 	var others map[string]peer.EndpointLoad
 	if !m.isSmallFleet() && m.totals.fresh(m.now()) {
@@ -445,7 +457,8 @@
 	}
 }
 
-// shareTotals tells routing what one packet of the hub brings: its word comes in many.
+// updateRoutingFor gives routing the totals of one packet: an announcement of the coordinator
+// spans many.
 func (m *mesh) updateRoutingFor(loads []peer.EndpointLoad) {
 	if m.isSmallFleet() {
 		m.updateRouting()
@@ -464,16 +477,16 @@
 	return routing.PeerLoad{Running: l.Running, PromptWork: time.Duration(l.PrefillMicros) * time.Microsecond, At: now}
 }
 
-// sums returns what all instances have under way, in a large fleet, and how many
-// instances were heard lately, as publish found them.
+// currentTotals returns the total load by endpoint, in a large fleet, and how many instances
+// were recently in contact, as of the last publish.
 func (m *mesh) currentTotals() ([]peer.EndpointLoad, int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.fleetTotals, m.liveInstances
 }
 
-// known returns the instances that are listed in the store or were heard, this
-// one included, and how strong each is.
+// knownInstances returns the processor time of each instance that is listed in the store, this
+// one included.
 func (m *mesh) knownInstances() map[string]float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -485,14 +498,14 @@
 	return known
 }
 
-// knownVersion tells whether what known returns may have changed.
+// knownVersion changes when the result of knownInstances may have changed.
 func (m *mesh) knownVersion() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.listedVersion
 }
 
-// fleet is the instances that are listed, this one included.
+// fleet returns the listed instances, this one included.
 func (m *mesh) fleet() []relay.Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -506,22 +519,22 @@
 	return fleet
 }
 
-// streamsOf is where an instance answers questions; empty if that is not known.
+// streamAddress returns where an instance accepts streams; empty if that is not known.
 func (m *mesh) streamAddress(instance string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.listed[instance].Streams
 }
 
-// joined is how long ago an instance was listed that was not before.
+// sinceJoin returns how long ago an instance was last added to the list.
 func (m *mesh) sinceJoin() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.now().Sub(m.joinedAt)
 }
 
-// hearsStronger tells whether an instance was heard lately that has so many times the
-// processor time of this one.
+// hasStrongerPeer reports whether an instance recently in contact has at least the given
+// multiple of the processor time of this one.
 func (m *mesh) hasStrongerPeer(times float64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -533,8 +546,8 @@
 	return false
 }
 
-// issuers is what is known of the instances that issue permits. In a small fleet those that
-// are heard count, as entries of some may be those of machines that are gone.
+// permitIssuers returns the instances that issue permits. In a small fleet those in contact
+// count, as some entries may belong to machines that are gone.
 func (m *mesh) permitIssuers() permit.Fleet {
 	f := permit.Fleet{Isolated: m.isolated()}
 	small := m.isSmallFleet()
@@ -553,22 +566,22 @@
 	return f
 }
 
-// addressOf is where an instance receives packets; empty if it is not known.
+// datagramAddress returns where an instance receives packets; empty if that is not known.
 func (m *mesh) datagramAddress(instance string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if address, told := m.reportedAddresses[instance]; told {
+	if address, reported := m.reportedAddresses[instance]; reported {
 		return address
 	}
 	return m.listed[instance].Datagrams
 }
 
-// tellOne sends a packet to one instance, if it is known where that is.
+// sendTo sends a packet to one instance if its address is known.
 func (m *mesh) sendTo(p peer.Packet, instance string) {
 	if address := m.datagramAddress(instance); address != "" {
 		m.send(m.stamp(p), []string{address})
 	}
 }
 
-// hubSilent is how long ago the instance that places units was heard.
+// coordinatorSilence returns how long ago the coordinator was last in contact.
 func (m *mesh) coordinatorSilence() time.Duration { return m.totals.silence(m.now()) }
--- a/daemon/mesh_bench_test.go
+++ b/daemon/mesh_bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// benchMesh is an instance of a large fleet that hears all others.
-func benchMesh(holds bool, instances, endpoints int) *mesh {
+// benchMesh returns an instance of a large fleet that receives the packets of all others.
+func benchMesh(isHolder bool, instances, endpoints int) *mesh {
 	router := routing.NewRouter(routing.Policies()[routing.PolicyTimely], func() float64 { return 0 })
 	v := &routing.View{Pools: map[string][]*routing.Endpoint{}, ByName: map[string]*routing.Endpoint{}}
 	for i := range endpoints {
@@ -25,24 +25,24 @@
 		v.Pools["p"], v.ByName[e.Name] = append(v.Pools["p"], e), e
 	}
 	router.SetView(v)
-	holder := func() bool { return holds }
+	holder := func() bool { return isHolder }
 	a := newAllowances(AllowanceConfig{WindowS: 8, Over: 0.1}, "p", holder, func() int { return instances }, time.Now)
 	a.adopt(limitedTree())
 	m := &mesh{
-		instance: "hub", process: "hub", now: time.Now, listed: map[string]presence{}, onInstanceCount: func(int) {}, router: router,
+		instance: "coordinator", process: "coordinator", now: time.Now, listed: map[string]presence{}, onInstanceCount: func(int) {}, router: router,
 		isHolder: holder, allowances: a, rights: &keyRights{answers: holder, keeper: authority.NewTracker(time.Second), now: time.Now, exact: time.Now, log: logr.Discard(), revision: func() int64 { return 1 }}, eras: &store.Eras{}, refusals: &pipeline.Refusals{}, log: logr.Discard(),
 		quarantine: quarantine.NewManager(quarantine.Config{Now: time.Now, Log: logr.Discard(), Wake: func() {}, Persist: func(quarantine.Report) {}}),
 		revision:   func() int64 { return 1 }, fleetView: peer.NewFleetView(), inputs: ring.New[peer.Packet](meshInputCapacity, ring.DropOldest),
 		onDemand: func(map[string]peer.Demand) {}, onPartition: func(bool) {}, onSuspects: func([]string) {},
 	}
-	m.permits = newPermits("hub", router, logr.Discard(), time.Now)
+	m.permits = newPermits("coordinator", router, logr.Discard(), time.Now)
 	for i := range instances {
 		m.updateInstance(fmt.Sprintf("edge-%03d", i), &presence{Datagrams: fmt.Sprintf("10.0.%d.%d:7380", i/250, i%250)})
 	}
 	return m
 }
 
-// summaryOf is what a busy instance tells.
+// summaryOf returns the summary of a busy instance.
 func summaryOf(i, endpoints int, seq uint64) peer.Packet {
 	name := fmt.Sprintf("edge-%03d", i)
 	p := peer.Packet{Version: peer.PacketVersion, From: name, Process: "4KXDQ7A2Z3LRWV6YBTGM5NPHCE", Address: "10.0.0.1:7380", Seq: seq, Revision: 1}
@@ -55,8 +55,8 @@
 	return p
 }
 
-// BenchmarkHubHears measures what the hub spends on a packet of another instance, which come
-// ten times a second from each, from the sealed bytes on.
+// BenchmarkCoordinatorReceive measures the cost to the coordinator of one packet of another
+// instance, from the sealed bytes on; ten per second arrive from each instance.
 func BenchmarkCoordinatorReceive(b *testing.B) {
 	for _, size := range []struct{ instances, endpoints int }{{90, 140}, {390, 720}, {301, 3000}} {
 		b.Run(fmt.Sprintf("%d instances, %d endpoints", size.instances, size.endpoints), func(b *testing.B) {
@@ -84,24 +84,25 @@
 	}
 }
 
-// BenchmarkTick measures what an instance spends on its own tick, as the hub and as another.
+// BenchmarkTick measures the cost of an instance's own tick, as the coordinator and as
+// another.
 func BenchmarkTick(b *testing.B) {
-	for _, holds := range []bool{true, false} {
+	for _, isHolder := range []bool{true, false} {
 		for _, size := range []struct{ instances, endpoints int }{{90, 140}, {390, 720}, {301, 3000}} {
-			b.Run(fmt.Sprintf("hub %v, %d instances, %d endpoints", holds, size.instances, size.endpoints), func(b *testing.B) {
-				m := benchMesh(holds, size.instances, size.endpoints)
+			b.Run(fmt.Sprintf("coordinator %v, %d instances, %d endpoints", isHolder, size.instances, size.endpoints), func(b *testing.B) {
+				m := benchMesh(isHolder, size.instances, size.endpoints)
 				for i := range size.instances {
-					if holds {
+					if isHolder {
 						m.fleetView.Receive(m.now(), summaryOf(i, size.endpoints, 1))
 					}
 				}
-				var told []peer.EndpointLoad
+				var totals []peer.EndpointLoad
 				for i := range size.endpoints {
-					told = append(told, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010x", i), Running: 3, PrefillMicros: 90_000})
+					totals = append(totals, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010x", i), Running: 3, PrefillMicros: 90_000})
 				}
 				for b.Loop() {
-					if !holds {
-						m.totals.receive(m.now(), peer.Packet{Address: "hub", Instances: size.instances, StoreCurrent: true, Totals: told})
+					if !isHolder {
+						m.totals.receive(m.now(), peer.Packet{Address: "coordinator", Instances: size.instances, StoreCurrent: true, Totals: totals})
 					}
 					m.publish()
 				}
--- a/daemon/mesh_test.go
+++ b/daemon/mesh_test.go
@@ -13,8 +13,8 @@
 	"github.com/eiderspring/eiderspring/routing"
 )
 
-// TestFullPacketsFitADatagram fills each kind of packet up to its bounds, with
-// names as long as the platform's.
+// TestFullPacketsFitADatagram fills each kind of packet up to its bounds, with names as long
+// as the platform's.
 func TestFullPacketsFitADatagram(t *testing.T) {
 	// maxFreshRefusals is the bound of pipeline.Refusals.
 	const maxFreshRefusals = 32
@@ -60,7 +60,7 @@
 	for i := range maxForwardedRefusals {
 		announcement.Refused = append(announcement.Refused, 1<<31+uint32(i))
 	}
-	// Packets are filled; so many placements fit with the longest names.
+	// This many placements with the longest names fill a packet.
 	const maxPlacements = 4
 	for i := range maxPlacements {
 		p := peer.Placement{Epoch: 1 << 20, Endpoint: endpoint(i), StartedAtMS: start, Draining: []string{unit(1)}}
@@ -69,15 +69,15 @@
 		}
 		placed.Placements = append(placed.Placements, p)
 	}
-	for name, p := range map[string]peer.Packet{"summary": summary, "hub's word": announcement, "placements": placed} {
+	for name, p := range map[string]peer.Packet{"summary": summary, "announcement": announcement, "placements": placed} {
 		data, err := peer.EncodePacket(p)
 		require.NoError(t, err)
 		require.LessOrEqual(t, len(data), peer.MaxPacketBytes, name)
 	}
 }
 
-// TestHearsNobody follows an instance that is cut off from the others for a while, and
-// one that never had any.
+// TestPossiblyPartitioned covers an instance that loses contact with the others for a while,
+// and one that never had any.
 func TestPossiblyPartitioned(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := &mesh{instance: "a", fleetView: peer.NewFleetView(), now: func() time.Time { return now }}
@@ -86,17 +86,17 @@
 	require.False(t, m.possiblyPartitioned())
 	now = now.Add(partitionAfter)
 	m.fleetView.Receive(now, peer.Packet{From: "a", Process: "own", Seq: 1})
-	require.True(t, m.possiblyPartitioned(), "its own packets say nothing")
+	require.True(t, m.possiblyPartitioned(), "its own packets do not count")
 	now = now.Add(peer.PeerTimeout)
 	m.fleetView.Expire(now)
 	require.True(t, m.possiblyPartitioned())
 	m.fleetView.Receive(now, peer.Packet{From: "b", Process: "p", Seq: 2})
 	require.False(t, m.possiblyPartitioned())
 	now = now.Add(partitionTimeout)
-	require.False(t, m.possiblyPartitioned(), "after that they are gone for all it can tell")
+	require.False(t, m.possiblyPartitioned(), "after that the others count as gone")
 }
 
-// TestSumsFillPackets cuts lists of sums with short and long names.
+// TestTotalsFillPackets cuts lists of totals with short and long names.
 func TestTotalsFillPackets(t *testing.T) {
 	for _, length := range []int{3, 12, 120, 600} {
 		var list []peer.EndpointLoad
@@ -136,14 +136,14 @@
 }
 
 // requireFilled checks that a packet fits its datagram and, unless it is the last, that little
-// more than so many bytes are left in it.
+// more than the given number of bytes is left in it.
 func requireFilled(t *testing.T, p peer.Packet, left int, last bool) {
 	t.Helper()
 	data, err := peer.EncodePacket(p)
 	require.NoError(t, err)
 	require.LessOrEqual(t, len(data), peer.MaxPacketBytes)
 	if !last {
-		// An entry counts as a little more than it takes.
+		// The size of an entry is estimated slightly larger than it is.
 		require.Greater(t, len(data)+left+4*len(p.Placements), peer.MaxPacketBytes-fieldOverhead)
 	}
 }
@@ -154,8 +154,8 @@
 func (r *recordedDatagrams) Send(_ string, data []byte) { r.sent = append(r.sent, data) }
 func (r *recordedDatagrams) Close()                     {}
 
-// TestHolderTellsOfAllThatLeave lets more endpoints leave at once than one packet
-// holds.
+// TestHolderAnnouncesAllLeavingEndpoints lets more endpoints leave at once than fit into one
+// packet.
 func TestHolderAnnouncesAllLeavingEndpoints(t *testing.T) {
 	now := time.Now()
 	sealer, err := peer.NewSealer([][]byte{make([]byte, peer.KeyBytes)})
@@ -166,8 +166,8 @@
 		listed: map[string]presence{"n2": {Datagrams: "127.0.0.1:1"}}, withdrawn: map[string]withdrawal{},
 		router: routing.NewRouter(routing.Policies()[routing.PolicyTimely], nil), revision: func() int64 { return 1 }, storeCurrent: func() bool { return true },
 	}
-	const leave = 2*maxWithdrawn + 3
-	for i := range leave {
+	const leaving = 2*maxWithdrawn + 3
+	for i := range leaving {
 		m.recordWithdrawal(endpointStart{name: fmt.Sprintf("i-%03d", i)})
 	}
 	m.announceTotals()
@@ -182,5 +182,5 @@
 			announced[name] = true
 		}
 	}
-	require.Len(t, announced, leave)
+	require.Len(t, announced, leaving)
 }
--- a/daemon/meshannounce.go
+++ b/daemon/meshannounce.go
@@ -9,19 +9,19 @@
 	"github.com/eiderspring/eiderspring/peer"
 )
 
-// meshStats is what an instance shows of what it tells and hears, for operators.
+// meshStats is what operators see of the packets that an instance sends and receives.
 type meshStats struct {
-	// InputsDropped counts packets for which there was no time, PlacementsWaiting is how many
-	// endpoints the others have not been told of yet.
+	// InputsDropped counts packets that were dropped unprocessed, PlacementsWaiting is the
+	// number of endpoints whose placements have not been sent to the others yet.
 	InputsDropped     int64 `json:"inputs_dropped"`
 	PlacementsWaiting int   `json:"placements_waiting"`
-	// WordPauseMS is the time between two words of the hub, and WordBytes what each may carry
-	// of sums to each instance.
+	// AnnounceIntervalMS is the time between two announcements of the coordinator, TotalsBytes
+	// the most bytes of totals that each carries to each instance.
 	AnnounceIntervalMS int64 `json:"word_pause_ms"`
 	TotalsBytes        int   `json:"word_bytes"`
-	// VouchAgeMS is how long ago the holder last vouched, -1 if it never did.
+	// AttestationAgeMS is how long ago the lease holder last attested, -1 if it never did.
 	AttestationAgeMS int64 `json:"vouch_age_ms"`
-	// NewestRevision is the newest revision of the settings that was heard of.
+	// NewestRevision is the newest revision of the settings that any instance has reported.
 	NewestRevision int64 `json:"newest_revision"`
 }
 
@@ -35,8 +35,8 @@
 	}
 }
 
-// passOn keeps refusals for the hub's next word, as in a large fleet the others
-// have not heard them.
+// forwardRefusals keeps refusals for the coordinator's next announcement, as in a large fleet
+// the other instances have not received them.
 func (m *mesh) forwardRefusals(refused []uint32) {
 	if !m.isHolder() || m.isSmallFleet() {
 		return
@@ -47,7 +47,7 @@
 	m.refusalsToForward = append(m.refusalsToForward, refused[:min(len(refused), free)]...)
 }
 
-// takePassed returns what passOn has kept.
+// takeForwardedRefusals returns and clears what forwardRefusals has kept.
 func (m *mesh) takeForwardedRefusals() []uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -56,7 +56,8 @@
 	return refusals
 }
 
-// sendRate is what this instance can send, in bytes a second, by its link and its processor.
+// sendRate returns how many bytes per second this instance can send, given its link and its
+// processor.
 func (m *mesh) sendRate() float64 {
 	if m.self.Cores <= 0 {
 		return m.linkBytesPerSecond
@@ -64,9 +65,10 @@
 	return min(m.linkBytesPerSecond, m.self.Cores/datagramCPUTime.Seconds()*peer.MaxPacketBytes)
 }
 
-// hubPause is the time between two words, so that they leave the link to callers: the time in
-// which the link's share carries all sums, up to hubSlow, as the word also vouches. What it
-// does not carry by then is told in the words that follow.
+// announceInterval returns the time between two announcements, such that the link remains
+// available to callers: the time in which the announcements' share of the link carries all
+// totals, up to maxAnnounceInterval, as each announcement also attests. Totals that do not fit
+// are sent in later announcements.
 func (m *mesh) announceInterval() time.Duration {
 	loads, _ := m.currentTotals()
 	packets := 2 + len(loads)/maxTotals
@@ -75,14 +77,14 @@
 	return min(max(pause, minAnnounceInterval), maxAnnounceInterval)
 }
 
-// sumBytes is how many bytes of sums the link's share carries to each instance between two
-// words.
+// totalsBudget returns how many bytes of totals the announcements' share of the link carries
+// to each instance between two announcements.
 func (m *mesh) totalsBudget() int {
 	return int(m.sendRate() * announceLinkShare * m.announceInterval().Seconds() / float64(max(m.listedCount(), 1)))
 }
 
-// tellSum tells all instances what all have under way, or of that what they need most, in as
-// many packets as that takes.
+// announceTotals sends the total load of the fleet to all instances, or the part of it that
+// they need most, in as many packets as that takes.
 func (m *mesh) announceTotals() {
 	loads, n := m.currentTotals()
 	loads = m.outgoingTotals.Next(m.now(), loads, m.totalsBudget())
@@ -108,7 +110,7 @@
 	}
 }
 
-// cutSums takes as many sums off the front of a list as so many bytes hold, at least one.
+// cutLoads splits off the front of a list as many loads as fit into room bytes, at least one.
 func cutLoads(list []peer.EndpointLoad, room int) (front, rest []peer.EndpointLoad) {
 	n := 0
 	for n < len(list) && (n == 0 || room >= list[n].EncodedSize()) {
@@ -118,8 +120,8 @@
 	return cut(list, n)
 }
 
-// tellBinding tells all instances what binds them all together. It is small, and goes before
-// the sums.
+// announceConstraints sends to all instances what limits them all together. It is small, and
+// precedes the totals.
 func (m *mesh) announceConstraints() {
 	_, n := m.currentTotals()
 	m.announceAllowances()
@@ -129,7 +131,7 @@
 	}
 }
 
-// tellAll tells all instances what this one gathers for them.
+// announceAll sends to all instances what this one aggregates for them.
 func (m *mesh) announceAll() {
 	m.announceConstraints()
 	if m.isHolder() {
@@ -137,7 +139,8 @@
 	}
 }
 
-// tellAllowances tells all instances what accounts may have, if this one adds up.
+// announceAllowances sends to all instances the allowances of accounts, if this one is the
+// aggregator.
 func (m *mesh) announceAllowances() {
 	for _, p := range m.allowances.packets() {
 		p.Revision, p.EndingsDigest = m.revision(), m.quarantine.Digest()
@@ -147,7 +150,7 @@
 	}
 }
 
-// tellEndings tells all instances of a large fleet which requests end endpoints.
+// announceEndings sends to all instances of a large fleet which requests end endpoints.
 func (m *mesh) announceEndings(instances int) {
 	if m.isSmallFleet() {
 		return
@@ -158,8 +161,8 @@
 	}
 }
 
-// tellLimits tells all instances of a large fleet what endpoints have said of the requests
-// that they take.
+// announceLimits sends to all instances of a large fleet the limits that endpoints have
+// reported for the requests they accept.
 func (m *mesh) announceLimits(instances int) {
 	if m.isSmallFleet() {
 		return
@@ -170,12 +173,12 @@
 	}
 }
 
-// standIns is how many instances are told that nobody adds up: entries of some may be those
-// of machines that are gone.
+// maxAggregatorCandidates is how many instances are notified that there is no aggregator: the
+// entries of some may belong to machines that are gone.
 const maxAggregatorCandidates = 4
 
-// strongest is where the strongest of the known instances receive packets, but for this one.
-// All that know the same agree on them.
+// strongestAddresses returns where the instances with the most processor time receive packets,
+// except this one. All instances with the same list select the same ones.
 func (m *mesh) strongestAddresses() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -192,7 +195,7 @@
 	return addresses
 }
 
-// replaced returns the endpoints at whose addresses others have answered.
+// replacedEndpoints returns the endpoints at whose addresses other incarnations have answered.
 func (m *mesh) replacedEndpoints() []endpointStart {
 	var starts []endpointStart
 	for _, pool := range m.router.View().Pools {
@@ -205,21 +208,21 @@
 	return starts
 }
 
-// cut takes up to n off the front of a list.
+// cut splits off up to n elements of the front of a list.
 func cut[T any](list []T, n int) (front, rest []T) {
 	n = min(n, len(list))
 	return list[:n], list[n:]
 }
 
-// withdraw records that an endpoint has begun to leave.
+// recordWithdrawal records that an endpoint has begun to leave.
 func (m *mesh) recordWithdrawal(endpoint endpointStart) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.withdrawn[endpoint.name] = withdrawal{startedAtMS: endpoint.startedAtMS, at: m.now()}
 }
 
-// withdrawnLately returns the endpoints of which the others may not know yet that
-// they leave. One whose entry had only lapsed, and is back, does not leave.
+// recentlyWithdrawn returns the endpoints that leave and that the others may not know of yet.
+// An endpoint whose entry had only lapsed, and has returned, is not among them.
 func (m *mesh) recentlyWithdrawn() []endpointStart {
 	leaving := m.withdrawnStarts()
 	if len(leaving) == 0 {
@@ -235,7 +238,7 @@
 	return leaving
 }
 
-// withdrawnStarts returns the endpoints that have begun to leave lately, by name.
+// withdrawnStarts returns the endpoints that have recently begun to leave, by name.
 func (m *mesh) withdrawnStarts() []endpointStart {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -247,38 +250,39 @@
 	return leaving
 }
 
-// holderTells tells whether another instance, the holder of the lease, follows
-// the store closely and tells of newer settings and leaving endpoints. The holder
-// itself must look.
+// holderAttests reports whether another instance holds the lease, follows the store by fresh
+// watches and announces newer settings and leaving endpoints. The holder itself must follow
+// the store.
 func (m *mesh) holderAttests() bool { return !m.isHolder() && m.totals.attested(m.now()) }
 
-// listsTheSame tells whether this instance lists the endpoints that the holder of the
-// lease lists, in the same states, so that there is nothing to ask the store for.
+// listMatchesHolder reports whether this instance lists the same endpoints as the lease
+// holder, in the same states, so that there is nothing to ask the store for.
 func (m *mesh) listMatchesHolder() bool {
 	digest := m.totals.holderEndpointsDigest()
 	return digest != 0 && digest == m.endpointsDigest.Load()
 }
 
-// listsOthers tells whether the holder of the lease tells that it lists other endpoints,
-// or the same in other states.
+// listDiffersFromHolder reports whether the lease holder announces that it lists other
+// endpoints, or the same in other states.
 func (m *mesh) listDiffersFromHolder() bool {
 	return m.holderAttests() && m.totals.holderEndpointsDigest() != 0 && !m.listMatchesHolder()
 }
 
-// settingsInForce tells whether no instance is known to have newer settings.
+// hasNewestSettings reports whether no instance is known to have newer settings.
 func (m *mesh) hasNewestSettings() bool { return m.revision() >= m.newestRevision.Load() }
 
-// noteVouch logs when the holder begins or ceases to vouch.
+// logAttestation logs when the attestations of the lease holder begin or cease.
 func (m *mesh) logAttestation() {
 	attested := m.totals.attested(m.now())
 	if attested == m.wasAttested {
 		return
 	}
 	m.wasAttested = attested
-	m.log.Info("holder vouches", "any", attested, "holder", m.totals.address(), "silent_ms", m.coordinatorSilence().Milliseconds())
+	m.log.Info("lease holder attestation", "any", attested, "holder", m.totals.address(), "silent_ms", m.coordinatorSilence().Milliseconds())
 }
 
-// hubAddress is where the hub is; nowhere while it is not known.
+// coordinatorAddresses returns the address of the coordinator; none if it is not known or is
+// this instance.
 func (m *mesh) coordinatorAddresses() []string {
 	if m.isHolder() || !m.totals.fresh(m.now()) {
 		return nil
--- a/daemon/meshannounce_test.go
+++ b/daemon/meshannounce_test.go
@@ -12,34 +12,34 @@
 	"github.com/eiderspring/eiderspring/peer"
 )
 
-// fleetLink is the link of the hub and its processor, in virtual time: a datagram takes
-// processor time to send, and then waits for those before it on the link.
-type fleetLink struct {
+// simulatedLink is the coordinator's link and processor in virtual time: a datagram takes
+// processor time to send, and then queues on the link behind those before it.
+type simulatedLink struct {
 	now       *time.Time
 	opener    *peer.Sealer
 	linkBytes float64
 	cores     float64
-	// free is when the link has sent all that waits.
+	// idleAt is when the link has sent all queued datagrams.
 	idleAt time.Time
 	// packet is the one that is being sent to one instance after the other.
 	packet peer.Packet
-	// revisionAt is when the first word of each revision had reached all instances, words
-	// when each of those of allowances had.
+	// revisionAt is when the first announcement of each revision had reached all instances,
+	// allowancesAt when each announcement of allowances had.
 	revisionAt   map[int64]time.Time
 	allowancesAt []time.Time
-	// first is set while the packet is the first of its revision.
+	// firstOfRevision is set while packet is the first of its revision.
 	firstOfRevision bool
 }
 
 // Send implements peer.Datagrams.
-func (l *fleetLink) Send(_ string, sealed []byte) {
+func (l *simulatedLink) Send(_ string, sealed []byte) {
 	*l.now = l.now.Add(time.Duration(float64(datagramCPUTime) / l.cores))
 	if l.idleAt.Before(*l.now) {
 		l.idleAt = *l.now
 	}
 	l.idleAt = l.idleAt.Add(time.Duration(float64(len(sealed)) / l.linkBytes * float64(time.Second)))
 	if plain, err := l.opener.Open(sealed); err == nil {
-		// Only the first of the same packet opens.
+		// Only the first copy of a packet opens.
 		l.packet, _ = peer.DecodePacket(plain)
 		l.begin()
 	}
@@ -47,10 +47,10 @@
 }
 
 // Close implements peer.Datagrams.
-func (l *fleetLink) Close() {}
+func (l *simulatedLink) Close() {}
 
-// begin notes a packet that goes to its first instance.
-func (l *fleetLink) begin() {
+// begin records a packet that is sent to its first instance.
+func (l *simulatedLink) begin() {
 	if l.packet.Aggregator != 0 {
 		l.allowancesAt = append(l.allowancesAt, l.idleAt)
 	}
@@ -58,8 +58,8 @@
 	l.firstOfRevision = !known && l.packet.Instances > 0
 }
 
-// reached notes that the packet has reached one instance more.
-func (l *fleetLink) recordReached() {
+// recordReached records that the packet has reached one more instance.
+func (l *simulatedLink) recordReached() {
 	if l.packet.Aggregator != 0 {
 		l.allowancesAt[len(l.allowancesAt)-1] = l.idleAt
 	}
@@ -68,14 +68,14 @@
 	}
 }
 
-// fleetWords is what the hub of a fleet tells while all endpoints are busy, report every five
-// seconds, and some bring and withdraw units.
+// announcingFleet is the coordinator of a fleet in which all endpoints are busy, report every
+// five seconds, and some load and withdraw units.
 type announcingFleet struct {
 	*mesh
-	link            *fleetLink
+	link            *simulatedLink
 	clock           time.Time
 	currentRevision int64
-	// next is the endpoint that reports next, units are what each holds.
+	// nextEndpoint is the endpoint that reports next, units are what each endpoint holds.
 	nextEndpoint int
 	units        []string
 }
@@ -90,7 +90,7 @@
 	for k := range 3 + 8 {
 		f.units = append(f.units, fmt.Sprintf("abcd%06x/a%02d", k, k))
 	}
-	f.link = &fleetLink{now: &f.clock, opener: opener, linkBytes: mbits * bytesPerMbit, cores: cores, revisionAt: map[int64]time.Time{}}
+	f.link = &simulatedLink{now: &f.clock, opener: opener, linkBytes: mbits * bytesPerMbit, cores: cores, revisionAt: map[int64]time.Time{}}
 	f.now, f.onPlacements, f.log = func() time.Time { return f.clock }, func([]peer.Placement) {}, logr.Discard()
 	f.allowances.now = f.now
 	f.storeCurrent, f.revision = func() bool { return true }, func() int64 { return f.currentRevision }
@@ -101,7 +101,7 @@
 	return f
 }
 
-// tickOnce lets a tenth of a second pass.
+// tickOnce advances time by a tenth of a second.
 func (f *announcingFleet) tickOnce(endpoints int) {
 	next := f.clock.Add(meshTick)
 	for i := range endpoints / 50 {
@@ -122,10 +122,10 @@
 	}
 }
 
-// TestNewsReachesAllInTime puts newer settings in force at the hub, and follows the words of
-// allowances, with the link and the processor of the users' instances. The
-// bounds are those by which the others go on their own: a vouch that is older than
-// leastHolderLost, and half of the time for which words of allowances count.
+// TestAnnouncementsReachAllInTime puts newer settings in force at the coordinator, and follows
+// the announcements of allowances, with the link and the processor of users' instances. The
+// bounds are those after which the other instances act on their own: an attestation older than
+// minHolderTimeout, and half of the time for which announcements of allowances count.
 func TestAnnouncementsReachAllInTime(t *testing.T) {
 	const ticks, changeTick = 60, 25
 	for _, size := range []struct {
@@ -152,12 +152,12 @@
 			for i := range f.link.allowancesAt[1:] {
 				gap = max(gap, f.link.allowancesAt[i+1].Sub(f.link.allowancesAt[i]))
 			}
-			t.Logf("words of allowances reach all at most %v apart", gap)
+			t.Logf("announcements of allowances reach all at most %v apart", gap)
 			require.NotZero(t, gap)
 			require.Less(t, gap.Seconds(), 2*mostUntilTold)
 			backlog := f.link.idleAt.Sub(f.clock)
-			t.Logf("%v wait on the link in the end", backlog)
-			require.Less(t, backlog, maxAnnounceInterval, "what waits does not grow")
+			t.Logf("%v of datagrams are queued on the link at the end", backlog)
+			require.Less(t, backlog, maxAnnounceInterval, "the backlog does not grow")
 		})
 	}
 }
--- a/daemon/meshsend.go
+++ b/daemon/meshsend.go
@@ -13,7 +13,7 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// hurry tells the others at once.
+// sendSoon requests a packet to the others without waiting for the next tick.
 func (m *mesh) sendSoon() {
 	select {
 	case m.urgent <- struct{}{}:
@@ -21,15 +21,15 @@
 	}
 }
 
-// urgentPause is the least time between two packets. In a large fleet all others hurry at once
-// when replicas are missing, and the hub hears each: urgentPauseLarge is the time between two
-// plans for requests that wait.
+// urgentDelaySmall is the least time between two packets. In a large fleet all instances send
+// urgently at once when replicas are missing, and the coordinator receives all these packets:
+// urgentDelayLarge is the time between two plans for waiting requests.
 const (
 	urgentDelaySmall = 5 * time.Millisecond
 	urgentDelayLarge = 40 * time.Millisecond
 )
 
-// pauseUrgent is the time between a wish to tell at once and the packet.
+// urgentDelay returns the time between an urgent request to send and the packet.
 func (m *mesh) urgentDelay() time.Duration {
 	if m.isSmallFleet() {
 		return urgentDelaySmall
@@ -51,16 +51,17 @@
 	}
 }
 
-// tell sends a summary and takes it in as the others do. In a small fleet
-// everybody tells everybody. In a large one everybody tells the hub, which is the
-// instance that places units, and the hub tells everybody the sum: packets grow
-// with the instances, not with their square.
+// sendSummary sends a summary and applies it here too, as the others do. In a small fleet
+// every instance sends to every other. In a large one all send to the coordinator, which is
+// the instance that places units, and the coordinator sends the totals to all: the number of
+// packets grows with the instances, not with their square.
 func (m *mesh) sendSummary(ctx context.Context) {
 	p := m.stamp(m.summary())
 	m.totals.recordOwn(p.Loads)
 	to := m.coordinatorAddresses()
 	if m.isSmallFleet() || len(to) == 0 && m.quarantine.HasPendingReports() && !m.isHolder() {
-		// While there is no hub, news of requests that end endpoints goes straight to all.
+		// Without a coordinator, reports on requests that end endpoints go directly to all
+		// instances.
 		to = m.addresses()
 	}
 	if address := m.allowances.address(); len(to) == 0 && address != "" && address != m.address {
@@ -85,8 +86,9 @@
 	m.announceIfDue()
 }
 
-// saysNothingNew tells whether a summary need not be sent: in a large fleet those that it is for
-// have what the last one said. It notes a summary that is sent.
+// summaryUnchanged reports whether a summary need not be sent, as in a large fleet its
+// recipients already have the same from the last one. Otherwise it records the summary as
+// sent.
 func (m *mesh) summaryUnchanged(p peer.Packet, to []string) bool {
 	urgent := len(p.Refused)+len(p.Endings)+len(p.Limits) > 0 || p.ConfirmRequest != 0
 	last := m.lastSummary
@@ -99,8 +101,8 @@
 	return false
 }
 
-// tellFleet tells all instances what is due of what this one gathers for them, and what
-// endpoints hold.
+// announceIfDue sends to all instances what this one aggregates for them, if that is due, and
+// the queued placements.
 func (m *mesh) announceIfDue() {
 	if m.now().Sub(m.lastAnnouncementAt) >= m.announceInterval() {
 		m.lastAnnouncementAt = m.now()
@@ -109,10 +111,10 @@
 	m.flushPlacements()
 }
 
-// endingsHead is what the field of endings takes besides its words, in bytes.
+// fieldOverhead bounds the encoded size of a list field apart from its elements, in bytes.
 const fieldOverhead = 8
 
-// room is how many bytes of words of endings a packet has room for.
+// endingsRoom returns how many bytes of reports on endings a packet has room for.
 func (m *mesh) endingsRoom(p peer.Packet) int {
 	if !m.quarantine.HasPendingReports() {
 		return 0
@@ -120,7 +122,7 @@
 	return remainingBytes(p)
 }
 
-// roomIn is how many bytes a packet has room for in one more field.
+// remainingBytes returns how many bytes a packet has room for in one more field.
 func remainingBytes(p peer.Packet) int {
 	data, err := peer.EncodePacket(p)
 	if err != nil {
@@ -129,14 +131,14 @@
 	return peer.MaxPacketBytes - len(data) - fieldOverhead
 }
 
-// placedNews is a placement, and how soon the others need to know it.
+// outgoingPlacement is a placement, and how urgently the others need it.
 type outgoingPlacement struct {
 	peer.Placement
 	urgency broadcast.Urgency
 }
 
-// place tells all instances, this one too, what endpoints hold. In a large fleet
-// what comes within a tick goes together, as far as the link bears it.
+// publishPlacements sends placements to all instances and applies them here. In a large fleet
+// those of one tick are sent together, as far as the bandwidth permits.
 func (m *mesh) publishPlacements(placements []outgoingPlacement) {
 	plain := make([]peer.Placement, 0, len(placements))
 	for _, n := range placements {
@@ -163,7 +165,7 @@
 	}
 }
 
-// nextPlacements takes what goes in one packet that has so much room.
+// nextPlacements takes the placements for one packet with the given room in bytes.
 func (m *mesh) nextPlacements(room int) []peer.Placement {
 	small := m.isSmallFleet()
 	m.mu.Lock()
@@ -180,7 +182,7 @@
 	return next
 }
 
-// leastUrgency is which placements the link bears now; mu must be held.
+// minUrgency returns the least urgency for which there is bandwidth now; mu must be held.
 func (m *mesh) minUrgency() broadcast.Urgency {
 	perInstance := m.sendRate() / float64(max(len(m.listed), 1))
 	m.changeBudget.SetRate(perInstance*changesLinkShare, linkShareCarryover)
@@ -196,17 +198,17 @@
 	}
 }
 
-// small tells whether the fleet is so small that everybody tells everybody.
+// isSmallFleet reports whether the fleet is so small that every instance sends to every other.
 func (m *mesh) isSmallFleet() bool { return m.listedCount() <= smallFleetSize }
 
-// size is how many instances are listed.
+// listedCount returns the number of listed instances.
 func (m *mesh) listedCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.listed)
 }
 
-// summary is what this instance has under way and is asked for.
+// summary returns what this instance has in flight, and the demand for units that it receives.
 func (m *mesh) summary() peer.Packet {
 	p := peer.Packet{Leaving: m.leaving(), Revision: m.revision(), Refused: m.refusals.TakeLocal()}
 	replaced := m.replacedEndpoints()
@@ -264,8 +266,8 @@
 	}
 }
 
-// addresses is where the other instances are, by their own word or else by
-// their entry. It must not be changed.
+// addresses returns where the other instances receive packets, by what they report or else by
+// their entries. The result must not be modified.
 func (m *mesh) addresses() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -16,7 +16,7 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// peersDuty runs the gossip over the datagrams.
+// peersDuty runs the gossip of hints over datagrams.
 type peersDuty struct {
 	gossip    *peer.Gossip
 	sealer    *peer.Sealer
@@ -26,18 +26,18 @@
 	freshness *freshness
 	log       logr.Logger
 	now       func() time.Time
-	// leaving is told of instances that make a planned stop.
+	// onPeerLeaving is called for instances that make a planned stop.
 	onPeerLeaving func(name string)
-	// counted is told how many instances are live; nil tells nobody.
+	// onLiveCount receives the number of live instances; may be nil.
 	onLiveCount func(n int)
-	// askList is told of a newer version of the platform's list that another instance
+	// refreshList is called with a newer version of the platform's list that another instance
 	// has.
 	refreshList func(version int64)
-	// repliedAt is when a hint that told of other endings was replied to last.
+	// repliedAt is when a hint with a different digest of endings was last replied to.
 	repliedAt time.Time
-	// quarantine is told, and tells, which requests end endpoints.
+	// quarantine receives and provides the reports on requests that end endpoints.
 	quarantine *quarantine.Manager
-	// addresses holds where each instance is reached; the view duty writes it.
+	// addresses holds the addresses of each instance; the view duty writes it.
 	addresses     atomic.Pointer[map[string]peerAddress]
 	countSent     func(bytes int)
 	countReceived func(bytes int)
@@ -46,15 +46,15 @@
 type peerAddress struct{ datagrams, streams string }
 
 const (
-	// peerEvents bounds the hints that wait; the oldest are dropped, as newer
-	// ones say more.
+	// peerEventCapacity bounds the queued hints; the oldest are dropped, as newer ones
+	// supersede them.
 	peerEventCapacity = 256
 	peerTickInterval  = 250 * time.Millisecond
-	// hintHead bounds what a hint takes besides words of endings, in bytes.
+	// hintOverhead bounds the encoded size of a hint without its reports on endings, in bytes.
 	hintOverhead = 400
 )
 
-// receive is called on the datagrams' event loop.
+// receive is called on the event loop of the datagrams.
 func (d *peersDuty) receive(sealed []byte) {
 	d.countReceived(len(sealed))
 	plain, err := d.sealer.Open(sealed)
@@ -64,7 +64,7 @@
 	}
 	h, err := peer.DecodeHint(plain)
 	if err != nil {
-		d.log.Info("hint refused", "error", err.Error())
+		d.log.Info("invalid hint dropped", "error", err.Error())
 		return
 	}
 	_ = d.events.Put(context.Background(), peer.Received{Hint: h, At: time.Now()})
@@ -97,12 +97,12 @@
 	}
 }
 
-// replyEvery is the least time between two replies to instances that know other endings:
-// both may answer each other.
+// replyInterval is the least time between two replies to instances that know other endings:
+// otherwise two instances might answer each other continuously.
 const replyInterval = peerTickInterval
 
-// answering makes a hint that tells of other endings than are known here one to be replied
-// to: an instance sends to others than those that send to it.
+// markForReply marks a hint for a reply if its sender knows other endings than this instance:
+// an instance does not send to the same instances that send to it.
 func (d *peersDuty) markForReply(e peer.Event) peer.Event {
 	r, ok := e.(peer.Received)
 	if !ok || !d.quarantine.ReceiveDigest(r.Hint.EndingsDigest) || d.now().Sub(d.repliedAt) < replyInterval {
@@ -112,8 +112,8 @@
 	return r
 }
 
-// endings is what the hints among the actions tell of requests that end endpoints, all
-// neighbours the same.
+// endingsToSend returns the reports on endings for the hints among the actions, the same for
+// all recipients.
 func (d *peersDuty) endingsToSend(actions []peer.Action) []quarantine.Report {
 	for _, a := range actions {
 		if _, sends := a.(peer.Send); sends {
@@ -130,7 +130,7 @@
 		if address == "" {
 			return
 		}
-		// Others judge by the time of day how old a hint is.
+		// The recipients compute the age of a hint from the time of day.
 		a.Hint.SentMS = time.Now().UnixMilli()
 		a.Hint.Endings, a.Hint.EndingsDigest = reports, d.quarantine.Digest()
 		data, err := peer.EncodeHint(a.Hint)
@@ -145,7 +145,8 @@
 	case peer.RefreshList:
 		d.refreshList(a.Version)
 	case peer.EndingsReceived:
-		// Each instance tells a few others, so news goes from one to the next.
+		// Each instance sends to a few others only, so reports are forwarded from one to the
+		// next.
 		d.quarantine.ReceiveReports(a.Reports, true)
 	case peer.PeerLeaving:
 		d.onPeerLeaving(a.Name)
@@ -159,13 +160,13 @@
 	return peerAddress{}
 }
 
-// listHeld takes the version of an answer of the platform's list, and the version on
-// whose word it was asked for.
-func (d *peersDuty) listReceived(version, asked int64) {
-	_ = d.events.Put(context.Background(), peer.ListReceived{Version: version, Asked: asked})
+// listReceived records the version of an answer of the platform's list, and the version
+// in another instance's hint that had caused the request, 0 if none.
+func (d *peersDuty) listReceived(version, requested int64) {
+	_ = d.events.Put(context.Background(), peer.ListReceived{Version: version, Asked: requested})
 }
 
-// members takes the instances of a new list.
+// updateMembers takes over the instances of a new list.
 func (d *peersDuty) updateMembers(list *membership.List) {
 	addresses := map[string]peerAddress{}
 	var live []string
--- a/daemon/presence.go
+++ b/daemon/presence.go
@@ -18,27 +18,27 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// presence is the spec of an instance's object: how others reach it.
+// presence is the spec of an instance's object: where other instances reach it.
 type presence struct {
 	Datagrams string `json:"datagrams"`
-	// Streams is where it answers questions; empty where it does not.
+	// Streams is where it accepts streams; empty if it does not.
 	Streams       string `json:"streams,omitempty"`
 	FailureDomain string `json:"failureDomain,omitempty"`
 	// Cores is the processor time that the instance has.
 	Cores float64 `json:"cores"`
 }
 
-// peerKey is the spec of the object that holds the datagrams' key.
+// peerKey is the spec of the object that holds the key of the datagrams.
 type peerKey struct {
 	Key string `json:"key"`
 }
 
-// peerKeyName is the one object of its kind.
+// peerKeyName is the name of the only object of its kind.
 const peerKeyName = "datagrams"
 
-// presenceDuty makes this instance known to the others, and the others to it.
-// It writes when the instance first starts and when it stops; one that starts again behind a
-// crash finds its entry as it was.
+// presenceDuty registers this instance in the store and follows the entries of the others. It
+// writes when the instance first starts and when it stops; after a crash, a restarted instance
+// finds its entry unchanged.
 type presenceDuty struct {
 	client   store.Client
 	writer   *store.Writer
@@ -46,54 +46,55 @@
 	self     presence
 	link     *storeLink
 	log      logr.Logger
-	// opened gets the key of the datagrams, found gets the entry of an instance;
-	// nil says that it is gone.
+	// onKey receives the key of the datagrams, onInstance the entry of an instance; nil means
+	// that it was removed.
 	onKey      func(key []byte) error
 	onInstance func(instance string, p *presence)
-	// running is held while run is under way, which happens again in each era of the store.
+	// running is held while run executes, which happens again in each era of the store.
 	running sync.Mutex
-	// ownKey is the datagrams' key that is in use: a store that has come back from a copy
-	// may have lost it. run alone uses it.
+	// ownKey is the key of the datagrams that is in use: a store restored from a copy may have
+	// lost it. Only run uses it.
 	ownKey []byte
-	// listedOnce is set once the list has been read.
+	// initialListRead is set once the list has been read.
 	initialListRead atomic.Bool
-	// known are the instances whose entries are there; the watch alone uses it.
+	// known holds the instances that have entries; only the watch uses it.
 	known map[string]bool
 }
 
-// presenceGather is how long entries of instances gather.
+// presenceBatchDelay is how long changes of entries are batched.
 const presenceBatchDelay = time.Second
 
-// presencePause is the pause before a call that failed is made again.
+// presenceRetryDelay is the pause before a failed call is repeated.
 const presenceRetryDelay = 500 * time.Millisecond
 
 func (d *presenceDuty) run(ctx context.Context) {
 	d.running.Lock()
 	defer d.running.Unlock()
-	// Neither waits for the other: behind a common start each call waits for the store's link.
+	// The two calls run concurrently: when many instances start together, each call waits for
+	// the store's link.
 	var both sync.WaitGroup
 	both.Go(func() { d.retry(ctx, "presence", d.register) })
 	both.Go(func() { d.retry(ctx, "key", d.loadKey) })
 	both.Wait()
 }
 
-// until makes a call until it succeeds.
+// retry makes a call until it succeeds.
 func (d *presenceDuty) retry(ctx context.Context, what string, call func(context.Context) error) {
 	for ctx.Err() == nil {
 		err := call(ctx)
 		if err == nil {
 			return
 		}
-		d.log.V(1).Info("not registered yet", "what", what, "error", err.Error())
+		d.log.V(1).Info("registration failed; retrying", "what", what, "error", err.Error())
 		wait.For(ctx, jitter(presenceRetryDelay))
 	}
 }
 
-// keyPause is the longest pause before an instance makes the key that it has not found:
-// all start together at times, and one of them is enough.
+// keyCreateJitter is the longest pause before an instance creates a key that it has not found:
+// instances may all start together, and one key is enough.
 const keyCreateJitter = 1200 * time.Millisecond
 
-// key reads the datagrams' key, or makes it if there is none.
+// loadKey reads the key of the datagrams, or creates it if there is none.
 func (d *presenceDuty) loadKey(ctx context.Context) error {
 	o, err := d.readKey(ctx)
 	if store.IsNotFound(err) {
@@ -121,16 +122,16 @@
 		return nil
 	}
 	d.ownKey = key
-	d.log.Info("link between instances opens")
+	d.log.Info("datagram key loaded")
 	return d.onKey(key)
 }
 
-// findKey reads the key. It never changes, so an old answer is as good.
+// readKey reads the key. It never changes, so a stale answer is as good.
 func (d *presenceDuty) readKey(ctx context.Context) (store.Object, error) {
 	return d.readStale(ctx, store.KindPeerKey, peerKeyName)
 }
 
-// readBehind reads an object, where an old answer is as good.
+// readStale reads an object if a stale answer is as good.
 func (d *presenceDuty) readStale(ctx context.Context, kind store.Kind, name string) (store.Object, error) {
 	if reader, offered := d.client.(store.StaleReader); offered {
 		return reader.GetStale(ctx, kind, name)
@@ -159,7 +160,7 @@
 		return err
 	}
 	if old, err := d.readStale(ctx, store.KindInstance, d.instance); err == nil && d.isCurrent(old) {
-		// A write would go to the watches of all instances.
+		// A write would be delivered to the watches of all instances.
 		return nil
 	}
 	_, err = d.client.Create(ctx, o)
@@ -175,7 +176,7 @@
 	return err
 }
 
-// same tells whether this instance's object is as it should be.
+// isCurrent reports whether the object of this instance in the store is up to date.
 func (d *presenceDuty) isCurrent(o store.Object) bool {
 	var known presence
 	return json.Unmarshal(o.Spec, &known) == nil && known == d.self
@@ -184,15 +185,15 @@
 // withdraw removes the instance's object, for a planned stop.
 func (d *presenceDuty) withdraw(ctx context.Context) {
 	if err := d.client.Delete(ctx, store.KindInstance, d.instance); err != nil && !store.IsNotFound(err) {
-		d.log.Info("presence not withdrawn", "error", err.Error())
+		d.log.Info("instance entry not removed", "error", err.Error())
 	}
 }
 
-// whoIsThereMayBeOld: instances that nobody hears count for nothing, and those
-// that are heard tell where they are themselves.
+// staleInstancesAllowed permits stale lists of instances: those that are not in contact are
+// ignored, and those in contact report their addresses themselves.
 func staleInstancesAllowed() bool { return true }
 
-// watch follows the other instances.
+// watch follows the entries of the other instances.
 func (d *presenceDuty) watch(ctx context.Context) {
 	r := store.NewReflector(d.client, store.KindInstance, store.WatchOptions{AllowStale: staleInstancesAllowed, Now: d.link.now},
 		func(l store.List) {
@@ -203,7 +204,7 @@
 			d.link.heard()
 			switch e.Type {
 			case store.EventBookmark:
-				// Many instances start together; their entries gather meanwhile.
+				// Many instances start together; their entries are batched meanwhile.
 				wait.For(ctx, presenceBatchDelay)
 			case store.EventDeleted:
 				d.remove(e.Object.Metadata.Name)
@@ -215,8 +216,8 @@
 	r.Run(ctx)
 }
 
-// listed notes who is listed, and that all others are gone: where history was dropped
-// nothing else tells.
+// applyList records the listed instances and removes all others: if the store has dropped its
+// history, no event reports their removal.
 func (d *presenceDuty) applyList(l store.List) {
 	before := d.known
 	d.known = make(map[string]bool, len(l.Items))
@@ -240,7 +241,7 @@
 	d.known[o.Metadata.Name] = true
 	var p presence
 	if err := json.Unmarshal(o.Spec, &p); err != nil {
-		d.log.Error(err, "presence unreadable", "name", o.Metadata.Name)
+		d.log.Error(err, "invalid instance entry", "name", o.Metadata.Name)
 		return
 	}
 	d.onInstance(o.Metadata.Name, &p)
--- a/daemon/presence_test.go
+++ b/daemon/presence_test.go
@@ -16,19 +16,19 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// An instance went while the store dropped its history, so nobody was told that its
-// entry was removed, and the list that followed was only read for those that are in
-// it. It was counted among the instances for good: the retries that all may make were
-// divided among too many, and packets went to an address where nobody was.
+// An instance may be removed while the store drops its history: no event reports it, and if the
+// list that follows is read only for the entries in it, the instance stays listed for good. The
+// retries of the fleet are then divided among too many, and packets go to an address where
+// nobody listens.
 
-// forgetfulStore lists fewer instances after it has dropped its history.
-type forgetfulStore struct {
+// historyDroppingStore lists fewer instances after it has dropped its history.
+type historyDroppingStore struct {
 	store.Client
 	mu    sync.Mutex
 	lists [][]string
 }
 
-func (s *forgetfulStore) List(context.Context, store.Kind) (store.List, error) {
+func (s *historyDroppingStore) List(context.Context, store.Kind) (store.List, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := store.List{ResourceVersion: "1"}
@@ -45,7 +45,7 @@
 	return l, nil
 }
 
-func (s *forgetfulStore) Watch(ctx context.Context, _ store.Kind, _ string, _ store.WatchOptions, _ func(store.Event)) error {
+func (s *historyDroppingStore) Watch(ctx context.Context, _ store.Kind, _ string, _ store.WatchOptions, _ func(store.Event)) error {
 	s.mu.Lock()
 	last := len(s.lists) == 1
 	s.mu.Unlock()
@@ -62,7 +62,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		m := &mesh{now: time.Now, listed: map[string]presence{}, onInstanceCount: func(int) {}}
 		d := &presenceDuty{
-			client: &forgetfulStore{lists: [][]string{{"n1", "n2", "n3"}, {"n1", "n3"}, {"n1", "n3"}}},
+			client: &historyDroppingStore{lists: [][]string{{"n1", "n2", "n3"}, {"n1", "n3"}, {"n1", "n3"}}},
 			link:   &storeLink{log: logr.Discard(), now: time.Now}, log: logr.Discard(), onInstance: m.updateInstance,
 		}
 		go d.watch(ctx)
@@ -77,7 +77,7 @@
 	})
 }
 
-// keyStore has no key at first; reads that may be behind see it a while after it was made.
+// keyStore has no key at first; stale reads see it a while after it was created.
 type keyStore struct {
 	store.Client
 	mu         sync.Mutex
@@ -123,9 +123,9 @@
 	return o, nil
 }
 
-// Each of 295 instances that started together looked for the key of the datagrams, tried
-// to make it and read it again. Now most find the one that a few have tried to make, and
-// all have the same.
+// TestFewCreateTheKeyAtACommonStart guards against each of 295 instances that start together
+// reading the key of the datagrams, trying to create it and reading it again. Most must find
+// the key that a few have tried to create, and all must have the same.
 func TestFewCreateTheKeyAtACommonStart(t *testing.T) {
 	const instances = 295
 	synctest.Test(t, func(t *testing.T) {
@@ -147,13 +147,13 @@
 		for _, n := range keys {
 			require.Equal(t, instances, n)
 		}
-		// A third of keyPause passes at most until the key that was made shows.
+		// At most a third of keyCreateJitter passes until the created key is visible.
 		require.Less(t, s.creates, instances/2)
 		require.Less(t, s.freshReads, instances/2)
 	})
 }
 
-// slowEntryStore answers for entries of instances late.
+// slowEntryStore answers late for entries of instances.
 type slowEntryStore struct{ *keyStore }
 
 func (s slowEntryStore) GetStale(ctx context.Context, kind store.Kind, name string) (store.Object, error) {
@@ -163,9 +163,9 @@
 	return s.keyStore.GetStale(ctx, kind, name)
 }
 
-// TestKeyIsNotReadBehindTheEntry guards against a link between instances that opens a call later
-// than it can: behind a common start of hundreds of instances each call takes a tenth of a second
-// and more.
+// TestKeyReadDoesNotWaitForTheEntry guards against an exchange between instances that opens
+// later than it can, by the duration of a call: when hundreds of instances start together,
+// each call takes a tenth of a second and more.
 func TestKeyReadDoesNotWaitForTheEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		made, err := store.NewObject(store.KindPeerKey, peerKeyName, peerKey{Key: hex.EncodeToString(make([]byte, peer.KeyBytes))})
@@ -179,7 +179,7 @@
 			return nil
 		}}
 		d.run(t.Context())
-		require.GreaterOrEqual(t, time.Since(began), time.Second, "the entry was looked at")
+		require.GreaterOrEqual(t, time.Since(began), time.Second, "the entry was read")
 		require.Less(t, opened, 100*time.Millisecond)
 	})
 }
--- a/daemon/relays.go
+++ b/daemon/relays.go
@@ -16,100 +16,106 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// relays follows, in a large fleet, the members by the word of another instance of the own
-// failure domain that follows the store, and tells them to those that ask this one. A nil one
-// does neither.
+// relays lets an instance of a large fleet follow the members through a relay, which is
+// another instance of its failure domain that follows the store, and serves them to followers
+// if this instance is a relay. A nil relays does neither.
 type relays struct {
 	instance, failureDomain string
-	// address is where this instance answers; empty if it does not.
+	// address is where this instance accepts streams; empty if it does not.
 	address string
-	// fleet is the instances that are listed, known tells whether that list has been read, and
-	// reached is where a listed one answers; empty if that is not known.
+	// fleet returns the listed instances, fleetKnown whether that list has been read, and
+	// streamAddress where a listed instance accepts streams; empty if that is not known.
 	fleet         func() []relay.Instance
 	fleetKnown    func() bool
 	streamAddress func(instance string) string
-	// listedVersion grows with each change of fleet.
+	// fleetVersion grows with each change of fleet.
 	fleetVersion func() int64
-	// holds tells whether this instance places units, and so looks itself.
+	// isHolder reports whether this instance holds the lease, and so follows the store itself.
 	isHolder func() bool
-	// listing is the members as this instance knows them, version grows with their changes.
+	// listing returns the members as this instance knows them, listingVersion grows with their
+	// changes.
 	listing        func() membership.Listing
 	listingVersion func() int64
-	// listedAt is the version of the store as of which listing knows the members, heardAt the
-	// newest version that was heard of, by the store or by others; zero for none.
+	// storeVersion is the version of the store as of which listing knows the members,
+	// newestStoreVersion the newest version that the store or another instance has reported;
+	// zero for none.
 	storeVersion, newestStoreVersion func() evacuation.Version
-	// vouch adds to news what this instance knows besides, and whether that is current, heard
-	// is told of what others add.
+	// attest adds to a delta what else this instance knows, and whether that is current;
+	// onDelta receives what other instances add.
 	attest  func(*relay.Delta)
 	onDelta func(relay.Delta)
-	// holderTells tells whether the holder of the lease tells this instance who leaves.
+	// holderAttests reports whether the lease holder announces leaving endpoints to this
+	// instance.
 	holderAttests func() bool
-	// storeAnswers tells whether the store answers close calls of this instance.
+	// storeAnswers reports whether the store answers the fresh calls of this instance.
 	storeAnswers func() bool
-	// hold is for how long one who is asked may wait for news now, lost for how long a word that
-	// vouches counts.
+	// holdTime returns for how long a relay may hold a request now until there is a change,
+	// attestationLifetime is for how long an attestation counts.
 	holdTime            func() time.Duration
 	attestationLifetime time.Duration
 	log                 logr.Logger
 	now                 func() time.Time
 
-	// following is set while another instance tells this one.
+	// following is set while this instance follows a relay.
 	following atomic.Bool
-	// vouchedAt is when another one last said that what it knows is current; nil for never.
+	// attestedAt is when another instance last attested that what it knows is current; nil if
+	// never.
 	attestedAt atomic.Pointer[time.Time]
-	// failedAt is when none could be asked last; nil for never.
+	// failedAt is when following relays last failed; nil if never.
 	failedAt atomic.Pointer[time.Time]
-	// answered counts questions of others, unanswered own ones.
+	// answered counts answered requests of others, unanswered those of this instance that
+	// failed.
 	answered, unanswered atomic.Int64
 
-	// mu guards the rest.
+	// mu guards the fields below.
 	mu     sync.Mutex
 	server *peer.StreamServer
 	client *peer.StreamClient
 	feed   *relay.Feed
-	// ranked is whom to ask, by what was listed at a version, isAsked whether this instance is
-	// one of those who are asked.
+	// ranked holds the relays to try, in order, as of rankedFleetVersion; isRelay is whether
+	// this instance is a relay.
 	ranked             []string
 	isRelay            bool
 	rankedFleetVersion int64
-	// fedAt is the version of the store as of which feed knows the members.
+	// feedStoreVersion is the version of the store as of which feed knows the members.
 	feedStoreVersion evacuation.Version
-	// takenAt is when feed took the listing last, packed what was told since packedAt, by the
-	// change up to which the asker had been told; -1 stands for the whole.
+	// feedUpdatedAt is when feed last took over the listing. encoded holds the deltas encoded
+	// since encodedAt, by the sequence number that the follower has; fullKey stands for the
+	// full list.
 	feedUpdatedAt time.Time
 	encoded       map[int64][]byte
 	encodedAt     time.Time
 }
 
 const (
-	// relayDial is for how long a relay may not be reached, relayTime for how much longer
-	// than it may hold a question its answer may take: it may be gone.
+	// relayDialTimeout bounds connecting to a relay, relayReplyTimeout how much longer a reply
+	// may take than the relay may hold the request: the relay may be gone.
 	relayDialTimeout  = 700 * time.Millisecond
 	relayReplyTimeout = 700 * time.Millisecond
-	// relayFirst is for how long a relay may take to have a list at all.
+	// relayInitialHold is for how long a relay may hold a request until it has a list at all.
 	relayInitialHold = 2 * time.Second
-	// relayAgain is the same where the one who asks has a list.
+	// relayResumeHold is the same if the follower already has a list.
 	relayResumeHold = 400 * time.Millisecond
-	// relayBlind is for how long a relay may follow neither the store nor the holder of the lease,
-	// while this instance does not hear the holder and the store answers it: the relay may be cut
-	// off. Behind the holder's end, or an outage, it looks closely some tenths of a second later
-	// than others.
+	// relayStoreTimeout is for how long a relay may follow neither the store nor the lease
+	// holder, while this instance has no attestation of the holder and the store answers it:
+	// the relay may be cut off. After the end of the holder, or an outage, a relay starts to
+	// use fresh watches some tenths of a second later than others.
 	relayStoreTimeout = 700 * time.Millisecond
-	// relayLook is the time between two looks of a relay at whether there is news.
+	// relayPollInterval is the time between two checks of a relay for changes.
 	relayPollInterval = 100 * time.Millisecond
-	// relayGather is for how long changes gather, so that those who ask are told the same, and
-	// it is packed once for all; what was packed is told again for packedKept.
+	// relayBatchDelay is for how long changes are batched, so that all followers get the same
+	// delta and it is encoded once; it is reused for encodedLifetime.
 	relayBatchDelay = 250 * time.Millisecond
 	encodedLifetime = 100 * time.Millisecond
-	// mostRelaysAsked is how many are tried before the store is asked.
+	// maxRelayAttempts is how many relays are tried before the store is read.
 	maxRelayAttempts = 2
-	// relayRetry is for how long the store is asked behind a failure of all, worthLook the time
-	// between two looks at whether others are worth asking.
+	// relayRetryDelay is for how long the store is read after all attempts have failed,
+	// followCheckInterval the time between two checks whether a relay can be followed.
 	relayRetryDelay     = 5 * time.Second
 	followCheckInterval = 250 * time.Millisecond
 )
 
-// open begins to answer and to ask, or goes on with another key.
+// open starts to serve and to connect, or switches to another key.
 func (r *relays) open(key []byte) error {
 	if r == nil || r.address == "" {
 		return nil
@@ -144,8 +150,8 @@
 	}
 }
 
-// order is whom to ask, the first one first; nobody in a small fleet, and for one who is asked
-// itself.
+// candidates returns the relays to follow, in order of preference; none in a small fleet, and
+// for an instance that is a relay itself.
 func (r *relays) candidates() []string {
 	if r.isHolder() || !r.fleetKnown() {
 		return nil
@@ -156,7 +162,7 @@
 	return r.ranked
 }
 
-// asked tells whether this instance is one of those that the others ask.
+// servesFollowers reports whether this instance is one of the relays.
 func (r *relays) servesFollowers() bool {
 	if r == nil || r.address == "" || !r.fleetKnown() {
 		return false
@@ -167,7 +173,7 @@
 	return r.isRelay
 }
 
-// rank finds whom to ask, where another fleet is listed than before; mu must be held.
+// updateRanking selects and ranks the relays if the fleet has changed; mu must be held.
 func (r *relays) updateRanking() {
 	fleetVersion := r.fleetVersion()
 	if fleetVersion == r.rankedFleetVersion {
@@ -178,7 +184,7 @@
 	r.isRelay = slices.Contains(selected, r.instance)
 }
 
-// worthAsking tells whether another instance is to be asked.
+// canFollow reports whether a relay is to be followed.
 func (r *relays) canFollow() bool {
 	if at := r.failedAt.Load(); at != nil && r.now().Sub(*at) < relayRetryDelay {
 		return false
@@ -186,7 +192,7 @@
 	return r.streamClient() != nil && len(r.candidates()) > 0
 }
 
-// awaitWorthAsking returns when another instance is to be asked, or ctx has ended.
+// awaitCanFollow returns when a relay is to be followed, or ctx has ended.
 func (r *relays) awaitCanFollow(ctx context.Context) {
 	if r == nil {
 		<-ctx.Done()
@@ -202,10 +208,11 @@
 	return r.client
 }
 
-// tells tells whether another instance has lately vouched for what it tells this one.
+// attested reports whether a relay has recently attested that what it serves to this instance
+// is current.
 func (r *relays) attested() bool { return r != nil && r.attestationAge() < r.attestationLifetime }
 
-// vouchedAge is how long ago another instance last vouched.
+// attestationAge returns how long ago a relay last attested; neverConfirmed if none has.
 func (r *relays) attestationAge() time.Duration {
 	if r == nil || r.attestedAt.Load() == nil {
 		return neverConfirmed
--- a/daemon/relays_test.go
+++ b/daemon/relays_test.go
@@ -19,25 +19,26 @@
 	"github.com/eiderspring/eiderspring/relay"
 )
 
-// relaySite is a large fleet in one failure domain, of which the first relay.PerDomain are
-// strong. Only those that were started answer.
-type relaySite struct {
+// relayFleet is a large fleet in one failure domain, of which the first relay.RelaysPerDomain
+// instances are strong. Only the started ones answer.
+type relayFleet struct {
 	t  *testing.T
 	mu sync.Mutex
-	// addresses are where instances answer, members what those know that follow the store.
+	// addresses are where instances accept streams, members what those that follow the store
+	// know.
 	addresses map[string]string
 	members   membership.Listing
-	// blind is set while those that are asked do not follow the store, holderTells while the
-	// holder of the lease is heard, storeAnswers while the store answers the one that follows.
-	notFollowing, holderTells, storeAnswers atomic.Bool
+	// notFollowing is set while the relays do not follow the store, holderAttests while the
+	// lease holder attests, storeAnswers while the store answers the follower.
+	notFollowing, holderAttests, storeAnswers atomic.Bool
 }
 
-// vouch adds what one who is asked says of itself.
-func (s *relaySite) attest(n *relay.Delta) {
+// attest adds what a relay reports of itself.
+func (s *relayFleet) attest(n *relay.Delta) {
 	n.Current, n.FollowsStore, n.Revision = !s.notFollowing.Load(), !s.notFollowing.Load(), 7
 }
 
-func (s *relaySite) fleet() []relay.Instance {
+func (s *relayFleet) fleet() []relay.Instance {
 	var instances []relay.Instance
 	for i := range relay.MaxDirectReaders + 1 {
 		cores := 0.2
@@ -49,8 +50,8 @@
 	return instances
 }
 
-// list changes what the store tells.
-func (s *relaySite) list(names ...string) {
+// list changes the members in the store.
+func (s *relayFleet) list(names ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.members.Version++
@@ -60,18 +61,18 @@
 	}
 }
 
-func (s *relaySite) listing() membership.Listing {
+func (s *relayFleet) listing() membership.Listing {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.members
 }
 
-func (s *relaySite) storeVersion() evacuation.Version {
+func (s *relayFleet) storeVersion() evacuation.Version {
 	return evacuation.Version{Revision: s.listing().Version}
 }
 
-// start starts an instance's part.
-func (s *relaySite) start(name string) *relays {
+// start starts the relaying of an instance.
+func (s *relayFleet) start(name string) *relays {
 	s.t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(s.t, err)
@@ -80,7 +81,7 @@
 	r := &relays{
 		instance: name, failureDomain: "z", address: address, fleet: s.fleet, fleetKnown: func() bool { return true }, fleetVersion: func() int64 { return 1 },
 		isHolder: func() bool { return false }, listing: s.listing, listingVersion: func() int64 { return s.listing().Version },
-		attest: s.attest, holderAttests: s.holderTells.Load, storeAnswers: s.storeAnswers.Load, onDelta: func(relay.Delta) {}, feed: relay.NewFeed("p-" + name),
+		attest: s.attest, holderAttests: s.holderAttests.Load, storeAnswers: s.storeAnswers.Load, onDelta: func(relay.Delta) {}, feed: relay.NewFeed("p-" + name),
 		holdTime: func() time.Duration { return 100 * time.Millisecond }, attestationLifetime: time.Second, log: logr.Discard(), now: time.Now,
 		storeVersion: s.storeVersion, newestStoreVersion: func() evacuation.Version { return evacuation.Version{} },
 		streamAddress: func(name string) string {
@@ -97,7 +98,7 @@
 	return r
 }
 
-// follower is an instance that follows relays, and what it knows by them.
+// follower is an instance that follows relays, and the members that it knows from them.
 type follower struct {
 	*relays
 	mu      sync.Mutex
@@ -106,7 +107,7 @@
 	ended   chan struct{}
 }
 
-func (s *relaySite) follow(name string) *follower {
+func (s *relayFleet) follow(name string) *follower {
 	f := &follower{relays: s.start(name), entries: membership.NewEntries(), ended: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	f.stop = cancel
@@ -137,32 +138,32 @@
 
 const relayTestTimeout = 20 * time.Second
 
-// TestMembersAreToldByRelays follows a relay through changes. The relay that is asked first is
-// gone; behind the end of the other one the store is to be asked.
+// TestMembersAreFollowedFromRelays follows a relay through changes. The preferred relay is
+// gone; after the end of the other one, the store is to be read.
 func TestMembersAreFollowedFromRelays(t *testing.T) {
-	s := &relaySite{t: t, addresses: map[string]string{}}
+	s := &relayFleet{t: t, addresses: map[string]string{}}
 	order := relay.Rank("i50", relay.Select("z", s.fleet()))
 	require.Len(t, order, relay.RelaysPerDomain)
 	server := s.start(order[1])
 	s.list("a", "b")
 	f := s.follow("i50")
 	require.Eventually(t, func() bool { return len(f.names()) == 2 }, relayTestTimeout, 10*time.Millisecond)
-	require.Eventually(t, f.attested, relayTestTimeout, 10*time.Millisecond, "its word vouches")
+	require.Eventually(t, f.attested, relayTestTimeout, 10*time.Millisecond, "the relay attests")
 	s.list("b", "c", "d")
 	require.Eventually(t, func() bool {
 		names := f.names()
 		return len(names) == 3 && f.following.Load()
 	}, relayTestTimeout, 10*time.Millisecond)
 	require.ElementsMatch(t, []string{"b", "c", "d"}, f.names())
-	require.False(t, server.canFollow(), "a relay asks the store")
+	require.False(t, server.canFollow(), "a relay reads the store")
 	server.close()
 	<-f.ended
-	require.False(t, f.canFollow(), "the store is asked for a while")
+	require.False(t, f.canFollow(), "the store is read for a while")
 }
 
-// TestNoneGoInCircles asks one that follows another itself.
+// TestFollowerServesNobody follows an instance that follows a relay itself.
 func TestFollowerServesNobody(t *testing.T) {
-	s := &relaySite{t: t, addresses: map[string]string{}}
+	s := &relayFleet{t: t, addresses: map[string]string{}}
 	order := relay.Rank("i50", relay.Select("z", s.fleet()))
 	s.list("a")
 	s.start(order[0]).following.Store(true)
@@ -171,10 +172,11 @@
 	require.Empty(t, f.names())
 }
 
-// TestNewsIsPackedOnceForAll has many instances ask for the same news: 65 of them each had a
-// packing of its own of every change, more than a relay's processor bears while entries come in.
+// TestDeltaIsEncodedOnceForAll has many instances request the same delta: encoding every
+// change separately for each of 65 followers takes more processor time than a relay has while
+// entries arrive.
 func TestDeltaIsEncodedOnceForAll(t *testing.T) {
-	s := &relaySite{t: t, addresses: map[string]string{}}
+	s := &relayFleet{t: t, addresses: map[string]string{}}
 	r := s.start("i0")
 	now := time.Unix(1000, 0)
 	r.now = func() time.Time { return now }
@@ -188,7 +190,7 @@
 	known := peer.MembersRequest{Process: n.Process, Seq: n.Seq}
 	s.list("a", "b")
 	_, ok = r.encodedDelta(known, false)
-	require.False(t, ok, "changes gather")
+	require.False(t, ok, "changes are batched")
 	now = now.Add(relayBatchDelay)
 	first, ok := r.encodedDelta(known, false)
 	require.True(t, ok)
@@ -196,13 +198,14 @@
 	require.Same(t, &first[0], &second[0])
 	now = now.Add(encodedLifetime)
 	later, _ := r.encodedDelta(known, false)
-	require.NotSame(t, &first[0], &later[0], "what vouches is not told for long")
+	require.NotSame(t, &first[0], &later[0], "an attestation is not reused for long")
 }
 
-// TestOlderMembersOfARelayAreNotTaken has an instance know by the store that an endpoint has
-// left, and a relay that is behind: the endpoint took requests again.
+// TestOlderMembersOfARelayAreNotTaken guards against an endpoint that receives requests again
+// although it has left: the instance knows from the store that it has, and follows a lagging
+// relay.
 func TestOlderMembersOfARelayAreNotTaken(t *testing.T) {
-	s := &relaySite{t: t, addresses: map[string]string{}}
+	s := &relayFleet{t: t, addresses: map[string]string{}}
 	s.list("leaves", "stays")
 	for _, name := range relay.Select("z", s.fleet()) {
 		s.start(name)
@@ -226,10 +229,10 @@
 	require.Equal(t, evacuation.Version{Revision: 2}, version)
 }
 
-// TestNewsTellsNoLaterVersionThanItsMembers changes the members of a relay that gathers changes:
-// its news must not claim to be of the store as it is by then.
+// TestDeltaCarriesNoLaterVersionThanItsMembers changes the members of a relay that batches
+// changes: its delta must not claim the version that the store has by then.
 func TestDeltaCarriesNoLaterVersionThanItsMembers(t *testing.T) {
-	s := &relaySite{t: t, addresses: map[string]string{}}
+	s := &relayFleet{t: t, addresses: map[string]string{}}
 	r := s.start("i0")
 	now := time.Unix(1000, 0)
 	r.now = func() time.Time { return now }
@@ -252,30 +255,32 @@
 	require.Len(t, n.Members, 2)
 }
 
-// TestRelayReadsTheStoreBeforeItsLinkOpens starts a relay that does not know the key of the link
-// yet: it read the list only behind that, and behind a common start all others waited for it.
+// TestRelayReadsTheStoreBeforeItsLinkOpens starts a relay that does not know the key of the
+// datagrams yet: if it read the list only after that, all followers would wait for it at a
+// common start.
 func TestRelayReadsTheStoreBeforeItsLinkOpens(t *testing.T) {
-	s := &relaySite{t: t, addresses: map[string]string{}}
+	s := &relayFleet{t: t, addresses: map[string]string{}}
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		unopened := func(name string) *relays {
+		withoutKey := func(name string) *relays {
 			return &relays{
 				instance: name, failureDomain: "z", address: "127.0.0.1:1", fleet: s.fleet, fleetVersion: func() int64 { return 1 },
 				fleetKnown: func() bool { return time.Since(began) >= 100*time.Millisecond }, isHolder: func() bool { return false }, now: time.Now,
 				newestStoreVersion: func() evacuation.Version { return evacuation.Version{} }, streamAddress: func(string) string { return "" }, log: logr.Discard(),
 			}
 		}
-		unopened(relay.Select("z", s.fleet())[0]).follow(t.Context(), nil)
+		withoutKey(relay.Select("z", s.fleet())[0]).follow(t.Context(), nil)
 		require.Less(t, time.Since(began), 200*time.Millisecond)
-		unopened("i50").follow(t.Context(), func(membership.EntryEvent) {})
-		require.GreaterOrEqual(t, time.Since(began), initialFollowWait, "the others wait for relays")
+		withoutKey("i50").follow(t.Context(), func(membership.EntryEvent) {})
+		require.GreaterOrEqual(t, time.Since(began), initialFollowWait, "followers wait for relays")
 	})
 }
 
-// TestRelaysLookCloselyFromTheirStart guards against endpoints that leave right behind a common
-// start and are not known to for seconds: nobody vouches yet, and all others go by the relays.
+// TestRelaysFollowTheStoreFromTheirStart guards against endpoints that leave right after a
+// common start and are not known to leave for seconds: nobody attests yet, and all other
+// instances rely on the relays.
 func TestRelaysFollowTheStoreFromTheirStart(t *testing.T) {
-	s := &relaySite{t: t}
+	s := &relayFleet{t: t}
 	now := time.Now()
 	for _, c := range []struct {
 		instance string
@@ -293,27 +298,27 @@
 	}
 	small := attestingNode(&now)
 	small.startedAt, small.mesh.isHolder = now, func() bool { return false }
-	require.True(t, small.starting(), "in a small fleet nobody asks others")
+	require.True(t, small.starting(), "in a small fleet there are no relays")
 }
 
-// TestRelayThatDoesNotFollowTheStoreIsLeft cuts relays off from the store while nobody holds the
-// lease: who went by them did not hear of endpoints that leave, though the store would have
-// told it.
+// TestRelayThatDoesNotFollowTheStoreIsDropped cuts relays off from the store while there is no
+// lease holder: their followers would not learn of leaving endpoints, although the store would
+// report them.
 func TestRelayThatDoesNotFollowTheStoreIsDropped(t *testing.T) {
-	s := &relaySite{t: t, addresses: map[string]string{}}
+	s := &relayFleet{t: t, addresses: map[string]string{}}
 	for _, name := range relay.Select("z", s.fleet()) {
 		s.start(name)
 	}
 	s.list("a")
 	f := s.follow("i50")
 	require.Eventually(t, f.attested, relayTestTimeout, 10*time.Millisecond)
-	s.holderTells.Store(true)
+	s.holderAttests.Store(true)
 	s.notFollowing.Store(true)
-	require.Eventually(t, func() bool { return !f.attested() }, relayTestTimeout, 10*time.Millisecond, "it does not vouch")
-	require.True(t, f.following.Load(), "the holder's word tells who leaves")
-	s.holderTells.Store(false)
+	require.Eventually(t, func() bool { return !f.attested() }, relayTestTimeout, 10*time.Millisecond, "the relay does not attest")
+	require.True(t, f.following.Load(), "the holder announces leaving endpoints")
+	s.holderAttests.Store(false)
 	time.Sleep(2 * relayStoreTimeout)
-	require.True(t, f.following.Load(), "the store is away for all")
+	require.True(t, f.following.Load(), "the store is unreachable for all")
 	s.storeAnswers.Store(true)
 	require.Eventually(t, func() bool {
 		select {
@@ -323,5 +328,5 @@
 			return false
 		}
 	}, relayTestTimeout, 10*time.Millisecond)
-	require.EqualValues(t, maxRelayAttempts, f.unanswered.Load(), "the store is asked")
+	require.EqualValues(t, maxRelayAttempts, f.unanswered.Load(), "the store is read")
 }
--- a/daemon/relaysfollow.go
+++ b/daemon/relaysfollow.go
@@ -12,11 +12,12 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// firstWait is for how long a new process waits for others to be worth asking: in a large
-// fleet it would read the whole list from the store. One that others ask does not wait.
+// initialFollowWait is for how long a new process waits until it can follow a relay: without
+// one, it would read the whole list of a large fleet from the store. A relay itself does not
+// wait.
 const initialFollowWait = 1500 * time.Millisecond
 
-// follow puts what others tell of the members, for as long as one does.
+// follow applies what relays send of the members, for as long as one can be followed.
 func (r *relays) follow(ctx context.Context, apply func(membership.EntryEvent)) {
 	if r == nil || r.address == "" {
 		return
@@ -40,8 +41,8 @@
 	}
 }
 
-// followOne follows one relay for as long as it answers and is to be asked. It tells whether it
-// has answered at all.
+// followOne follows one relay for as long as it answers and is to be followed. It reports
+// whether the relay has answered at all.
 func (r *relays) followOne(ctx context.Context, name string, apply func(membership.EntryEvent)) (answered bool) {
 	start := r.now()
 	session, err := r.dial(ctx, name)
@@ -69,7 +70,7 @@
 			return false
 		}
 		if !answered {
-			r.log.Info("members told", "by", name, "members", len(delta.Members), "took_ms", r.now().Sub(start).Milliseconds())
+			r.log.Info("following relay", "by", name, "members", len(delta.Members), "took_ms", r.now().Sub(start).Milliseconds())
 			apply(membership.StoreAnswered{})
 		}
 		answered = true
@@ -87,8 +88,9 @@
 	return answered
 }
 
-// firstQuestion asks for the whole, as of what is known here or later. One who knows members
-// already does not wait for long, as nobody tells it meanwhile who leaves.
+// initialRequest asks for the full list, as of the version known here or a later one. An
+// instance that already knows members does not wait for long, as nobody reports leaving
+// endpoints to it meanwhile.
 func (r *relays) initialRequest() peer.MembersRequest {
 	newest := r.newestStoreVersion()
 	if newest == (evacuation.Version{}) {
@@ -99,23 +101,24 @@
 
 func (r *relays) recordFailure(name string, err error) {
 	r.unanswered.Add(1)
-	r.log.Info("members not told", "by", name, "error", err.Error())
+	r.log.Info("relay not followed", "by", name, "error", err.Error())
 }
 
-// errOlder is news of members as they were before what is known here.
-var errOutdatedMembers = errors.New("its members are older than those known here")
+// errOutdatedMembers means that a relay sent members as of a version before the one known
+// here.
+var errOutdatedMembers = errors.New("the relay's members are older than those known here")
 
-// errBlind is a relay that does not follow the store itself, and nobody else's word.
-var errNotFollowingStore = errors.New("it does not follow the store")
+// errNotFollowingStore means that a relay follows neither the store nor the lease holder.
+var errNotFollowingStore = errors.New("the relay does not follow the store")
 
-// sees tells whether endpoints that leave are told by a relay's news, or by the holder of the
-// lease, as far as the store can tell it at all.
+// noticesLeaving reports whether leaving endpoints are reported by a relay or by the lease
+// holder, or the store could not report them anyway.
 func (r *relays) noticesLeaving(delta relay.Delta) bool {
 	return delta.Current || delta.FollowsStore || r.holderAttests() || !r.storeAnswers()
 }
 
-// older tells whether news is of members as they were before what is known here: a member that
-// has left would take requests again.
+// isOutdated reports whether a delta has members as of a version before the one known here: a
+// member that has left would receive requests again.
 func (r *relays) isOutdated(delta relay.Delta) bool {
 	version := storeVersionOf(delta)
 	return version != evacuation.Version{} && version.Compare(r.newestStoreVersion()) < 0
@@ -125,8 +128,8 @@
 	return evacuation.Version{Era: delta.StoreEra, Revision: delta.StoreRevision}
 }
 
-// errNotOpen is an instance that cannot be asked yet.
-var errNotOpen = errors.New("no stream to the instance")
+// errNotOpen means that an instance cannot be reached by streams yet.
+var errNotOpen = errors.New("no stream connection to the instance")
 
 func (r *relays) dial(ctx context.Context, name string) (*peer.Session, error) {
 	client, address := r.streamClient(), r.streamAddress(name)
--- a/daemon/relaysserve.go
+++ b/daemon/relaysserve.go
@@ -9,9 +9,9 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// answer answers another instance: at once where there is news, or when it has waited for as
-// long as it lets. One that follows another itself does not answer, so that none goes in
-// circles.
+// answer replies to a follower: at once if there are changes, or when it has waited for the
+// time that the request permits. An instance that follows a relay itself does not reply, so
+// that there are no cycles.
 func (r *relays) answer(ctx context.Context, q peer.Request) peer.Reply {
 	if q.Members == nil {
 		return peer.Reply{}
@@ -30,7 +30,8 @@
 	return peer.Reply{}
 }
 
-// news is what is new for one who asks, packed; false if there is nothing, and it is not over.
+// encodedDelta returns the encoded changes for a follower. Unless the time of the request has
+// expired, it returns false if there is no change yet.
 func (r *relays) encodedDelta(q peer.MembersRequest, expired bool) (data []byte, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,20 +55,21 @@
 	r.attest(&delta)
 	data, err := relay.Encode(delta)
 	if err != nil {
-		r.log.Error(err, "members not packed")
+		r.log.Error(err, "members delta not encoded")
 		return nil, false
 	}
 	r.encoded[key] = data
 	return data, true
 }
 
-// wholeKey stands for the whole among what was packed.
+// fullKey stands for the full list among the encoded deltas.
 const fullKey = -1
 
-// take takes the listing if it has changed, now and then; mu must be held.
+// refreshFeed takes over the listing if it has changed, at most once per relayBatchDelay; mu
+// must be held.
 func (r *relays) refreshFeed() {
 	now := r.now()
-	// What is listed later is of this version or a later one.
+	// A listing read after this is as of this version or a later one.
 	storeVersion, differs := r.storeVersion(), r.listingVersion() != r.feed.ListingVersion()
 	changed := differs && now.Sub(r.feedUpdatedAt) >= relayBatchDelay
 	if changed {
@@ -82,10 +84,10 @@
 	}
 }
 
-// relayStats is what operators see of who tells whom.
+// relayStats is what operators see of following and serving.
 type relayStats struct {
-	// Following is whether another instance tells this one, Answered how many questions of
-	// others this one has answered, Unanswered how many own ones were not.
+	// Following is whether this instance follows a relay, Answered how many requests of others
+	// it has answered, Unanswered how many of its own requests failed.
 	Following  bool  `json:"following"`
 	Answered   int64 `json:"answered"`
 	Unanswered int64 `json:"unanswered"`
--- a/daemon/totals.go
+++ b/daemon/totals.go
@@ -8,38 +8,40 @@
 	"github.com/eiderspring/eiderspring/peer"
 )
 
-// totals is the hub's word on what all instances have under way.
+// totals is the total load of the fleet as the coordinator announced it last, and the state of
+// the attestations that its announcements carry.
 type totals struct {
 	mu          sync.Mutex
 	coordinator string
 	receivedAt  time.Time
-	// currentAt is when the hub last said that what it knows is current.
+	// attestedAt is when the coordinator last attested that what it knows is current.
 	attestedAt time.Time
-	// vouchedSince is since when it has said so without a break.
+	// attestedSince is since when it has attested without a gap.
 	attestedSince time.Time
-	// endpoints is the hub's digest of the endpoints, of its last word that vouches.
+	// endpointsDigest is the coordinator's digest of the endpoints in its last attestation.
 	endpointsDigest uint64
 	loads           map[string]totalLoad
-	// holderLost is for how long a word that vouches counts, leastHolderLost at least.
+	// holderTimeout is for how long an attestation counts, minHolderTimeout at least.
 	holderTimeout time.Duration
-	// own is what this instance told last; the hub's sums hold it.
+	// own is the load that this instance reported last; the coordinator's totals include it.
 	own map[string]peer.EndpointLoad
 }
 
-// totalLoad is the sum at one endpoint and when it was told.
+// totalLoad is the total load at one endpoint and when it was received.
 type totalLoad struct {
 	peer.EndpointLoad
 	at time.Time
 }
 
-// totalsExpiry is how long the hub's word counts, and sumExpiry its sum of an endpoint: where a
-// narrow link serves many instances it is told again seconds later, unless it changes.
+// totalsExpiry is for how long the coordinator's announcements count, endpointTotalExpiry the
+// same for the total of one endpoint: where a narrow link serves many instances, an unchanged
+// total is sent again only seconds later.
 const (
 	totalsExpiry        = 1500 * time.Millisecond
 	endpointTotalExpiry = 5 * time.Second
 )
 
-// take takes a word of the hub; it comes in several packets.
+// receive applies one packet of an announcement, which may span several.
 func (t *totals) receive(now time.Time, p peer.Packet) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -58,7 +60,7 @@
 	}
 }
 
-// tell records what this instance tells.
+// recordOwn records the load that this instance reports.
 func (t *totals) recordOwn(own []peer.EndpointLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,7 +70,7 @@
 	}
 }
 
-// others is the sums less what this instance told.
+// others returns the totals without the load that this instance reported.
 func (t *totals) others(now time.Time) map[string]peer.EndpointLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,7 +82,7 @@
 	return out
 }
 
-// less is a sum less what this instance told.
+// subtractOwn returns a total without the load that this instance reported.
 func (t *totals) subtractOwn(l peer.EndpointLoad) peer.EndpointLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,19 +96,20 @@
 	}
 }
 
-// fresh tells whether sums have been told lately.
+// fresh reports whether totals were received recently.
 func (t *totals) fresh(now time.Time) bool { return t.silence(now) < totalsExpiry }
 
-// vouched tells whether the hub has said lately that what it knows is current.
+// attested reports whether the coordinator has recently attested that what it knows is
+// current.
 func (t *totals) attested(now time.Time) bool {
 	return t.attestationAge(now) < t.attestationLifetime()
 }
 
-// lost is for how long a word that vouches counts.
+// attestationLifetime returns for how long an attestation counts.
 func (t *totals) attestationLifetime() time.Duration { return max(t.holderTimeout, minHolderTimeout) }
 
-// storeThere is since when, by the holder's word, the store has been there for it
-// without a break; zero if it does not vouch now.
+// storeBackSince returns since when the store has answered the lease holder without a break,
+// according to its attestations; zero if no attestation is valid now.
 func (t *totals) storeBackSince(now time.Time) time.Time {
 	if !t.attested(now) {
 		return time.Time{}
@@ -116,14 +119,16 @@
 	return t.attestedSince
 }
 
-// toldEndpoints is the hub's digest of the endpoints; 0 where it tells none.
+// holderEndpointsDigest returns the coordinator's digest of the endpoints; 0 if it announces
+// none.
 func (t *totals) holderEndpointsDigest() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.endpointsDigest
 }
 
-// vouchedAge is how long ago the hub last said that what it knows is current.
+// attestationAge returns how long ago the coordinator last attested that what it knows is
+// current; neverConfirmed if it never did.
 func (t *totals) attestationAge(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,14 +138,14 @@
 	return now.Sub(t.attestedAt)
 }
 
-// silent is how long ago the hub was heard.
+// silence returns how long ago the coordinator was last in contact.
 func (t *totals) silence(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Sub(t.receivedAt)
 }
 
-// address is where the hub receives packets.
+// address returns where the coordinator receives packets.
 func (t *totals) address() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -17,58 +17,59 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// viewDuty builds the routing view from what the other duties learn. It alone
-// writes the fields below.
+// viewDuty builds the routing view from the events of the other duties. It alone writes the
+// fields below.
 type viewDuty struct {
 	events *ring.Ring[event]
 	router *routing.Router
 	log    logr.Logger
 	now    func() time.Time
-	// applied is told of events that are in force; nil tells nobody.
+	// applied counts the events that are in force; may be nil.
 	applied *applied
-	// heardAgo is how long ago another instance was first heard to have a revision or a later
-	// one, neverConfirmed if none was; nil means that nobody knows.
+	// sinceRevisionSeen returns how long ago another instance first reported this revision or
+	// a later one, neverConfirmed if none has; nil means that this is not known.
 	sinceRevisionSeen func(revision int64) time.Duration
-	// catalog puts a revision in force.
+	// resolve puts a revision in force and returns its catalog.
 	resolve func(*revision.Accepted) *settings.Catalog
-	// cells gives the settings and the list to the cells.
+	// updateCells passes the settings and the list to the cells.
 	updateCells func(*settings.Catalog, *membership.List)
-	// peers gives the list to the link between instances.
+	// updatePeers passes the list to the exchange with the other instances.
 	updatePeers func(*membership.List)
 	notify      func()
-	// leaving is told of each endpoint that begins to leave; nil tells nobody.
+	// onLeaving is called for each endpoint that begins to leave; may be nil.
 	onLeaving func(endpoint endpointStart)
-	// differs tells whether the holder of the lease is known to list other endpoints than
-	// this instance; nil means that nobody knows.
+	// listDiffers reports whether the lease holder is known to list other endpoints than this
+	// instance; nil means that this is not known.
 	listDiffers func() bool
-	// listed is told the digest of the list when it has changed; nil tells nobody.
+	// onDigest receives the digest of the list when it has changed; may be nil.
 	onDigest func(digest uint64)
 
-	// cold is told of endpoints that are cold for some time; nil tells nobody.
+	// onCold is called for endpoints that are cold for some time; may be nil.
 	onCold func(e *routing.Endpoint, perSecond float64, remaining time.Duration)
 
-	// told are the failure domains that the platform has evacuated, evacuated those and the
-	// ones that the settings evacuate.
+	// platformEvacuated holds the failure domains that the platform has evacuated, evacuated
+	// these and the ones that the settings evacuate.
 	platformEvacuated []string
 	evacuated         map[string]bool
-	// warming are the failure domains that are evacuated no longer since the last view.
+	// warming holds the failure domains whose evacuation has ended since the last view.
 	warming map[string]bool
-	// coldSaid holds the endpoints whose entries say since the last view that they are cold.
+	// coldReported holds the endpoints that have been reported as cold by their entries since
+	// the last view.
 	coldReported map[string]int64
 
 	accepted  *revision.Accepted
 	resolved  *settings.Catalog
 	list      *membership.List
 	endpoints map[string]*routing.Endpoint
-	// withdrawnUntil holds endpoints that another instance says take no more work.
+	// withdrawnUntil holds endpoints that another instance reports as accepting no more work.
 	withdrawnUntil map[string]withdrawal
-	// residency is what each endpoint holds.
+	// residency holds the units of each endpoint.
 	residency residency
-	// placedAt holds the endpoints whose units have changed since the last view, and whole is
-	// set where something else has.
+	// changedEndpoints holds the endpoints whose units have changed since the last view;
+	// fullRebuild is set if anything else has.
 	changedEndpoints []string
 	fullRebuild      bool
-	// replicas is which endpoints serve each unit.
+	// replicas holds the endpoints that serve each unit.
 	replicas replicas
 }
 
@@ -93,12 +94,12 @@
 	}
 }
 
-// placedGather is how long placements gather before the view is built again: their words
-// come in bursts of packets, and with 245 endpoints two thirds of an instance's own
-// processor time went into views that the next packet made old.
+// placementBatchDelay is how long placements are batched before the view is rebuilt: they
+// arrive in bursts of packets, and with 245 endpoints an instance spent two thirds of its own
+// processor time on views that the next packet made obsolete.
 const placementBatchDelay = 15 * time.Millisecond
 
-// gathered records the events that wait behind e, and tells how many these were and whether
+// drainEvents applies the events that are queued after e. It returns their number, and whether
 // the view must be rebuilt for them.
 func (d *viewDuty) drainEvents(ctx context.Context, e event) (taken int64, changed bool) {
 	if _, placed := e.(placementsTold); placed {
@@ -115,10 +116,10 @@
 	return taken, changed
 }
 
-// wordsLook is the time between two looks at whether words on endpoints have run out.
+// withdrawalCheckInterval is the time between two checks for expired withdrawals.
 const withdrawalCheckInterval = time.Second
 
-// next returns the next event, or nil after a while if words may have run out.
+// next returns the next event, or nil after a while if withdrawals may have expired.
 func (d *viewDuty) next(ctx context.Context) (event, error) {
 	if len(d.withdrawnUntil) == 0 {
 		return d.events.Take(ctx)
@@ -132,11 +133,11 @@
 	return e, err
 }
 
-// forgetWords drops the words of other instances that have run out, and tells whether
-// there were any: an endpoint whose entry had only lapsed takes requests again.
+// expireWithdrawals drops the expired withdrawals reported by other instances, and reports
+// whether there were any: an endpoint whose entry had only lapsed accepts requests again.
 //
-// A word does not run out, but for wordsMost, while the holder of the lease lists other
-// endpoints than this instance: no list has come since that would tell.
+// While the lease holder lists other endpoints than this instance, a withdrawal lasts longer
+// by maxWithdrawalExtension: no list that would confirm or refute it has arrived since.
 func (d *viewDuty) expireWithdrawals() bool {
 	known := len(d.withdrawnUntil)
 	now := d.now()
@@ -149,11 +150,11 @@
 	return forgotten
 }
 
-// wordsMost is for how much longer a word counts, at most, while no list comes: longer
-// than an instance is cut off from the store.
+// maxWithdrawalExtension is for how much longer a withdrawal counts, at most, while no list
+// arrives: longer than an instance is cut off from the store.
 const maxWithdrawalExtension = 12 * time.Second
 
-// apply records an event and tells whether the view must be rebuilt.
+// apply applies an event and reports whether the view must be rebuilt.
 func (d *viewDuty) apply(e event) bool {
 	switch e := e.(type) {
 	case loadReported:
@@ -167,7 +168,7 @@
 	}
 }
 
-// applyMembers records an event that concerns the settings, or who the endpoints are.
+// applyMembers applies an event that changes the settings or the set of endpoints.
 func (d *viewDuty) applyMembers(e event) bool {
 	switch e := e.(type) {
 	case settingsAccepted:
@@ -178,7 +179,7 @@
 	case membersListed:
 		changes := d.list.Step(d.now(), membership.Listed{Listing: e.listing})
 		for _, c := range changes {
-			d.noteLeaving(c)
+			d.reportLeaving(c)
 			d.noteCold(c)
 			d.log.V(1).Info("member", "name", c.Member.Name, "pool", c.Member.Pool, "state", c.Member.State, "address", c.Member.Address)
 		}
@@ -197,7 +198,8 @@
 	}
 }
 
-// inform tells the cells what has changed.
+// informDuties passes the settings and the list to the duties that depend on them. It returns
+// true.
 func (d *viewDuty) informDuties() bool {
 	d.updatePeers(d.list)
 	if d.resolved != nil {
@@ -206,7 +208,7 @@
 	return true
 }
 
-// accept takes a revision, never one below that in force.
+// accept puts a revision in force unless it is not newer than the current one.
 func (d *viewDuty) accept(e settingsAccepted) bool {
 	a := e.accepted
 	if d.accepted != nil && a.Entry.Revision <= d.accepted.Entry.Revision {
@@ -223,8 +225,8 @@
 	return true
 }
 
-// heardMS is how long ago, in milliseconds, another instance was first heard to have a revision
-// or a later one; -1 if none was.
+// revisionSeenMS returns how long ago, in milliseconds, another instance first reported this
+// revision or a later one; -1 if none has.
 func (d *viewDuty) revisionSeenMS(revision int64) int64 {
 	if d.sinceRevisionSeen == nil {
 		return -1
@@ -251,38 +253,38 @@
 	return changed
 }
 
-// withdrawnTime is for how long another instance's word that an endpoint leaves
-// counts. By then the own list tells, also where it is seconds behind; an endpoint
-// whose entry only lapsed is back.
+// withdrawalLifetime is for how long another instance's report that an endpoint leaves counts.
+// By then this instance's own list shows it, even if it is seconds behind; an endpoint whose
+// entry had only lapsed is back.
 const withdrawalLifetime = 4 * time.Second
 
-// withdrawn takes another instance's word on endpoints. One that the own list does
-// not hold yet may come by an answer from before the word.
+// applyWithdrawals applies another instance's report of leaving endpoints. It also counts for
+// an endpoint that is not listed yet: an older answer may still list it as live.
 func (d *viewDuty) applyWithdrawals(starts []endpointStart) bool {
 	changed := false
 	for _, s := range starts {
 		e, listed := d.endpoints[s.name]
 		if listed && !s.concerns(e.StartedAtMS) {
-			// It has been started again since.
+			// It has been restarted since.
 			continue
 		}
 		if w, known := d.withdrawnUntil[s.name]; !known || w.startedAtMS < s.startedAtMS {
 			changed = changed || listed
-			d.log.Info("endpoint leaves", "endpoint", s.name, "by", "the holder's word", "listed", listed)
+			d.log.Info("endpoint leaves", "endpoint", s.name, "by", "the lease holder", "listed", listed)
 		}
 		d.withdrawnUntil[s.name] = withdrawal{startedAtMS: s.startedAtMS, at: d.now().Add(withdrawalLifetime)}
 	}
 	return changed
 }
 
-// withheld tells whether another instance's word keeps requests from a member.
+// withheld reports whether another instance's report keeps requests from a member.
 func (d *viewDuty) withheld(m membership.Member) bool {
 	w, known := d.withdrawnUntil[m.Name]
 	return known && endpointStart{m.Name, w.startedAtMS}.concerns(m.StartedAtMS)
 }
 
-// noteLeaving tells that an endpoint has begun to leave or has gone.
-func (d *viewDuty) noteLeaving(c membership.Change) {
+// reportLeaving reports an endpoint that has begun to leave or has gone.
+func (d *viewDuty) reportLeaving(c membership.Change) {
 	if c.Member.State == membership.Live || c.Member.Pool == membership.InstancePool {
 		return
 	}
@@ -292,7 +294,7 @@
 	}
 }
 
-// placed takes the word of the instance that places units.
+// applyPlacements applies placements of the instance that places units.
 func (d *viewDuty) applyPlacements(e placementsTold) bool {
 	known := len(d.changedEndpoints)
 	for _, p := range e.placements {
@@ -303,7 +305,7 @@
 	return len(d.changedEndpoints) > known
 }
 
-// rebuild gives routing a view of what has changed.
+// rebuild gives routing a view with all changes.
 func (d *viewDuty) rebuild() {
 	if d.resolved == nil {
 		return
@@ -316,8 +318,8 @@
 	d.fullRebuild, d.changedEndpoints = false, nil
 }
 
-// replace gives routing a view in which only the units of some endpoints are others: with
-// thousands of endpoints a view made anew for each burst of placements took most of an
+// rebuildChanged gives routing a view in which only the units of some endpoints differ: with
+// thousands of endpoints, a full rebuild for each burst of placements took most of an
 // instance's processor time.
 func (d *viewDuty) rebuildChanged() {
 	for _, name := range d.changedEndpoints {
@@ -328,7 +330,7 @@
 	d.router.SetView(&v)
 }
 
-// rebuildWhole gives routing a view made anew.
+// rebuildAll gives routing a view built from scratch.
 func (d *viewDuty) rebuildAll() {
 	members := d.list.Members()
 	v := &routing.View{
@@ -369,8 +371,8 @@
 	d.router.SetView(v)
 }
 
-// endpoint returns the endpoint of a member. A new incarnation is a new
-// endpoint: nothing that was counted at the old one holds for it.
+// endpoint returns the endpoint of a member. A new incarnation is a new endpoint: nothing
+// counted for the previous one applies to it.
 func (d *viewDuty) endpoint(m membership.Member, concurrency int) *routing.Endpoint {
 	e := d.endpoints[m.Name]
 	if e == nil || e.Incarnation != m.Incarnation || e.Address != m.Address || e.Concurrency != concurrency {
@@ -386,7 +388,7 @@
 	return e
 }
 
-// noteStart tells that an endpoint has been started again under its name.
+// logRestart logs that an endpoint has been restarted under its name.
 func (d *viewDuty) logRestart(previous, e *routing.Endpoint) {
 	if previous != nil && previous.Incarnation != e.Incarnation {
 		d.log.Info("endpoint started again", "endpoint", e.Name, "former", previous.Incarnation, "incarnation", e.Incarnation)
--- a/daemon/view_test.go
+++ b/daemon/view_test.go
@@ -24,8 +24,7 @@
 	*viewDuty
 	clock   time.Time
 	version int64
-	// told are the endpoints that this instance tells the others of, as the holder
-	// of the lease does.
+	// announcer announces leaving endpoints to the other instances, as the lease holder does.
 	announcer *mesh
 }
 
@@ -51,7 +50,7 @@
 	}
 }
 
-// listing brings a list of live endpoints.
+// listing applies a list of live endpoints.
 func (h *viewHarness) listing(names ...string) {
 	h.version++
 	l := membership.Listing{Version: h.version}
@@ -61,7 +60,7 @@
 	h.step(membersListed{l})
 }
 
-// takes tells whether an endpoint gets requests.
+// acceptsRequests reports whether an endpoint gets requests.
 func (h *viewHarness) acceptsRequests(name string) bool {
 	for _, e := range h.router.View().Pools["plain"] {
 		if e.Name == name {
@@ -71,10 +70,10 @@
 	return false
 }
 
-// An instance that does not list an endpoint passed over the holder's word that it
-// leaves. Its own list, which may be seconds behind while the holder vouches, could
-// then bring that endpoint as live, and it drew requests until the word was repeated,
-// or for good if that was over.
+// TestWithdrawalOfAnUnlistedEndpointCounts guards against an instance that ignores the lease
+// holder's report that an endpoint leaves because it does not list the endpoint. Its own list,
+// which may be seconds behind while the holder attests, can then add that endpoint as live,
+// and it receives requests until the report is repeated, or for good if it is not.
 func TestWithdrawalOfAnUnlistedEndpointCounts(t *testing.T) {
 	h := newViewHarness()
 	h.listing("e1")
@@ -85,8 +84,8 @@
 	require.False(t, h.acceptsRequests("e2"))
 }
 
-// The word of another instance runs out: an endpoint whose entry had only lapsed at
-// the holder of the lease takes requests again, also if nothing else happens.
+// TestWithdrawalExpires checks that an endpoint whose entry had only lapsed at the lease
+// holder receives requests again, even if no other event occurs.
 func TestWithdrawalExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -104,8 +103,8 @@
 	})
 }
 
-// An entry that lapsed and came back is live again: the others are not told any more
-// that its endpoint leaves.
+// TestReturnedEndpointIsNotAnnouncedAsLeaving checks that an entry that lapsed and returned is
+// live again: it is no longer announced as leaving.
 func TestReturnedEndpointIsNotAnnouncedAsLeaving(t *testing.T) {
 	h := newViewHarness()
 	h.listing("e1", "e2")
@@ -116,8 +115,9 @@
 	require.Empty(t, h.announcer.recentlyWithdrawn())
 }
 
-// TestViewOfWhatHasChangedIsTheWholeOne lets endpoints come and go, leave, and hold other units.
-// Each view is what one made anew would be, and so is an earlier one that is still in use.
+// TestPartialRebuildEqualsFullRebuild lets endpoints come and go, leave, and hold other units.
+// Each view must equal one built from scratch, and so must an earlier one that is still in
+// use.
 func TestPartialRebuildEqualsFullRebuild(t *testing.T) {
 	const endpoints, units, rounds = 8, 6, 2000
 	random := rand.New(rand.NewPCG(3, 4))
--- a/daemon/watchlatest.go
+++ b/daemon/watchlatest.go
@@ -4,9 +4,9 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// watched follows the objects of a kind of which only what they say now counts:
-// heard is told of each answer of the store, found gets each object that is new
-// or has changed, and fail what interrupts the watch.
+// watchLatest follows the objects of a kind of which only the current state counts: onAnswer
+// is called for each answer of the store, onObject for each object that is new or has changed,
+// and onError for each interruption of the watch.
 func watchLatest(client store.Client, kind store.Kind, options store.WatchOptions, onAnswer func(), onObject func(store.Object), onError func(error)) *store.Reflector {
 	return store.NewReflector(client, kind, options,
 		func(l store.List) {
