--- a/daemon/followsettings.go
+++ b/daemon/followsettings.go
@@ -45,9 +45,9 @@
 	rejected       atomic.Bool
 }
 
-// confirmShown reports that everything that the store had acknowledged when a call was made
+// reportConfirmed reports that everything that the store had acknowledged when a call was made
 // has been read.
-func (d *settingsWatch) confirmShown(askedAt time.Time) {
+func (d *settingsWatch) reportConfirmed(askedAt time.Time) {
 	if d.onConfirmed == nil || askedAt.IsZero() || d.rejected.Load() {
 		return
 	}
@@ -73,7 +73,7 @@
 		for _, e := range changes.take() {
 			d.accept(ctx, e.Object, byWatch)
 		}
-		d.confirmShown(e.FreshAsOf)
+		d.reportConfirmed(e.FreshAsOf)
 		cancel()
 	})
 	if store.IsExpired(err) {
@@ -92,7 +92,7 @@
 		return err
 	}
 	d.accept(ctx, o, byList)
-	d.confirmShown(askedAt)
+	d.reportConfirmed(askedAt)
 	return nil
 }
 
@@ -129,7 +129,7 @@
 }
 
 // watchGrace is how long the watch may take to deliver newer settings, by an answer that may
-// be stale and costs a tenth of a read, before they are read.
+// be stale and costs a tenth of a fresh read, before they are read.
 const watchGrace = 250 * time.Millisecond
 
 // settingsApplyDelay is how long settings that were read may take to be in force.
@@ -154,7 +154,7 @@
 			for _, o := range l.Items {
 				d.accept(ctx, o, byList)
 			}
-			d.confirmShown(l.FreshAsOf)
+			d.reportConfirmed(l.FreshAsOf)
 		},
 		func(e store.Event) {
 			switch e.Type {
@@ -164,7 +164,7 @@
 				for _, e := range changes.take() {
 					d.accept(ctx, e.Object, byWatch)
 				}
-				d.confirmShown(e.FreshAsOf)
+				d.reportConfirmed(e.FreshAsOf)
 				if e.Stale && d.hasNewest != nil {
 					// There is nothing to ask for until another instance has newer settings.
 					wait.While(ctx, maxStalePause, func() bool { return d.allowStale() && d.hasNewest() })
--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -68,7 +68,7 @@
 	// onReplaced receives endpoints at whose addresses other incarnations have answered.
 	onReplaced func(endpoints []endpointStart)
 	// onPartition is called with whether this instance has lost contact with all others.
-	onPartition func(alone bool)
+	onPartition func(partitioned bool)
 	// onEndpointsLeaving receives endpoints that another instance reports as accepting no more
 	// work.
 	onEndpointsLeaving func(endpoints []endpointStart)
@@ -399,8 +399,8 @@
 		m.lastContactAt = at
 		m.lastContact.Store(&at)
 	}
-	silent := m.now().Sub(m.lastContactAt)
-	return !m.lastContactAt.IsZero() && silent >= partitionAfter && silent < partitionTimeout
+	silence := m.now().Sub(m.lastContactAt)
+	return !m.lastContactAt.IsZero() && silence >= partitionAfter && silence < partitionTimeout
 }
 
 // An instance without contact to any other for isolatedAfter, or that has had none at all by
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -84,12 +84,12 @@
 			taken = 1
 		}
 		changed := d.apply(e)
-		more, news := d.drainEvents(ctx, e)
-		changed = changed || news
+		count, drained := d.drainEvents(ctx, e)
+		changed = changed || drained
 		if d.expireWithdrawals() || changed {
 			d.rebuild()
 		}
-		d.applied.finished(taken + more)
+		d.applied.finished(taken + count)
 		d.notify()
 	}
 }
