--- a/daemon/relays_test.go
+++ b/daemon/relays_test.go
@@ -116,7 +116,7 @@
 		f.relays.follow(ctx, func(e membership.EntryEvent) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			if at, told := e.(versionedEvent); told {
+			if at, ok := e.(versionedEvent); ok {
 				e = at.EntryEvent
 			}
 			f.entries.Step(time.Now(), e)
@@ -220,7 +220,7 @@
 	version := evacuation.Version{}
 	for ctx.Err() == nil {
 		f.relays.follow(ctx, func(e membership.EntryEvent) {
-			if at, whole := e.(versionedEvent); whole {
+			if at, ok := e.(versionedEvent); ok {
 				version = at.version
 				cancel()
 			}
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -254,7 +254,7 @@
 }
 
 // withdrawalLifetime is for how long another instance's report that an endpoint leaves counts.
-// By then this instance's own list shows it, even if it is seconds behind; an endpoint whose
+// By then this instance's own list shows it, even if it is seconds old; an endpoint whose
 // entry had only lapsed is back.
 const withdrawalLifetime = 4 * time.Second
 
--- a/daemon/view_test.go
+++ b/daemon/view_test.go
@@ -72,7 +72,7 @@
 
 // TestWithdrawalOfAnUnlistedEndpointCounts guards against an instance that ignores the lease
 // holder's report that an endpoint leaves because it does not list the endpoint. Its own list,
-// which may be seconds behind while the holder attests, can then add that endpoint as live,
+// which may be seconds old while the holder attests, can then add that endpoint as live,
 // and it receives requests until the report is repeated, or for good if it is not.
 func TestWithdrawalOfAnUnlistedEndpointCounts(t *testing.T) {
 	h := newViewHarness()
