--- a/daemon/attestation_test.go
+++ b/daemon/attestation_test.go
@@ -45,7 +45,7 @@
 
 // attestingNode returns a node with only its link to the store and its mesh.
 func attestingNode(now *time.Time) *Node {
-	n := &Node{now: func() time.Time { return *now }, ports: NodePorts{MembersKind: "members", SettingsKind: "settings"}}
+	n := &Node{now: func() time.Time { return *now }, ports: PlatformAdapter{MembersKind: "members", SettingsKind: "settings"}}
 	n.cfg = DefaultNodeConfig()
 	n.cfg.PeerPorts = []int{1, 1}
 	n.link = &storeLink{log: logr.Discard(), now: n.now}
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -34,8 +34,8 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// NodePorts is where a node meets the platform that it runs on.
-type NodePorts struct {
+// PlatformAdapter holds what a node needs to run on a platform: clients, decoders and dialects.
+type PlatformAdapter struct {
 	// Store returns a client of the platform's object store.
 	Store func(store.Config) store.Client
 	// SettingsKind and SettingsName tell which object holds the settings, and
@@ -66,7 +66,7 @@
 // has from there, and loses at any moment.
 type Node struct {
 	cfg   NodeConfig
-	ports NodePorts
+	ports PlatformAdapter
 	log   logr.Logger
 	// clock goes on while the machine is suspended; now is its Now.
 	clock *clock.Clock
@@ -137,7 +137,7 @@
 func (s *nodeServer) serve() error { return s.server.Serve(s.listener) }
 
 // NewNode returns a node that listens but serves nothing yet.
-func NewNode(cfg NodeConfig, ports NodePorts, log logr.Logger) (*Node, error) {
+func NewNode(cfg NodeConfig, ports PlatformAdapter, log logr.Logger) (*Node, error) {
 	n := &Node{
 		cfg: cfg, ports: ports, log: log, vars: new(expvar.Map).Init(),
 		router:  routing.NewRouter(routing.Policies()[cfg.RoutingPolicy], randv2.Float64),
