--- a/daemon/arrivedrequest_test.go
+++ b/daemon/arrivedrequest_test.go
@@ -20,14 +20,14 @@
 )
 
 // hook runs at a read of a whole request; read counts those of its connection.
-type hook func(read int)
+type readHook func(read int)
 
 // hookedConn is a TCP connection that runs hooks before its reads and, where bytes
 // came, behind them.
 type hookedConn struct {
 	*net.TCPConn
-	arrivals *arrivals
-	reads    int
+	harness *callerHarness
+	reads   int
 }
 
 // Read implements net.Conn.
@@ -37,10 +37,10 @@
 		return c.TCPConn.Read(p)
 	}
 	c.reads++
-	(*c.arrivals.beforeRead.Load())(c.reads)
+	(*c.harness.beforeRead.Load())(c.reads)
 	n, err := c.TCPConn.Read(p)
 	if n > 0 {
-		(*c.arrivals.afterRead.Load())(c.reads)
+		(*c.harness.afterRead.Load())(c.reads)
 	}
 	return n, err
 }
@@ -48,7 +48,7 @@
 // hookedListener hooks the one connection that it accepts.
 type hookedListener struct {
 	net.Listener
-	arrivals *arrivals
+	harness *callerHarness
 }
 
 // Accept implements net.Listener.
@@ -57,45 +57,45 @@
 	if err != nil {
 		return nil, err
 	}
-	hooked := &hookedConn{TCPConn: conn.(*net.TCPConn), arrivals: l.arrivals}
-	l.arrivals.accepted.Store(hooked)
+	hooked := &hookedConn{TCPConn: conn.(*net.TCPConn), harness: l.harness}
+	l.harness.accepted.Store(hooked)
 	return hooked, nil
 }
 
 // arrivals is a server on loopback with one caller. Hooks run in the server's
 // reads, so that what happens there comes between two steps of the server.
-type arrivals struct {
-	t        *testing.T
-	idle     *idleConns
-	late     atomic.Bool
-	server   *http.Server
-	accepted atomic.Pointer[hookedConn]
+type callerHarness struct {
+	t         *testing.T
+	idle      *idleConns
+	pastLimit atomic.Bool
+	server    *http.Server
+	accepted  atomic.Pointer[hookedConn]
 	// served counts the requests that reached the server's handler.
 	served atomic.Int64
 	caller net.Conn
 	reader *bufio.Reader
 
-	beforeRead, afterRead atomic.Pointer[hook]
+	beforeRead, afterRead atomic.Pointer[readHook]
 }
 
 // patience bounds waiting for what must come; no test asserts how soon.
-const patience = 30 * time.Second
+const waitLimit = 30 * time.Second
 
 // restLimit is how long connections may rest.
-const restLimit = 3 * time.Second
+const connIdleLimit = 3 * time.Second
 
 // noArrivals has no server and no caller yet, and hooks that do nothing.
-func noArrivals(t *testing.T) *arrivals {
-	a := &arrivals{t: t}
-	none := hook(func(int) {})
+func newCallerHarnessWithoutServer(t *testing.T) *callerHarness {
+	a := &callerHarness{t: t}
+	none := readHook(func(int) {})
 	a.beforeRead.Store(&none)
 	a.afterRead.Store(&none)
 	return a
 }
 
-func newArrivals(t *testing.T) *arrivals {
-	a := noArrivals(t)
-	a.idle = newIdleConns(logr.Discard(), a.now, func() time.Duration { return restLimit })
+func newCallerHarness(t *testing.T) *callerHarness {
+	a := newCallerHarnessWithoutServer(t)
+	a.idle = newIdleConns(logr.Discard(), a.now, func() time.Duration { return connIdleLimit })
 	a.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		a.served.Add(1)
 		_, _ = io.WriteString(w, "answer to "+r.URL.Path)
@@ -109,7 +109,7 @@
 }
 
 // dial opens the caller's connection.
-func (a *arrivals) dial(address string) {
+func (a *callerHarness) dial(address string) {
 	a.t.Helper()
 	var err error
 	a.caller, err = net.Dial("tcp", address)
@@ -119,23 +119,23 @@
 }
 
 // now stands still but for one step beyond the limit.
-func (a *arrivals) now() time.Time {
+func (a *callerHarness) now() time.Time {
 	start := time.Unix(1000, 0)
-	if a.late.Load() {
-		return start.Add(3 * restLimit)
+	if a.pastLimit.Load() {
+		return start.Add(3 * connIdleLimit)
 	}
 	return start
 }
 
 // send sends a request.
-func (a *arrivals) send(path string) {
+func (a *callerHarness) send(path string) {
 	a.t.Helper()
 	_, err := fmt.Fprintf(a.caller, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", path)
 	require.NoError(a.t, err)
 }
 
 // requireAnswer reads an answer, which has to be the one to the request.
-func (a *arrivals) requireAnswer(path string) {
+func (a *callerHarness) requireAnswer(path string) {
 	a.t.Helper()
 	resp, err := http.ReadResponse(a.reader, nil)
 	require.NoError(a.t, err, "no answer to %s; %d requests were served", path, a.served.Load())
@@ -145,23 +145,23 @@
 }
 
 // rest waits until the server counts the connection as idle.
-func (a *arrivals) rest() {
+func (a *callerHarness) waitIdle() {
 	a.t.Helper()
 	require.Eventually(a.t, func() bool {
 		a.idle.mu.Lock()
 		defer a.idle.mu.Unlock()
 		return len(a.idle.idle) == 1
-	}, patience, time.Millisecond)
+	}, waitLimit, time.Millisecond)
 }
 
 // sweepLate sweeps when the connection has rested for longer than the limit.
-func (a *arrivals) sweepLate() {
-	a.late.Store(true)
+func (a *callerHarness) sweepPastLimit() {
+	a.pastLimit.Store(true)
 	a.idle.sweep()
 }
 
 // waitUnread waits until bytes wait unread at the server.
-func (a *arrivals) waitUnread() {
+func (a *callerHarness) waitUnread() {
 	a.t.Helper()
 	raw, err := a.accepted.Load().SyscallConn()
 	require.NoError(a.t, err)
@@ -169,11 +169,11 @@
 		var unread int
 		require.NoError(a.t, raw.Control(func(fd uintptr) { unread, _ = unix.IoctlGetInt(int(fd), unix.SIOCINQ) }))
 		return unread > 0
-	}, patience, time.Millisecond)
+	}, waitLimit, time.Millisecond)
 }
 
 // endNow ends the server with no time left to wait for anything.
-func (a *arrivals) endNow() {
+func (a *callerHarness) drainNow() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = a.idle.drain(ctx)
@@ -185,14 +185,14 @@
 // connection seemed to have rested for longer than the limit. It was closed, the
 // request went on to an endpoint all the same, and its caller got no answer.
 func TestSweepSparesRequestBeingRead(t *testing.T) {
-	a := newArrivals(t)
+	a := newCallerHarness(t)
 	a.send("/first")
 	a.requireAnswer("/first")
-	a.rest()
-	sweep := hook(func(int) { a.sweepLate() })
+	a.waitIdle()
+	sweep := readHook(func(int) { a.sweepPastLimit() })
 	a.afterRead.Store(&sweep)
 	a.send("/second")
-	require.Eventually(t, func() bool { return a.served.Load() == 2 }, patience, time.Millisecond, "the request is served")
+	require.Eventually(t, func() bool { return a.served.Load() == 2 }, waitLimit, time.Millisecond, "the request is served")
 	a.requireAnswer("/second")
 }
 
@@ -200,9 +200,9 @@
 // first afterwards judged by the time alone and closed their connections, also of
 // callers that had kept to the limit when they sent.
 func TestSweepSparesUnreadRequest(t *testing.T) {
-	a := newArrivals(t)
+	a := newCallerHarness(t)
 	still := make(chan struct{})
-	hold := hook(func(read int) {
+	hold := readHook(func(read int) {
 		if read == 2 {
 			<-still
 		}
@@ -210,10 +210,10 @@
 	a.beforeRead.Store(&hold)
 	a.send("/first")
 	a.requireAnswer("/first")
-	a.rest()
+	a.waitIdle()
 	a.send("/second")
 	a.waitUnread()
-	a.sweepLate()
+	a.sweepPastLimit()
 	close(still)
 	a.requireAnswer("/second")
 }
@@ -225,13 +225,13 @@
 func TestStopAnswersRequestBeingRead(t *testing.T) {
 	for name, before := range map[string][]string{"first request": nil, "on a kept connection": {"/first"}} {
 		t.Run(name, func(t *testing.T) {
-			a := newArrivals(t)
+			a := newCallerHarness(t)
 			for _, path := range before {
 				a.send(path)
 				a.requireAnswer(path)
-				a.rest()
+				a.waitIdle()
 			}
-			end := hook(func(int) { a.endNow() })
+			end := readHook(func(int) { a.drainNow() })
 			a.afterRead.Store(&end)
 			a.send("/last")
 			a.requireAnswer("/last")
@@ -242,7 +242,7 @@
 // The product's own interface made its planned stop by net/http alone, which closes
 // what it counts as idle and drops what it reads from then on.
 func TestPlannedStopOfAnInstanceAnswersRequestBeingRead(t *testing.T) {
-	a := noArrivals(t)
+	a := newCallerHarnessWithoutServer(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	f := startFleetOn(t, &hookedListener{l, a})
@@ -251,7 +251,7 @@
 	a.requireSomeAnswer()
 	// The server counts the connection as idle a moment later.
 	time.Sleep(100 * time.Millisecond)
-	ends := hook(func(int) {
+	ends := readHook(func(int) {
 		f.stop()
 		assert.Eventually(t, func() bool {
 			conn, err := net.Dial("tcp", l.Addr().String())
@@ -259,7 +259,7 @@
 				conn.Close()
 			}
 			return err != nil
-		}, patience, time.Millisecond, "the listener is closed")
+		}, waitLimit, time.Millisecond, "the listener is closed")
 	})
 	a.afterRead.Store(&ends)
 	a.send("/v1/models")
@@ -267,7 +267,7 @@
 }
 
 // requireSomeAnswer reads an answer or a refusal.
-func (a *arrivals) requireSomeAnswer() {
+func (a *callerHarness) requireSomeAnswer() {
 	a.t.Helper()
 	resp, err := http.ReadResponse(a.reader, nil)
 	require.NoError(a.t, err)
@@ -277,21 +277,21 @@
 
 // What a connection that rests shows of its caller decides whether it may be closed:
 // nothing may be closed under a byte that has arrived, and all that rests may.
-func TestConnectionIsClosedAtRestOnlyWithNothingUnread(t *testing.T) {
-	a := newArrivals(t)
+func TestIdleConnectionWithNothingUnreadIsClosed(t *testing.T) {
+	a := newCallerHarness(t)
 	a.send("/first")
 	a.requireAnswer("/first")
-	a.rest()
+	a.waitIdle()
 	a.idle.mu.Lock()
 	defer a.idle.mu.Unlock()
 	conns := slices.Collect(maps.Keys(a.idle.open))
 	require.Len(t, conns, 1)
 	conn := conns[0].(*callerConn)
 	conn.mu.Lock()
-	require.True(t, conn.resting, "it rests behind its answer")
-	require.False(t, conn.unread())
+	require.True(t, conn.idle, "it rests behind its answer")
+	require.False(t, conn.hasUnread())
 	conn.mu.Unlock()
-	require.True(t, a.idle.closeAtRest(conn))
+	require.True(t, a.idle.closeIfIdle(conn))
 }
 
 // A byte that waits unread keeps a connection open that has not been read since its
@@ -309,8 +309,8 @@
 	conn := accepted.(*callerConn)
 	_, err = caller.Write([]byte{'G'})
 	require.NoError(t, err)
-	require.Eventually(t, conn.unread, patience, time.Millisecond)
-	require.False(t, conn.closeAtRest())
+	require.Eventually(t, conn.hasUnread, waitLimit, time.Millisecond)
+	require.False(t, conn.closeIfIdle())
 	_, half := accepted.(interface{ CloseWrite() error })
 	require.True(t, half, "net/http ends its side first where a caller still sends")
 }
--- a/daemon/attestation_test.go
+++ b/daemon/attestation_test.go
@@ -45,7 +45,7 @@
 
 // attestingNode returns a node with only its link to the store and its mesh.
 func attestingNode(now *time.Time) *Node {
-	n := &Node{now: func() time.Time { return *now }, ports: PlatformAdapter{MembersKind: "members", SettingsKind: "settings"}}
+	n := &Node{now: func() time.Time { return *now }, platform: PlatformAdapter{MembersKind: "members", SettingsKind: "settings"}}
 	n.cfg = DefaultNodeConfig()
 	n.cfg.PeerPorts = []int{1, 1}
 	n.link = &storeLink{log: logr.Discard(), now: n.now}
@@ -57,9 +57,9 @@
 	now := time.Now()
 	n := attestingNode(&now)
 	require.False(t, n.mesh.storeCurrent())
-	n.link.confirmed(n.ports.MembersKind)
+	n.link.watchConfirmed(n.platform.MembersKind)
 	require.False(t, n.mesh.storeCurrent(), "no settings were received yet")
-	n.link.confirmed(n.ports.SettingsKind)
+	n.link.watchConfirmed(n.platform.SettingsKind)
 	require.True(t, n.mesh.storeCurrent())
 	now = now.Add(n.cfg.Fresh.maxAttestedAge())
 	require.False(t, n.mesh.storeCurrent())
@@ -72,10 +72,10 @@
 	now := time.Now()
 	n := attestingNode(&now)
 	added := int64(0)
-	n.eventsApplied = newApplied(func() int64 { return added }, n.now)
+	n.eventsLag = newLagTracker(func() int64 { return added }, n.now)
 	answered := func() {
-		n.link.confirmed(n.ports.MembersKind)
-		n.link.confirmed(n.ports.SettingsKind)
+		n.link.watchConfirmed(n.platform.MembersKind)
+		n.link.watchConfirmed(n.platform.SettingsKind)
 	}
 	answered()
 	require.True(t, n.mesh.storeCurrent())
@@ -84,7 +84,7 @@
 	now = now.Add(n.cfg.Fresh.maxAttestedAge())
 	answered()
 	require.False(t, n.mesh.storeCurrent(), "the store answers, but its last change is not in force")
-	n.eventsApplied.finished(1)
+	n.eventsLag.markProcessed(1)
 	require.True(t, n.mesh.storeCurrent())
 }
 
@@ -137,13 +137,13 @@
 	n := attestingNode(&now)
 	m := n.mesh
 	for range int(settleTime/leaseRenewal) + 1 {
-		n.link.answered()
+		n.link.callAnswered()
 		now = now.Add(leaseRenewal)
 	}
-	kinds := []store.Kind{n.ports.MembersKind, n.ports.SettingsKind}
+	kinds := []store.Kind{n.platform.MembersKind, n.platform.SettingsKind}
 	confirm := func(kind store.Kind) {
-		n.link.answered()
-		n.link.confirmed(kind)
+		n.link.callAnswered()
+		n.link.watchConfirmed(kind)
 	}
 	for _, hung := range kinds {
 		for _, kind := range kinds {
@@ -170,26 +170,26 @@
 	n := attestingNode(&now)
 	n.placers = &placers{}
 	answer := func() {
-		n.link.answered()
+		n.link.callAnswered()
 		// The next call is made at once.
-		n.link.asked(0)
-		n.link.confirmed(n.ports.MembersKind)
-		n.link.confirmed(n.ports.SettingsKind)
+		n.link.callStarted(0)
+		n.link.watchConfirmed(n.platform.MembersKind)
+		n.link.watchConfirmed(n.platform.SettingsKind)
 		n.mesh.totals.receive(now, holderAnnouncement(true))
 	}
 	answer()
 	for since := time.Duration(0); since < settleTime; since += leaseRenewal {
 		require.False(t, n.mesh.storeCurrent(), "%s after the outage", since)
-		require.False(t, n.entriesMayBeBehind(), "%s after the outage", since)
+		require.False(t, n.entriesMayLag(), "%s after the outage", since)
 		now = now.Add(leaseRenewal)
 		answer()
 	}
 	require.True(t, n.mesh.storeCurrent())
-	require.True(t, n.entriesMayBeBehind())
-	now = now.Add(awayAfter - time.Millisecond)
+	require.True(t, n.entriesMayLag())
+	now = now.Add(outageThreshold - time.Millisecond)
 	answer()
 	require.True(t, n.mesh.storeCurrent(), "a slow answer is no outage")
-	now = now.Add(awayAfter)
+	now = now.Add(outageThreshold)
 	answer()
 	require.False(t, n.mesh.storeCurrent())
 }
--- a/daemon/callerconn.go
+++ b/daemon/callerconn.go
@@ -22,8 +22,8 @@
 	// bytes wait unread.
 	raw syscall.RawConn
 
-	mu      sync.Mutex
-	resting bool
+	mu   sync.Mutex
+	idle bool
 }
 
 // callerListener accepts connections as callerConns.
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &callerConn{Conn: conn, resting: true}
+	c := &callerConn{Conn: conn, idle: true}
 	if system, ok := conn.(syscall.Conn); ok {
 		if c.raw, err = system.SyscallConn(); err != nil {
 			conn.Close()
@@ -50,44 +50,44 @@
 func (c *callerConn) Read(p []byte) (int, error) {
 	if c.raw == nil {
 		n, err := c.Conn.Read(p)
-		c.wake()
+		c.markActive()
 		return n, err
 	}
-	if c.atRest() {
+	if c.isIdle() {
 		// Whatever it fails by, the read below fails by too.
 		_ = c.raw.Read(func(fd uintptr) bool {
 			_, err := peek(fd)
 			return !errors.Is(err, unix.EAGAIN)
 		})
-		c.wake()
+		c.markActive()
 	}
 	return c.Conn.Read(p)
 }
 
-func (c *callerConn) atRest() bool {
+func (c *callerConn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.resting
+	return c.idle
 }
 
 // rest begins a rest: the server has answered and reads nothing.
-func (c *callerConn) rest() {
+func (c *callerConn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.resting = true
+	c.idle = true
 }
 
-func (c *callerConn) wake() {
+func (c *callerConn) markActive() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.resting = false
+	c.idle = false
 }
 
 // closeAtRest closes the connection, unless the first byte of a request has arrived.
-func (c *callerConn) closeAtRest() bool {
+func (c *callerConn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.resting || c.unread() {
+	if !c.idle || c.hasUnread() {
 		return false
 	}
 	c.Conn.Close()
@@ -95,7 +95,7 @@
 }
 
 // unread tells whether bytes wait to be read.
-func (c *callerConn) unread() bool {
+func (c *callerConn) hasUnread() bool {
 	if c.raw == nil {
 		return false
 	}
--- a/daemon/cell.go
+++ b/daemon/cell.go
@@ -171,7 +171,7 @@
 }
 
 func (d *cellDuty) settlementName(holder string) string {
-	return d.cell + "." + objectNamePart(holder)
+	return d.cell + "." + hashedNamePart(holder)
 }
 
 func (d *cellDuty) readSettled(ctx context.Context, a placement.ReadSettled) {
--- a/daemon/config.go
+++ b/daemon/config.go
@@ -125,14 +125,14 @@
 	faults []jsonc.Fault
 }
 
-func (c *configChecker) add(path, reason string) {
+func (c *configChecker) addFault(path, reason string) {
 	c.faults = append(c.faults, c.doc.Fault(path, reason))
 }
 
 func (c *configChecker) check(cfg Config) {
-	c.given("/instance", cfg.Instance)
-	c.given("/incarnation", cfg.Incarnation)
-	c.given("/failureDomain", cfg.FailureDomain)
+	c.required("/instance", cfg.Instance)
+	c.required("/incarnation", cfg.Incarnation)
+	c.required("/failureDomain", cfg.FailureDomain)
 	c.quarantine(cfg.Quarantine)
 	c.address("/callers", cfg.Callers)
 	c.address("/operators", cfg.Operators)
@@ -141,35 +141,35 @@
 	c.address("/peers/datagrams", cfg.Peers.Datagrams)
 	c.address("/peers/streams", cfg.Peers.Streams)
 	if len(cfg.Peers.Keys) == 0 {
-		c.add("/peers/keys", "at least one is needed")
+		c.addFault("/peers/keys", "at least one is needed")
 	}
 	for i, key := range cfg.Peers.Keys {
 		if _, err := peer.ParseKey(key); err != nil {
-			c.add(fmt.Sprintf("/peers/keys/%d", i), err.Error())
+			c.addFault(fmt.Sprintf("/peers/keys/%d", i), err.Error())
 		}
 	}
 	c.choices(cfg.RoutingPolicy, cfg.LogLevel)
 	c.limits(cfg.Limits)
 }
 
-func (c *configChecker) given(path, text string) {
+func (c *configChecker) required(path, text string) {
 	if text == "" {
-		c.add(path, "missing")
+		c.addFault(path, "missing")
 	}
 }
 
 func (c *configChecker) choices(policy, level string) {
 	if _, known := routing.Policies()[policy]; !known {
-		c.add("/routingPolicy", "no such policy")
+		c.addFault("/routingPolicy", "no such policy")
 	}
 	if _, known := logLevels[level]; !known {
-		c.add("/logLevel", "must be debug, info or error")
+		c.addFault("/logLevel", "must be debug, info or error")
 	}
 }
 
 func (c *configChecker) positive(path string, n float64) {
 	if n <= 0 {
-		c.add(path, "must be above 0")
+		c.addFault(path, "must be above 0")
 	}
 }
 
@@ -189,26 +189,26 @@
 
 func (c *configChecker) address(path, address string) {
 	if address == "" {
-		c.add(path, "missing address")
+		c.addFault(path, "missing address")
 		return
 	}
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		c.add(path, "must be IP:PORT: "+err.Error())
+		c.addFault(path, "must be IP:PORT: "+err.Error())
 		return
 	}
 	if net.ParseIP(host) == nil {
-		c.add(path, "must be an IP number and a port")
+		c.addFault(path, "must be an IP number and a port")
 	}
 }
 
 func (c *configChecker) url(path, text string) {
 	if text == "" {
-		c.add(path, "missing address")
+		c.addFault(path, "missing address")
 		return
 	}
 	if u, err := url.Parse(text); err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-		c.add(path, "must be an http or https URL")
+		c.addFault(path, "must be an http or https URL")
 	}
 }
 
--- a/daemon/dial.go
+++ b/daemon/dial.go
@@ -16,14 +16,14 @@
 	keepAliveCount    = 3
 	// unackedTimeout bounds how long sent bytes may go without a sign of the
 	// peer's system.
-	unackedTimeout = 3 * time.Second
+	tcpUserTimeout = 3 * time.Second
 	// dialTimeout bounds the opening of a connection; a peer whose queue is full
 	// drops the first packet, which goes again after a second.
 	dialTimeout = 700 * time.Millisecond
 )
 
 // watchfulDialer opens connections that end when the peer's machine is gone.
-func watchfulDialer() *net.Dialer {
+func newKeepAliveDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
@@ -32,7 +32,7 @@
 		Control: func(_, _ string, c syscall.RawConn) error {
 			var err error
 			controlErr := c.Control(func(fd uintptr) {
-				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 			})
 			if controlErr != nil {
 				return controlErr
--- a/daemon/entries.go
+++ b/daemon/entries.go
@@ -36,7 +36,7 @@
 	log    logr.Logger
 	now    func() time.Time
 	// applied counts the inputs that have been passed on; may be nil.
-	applied *applied
+	applied *lagTracker
 	// allowStale reports whether another instance announces leaving endpoints in time, so that
 	// stale answers of the store suffice here.
 	allowStale func() bool
@@ -154,10 +154,10 @@
 func (d *entriesDuty) newStoreWatch(ctx context.Context, following func() context.Context) *store.Reflector {
 	put := func(e membership.EntryEvent) { d.put(ctx, e) }
 	var changes batch
-	options := store.WatchOptions{AllowStale: d.allowStale, Wait: d.freshWatchHold, OnFresh: func() { d.link.confirmed(d.kind) }, Now: d.now}
+	options := store.WatchOptions{AllowStale: d.allowStale, Wait: d.freshWatchHold, OnFresh: func() { d.link.watchConfirmed(d.kind) }, Now: d.now}
 	return store.NewReflector(d.client, d.kind, options,
 		func(l store.List) {
-			d.link.listed(d.kind, l)
+			d.link.listReceived(d.kind, l)
 			changes.take()
 			put(membership.StoreAnswered{Since: d.storeBackSince()})
 			put(d.withVersion(l.ResourceVersion, membership.EntriesListed{Members: d.members(l.Items)}))
@@ -165,7 +165,7 @@
 		func(e store.Event) {
 			switch e.Type {
 			case store.EventBookmark:
-				d.link.heard()
+				d.link.markReachable()
 				put(membership.StoreAnswered{Since: d.storeBackSince()})
 				put(d.withVersion(e.Object.Metadata.ResourceVersion, membership.EntriesChanged{Changes: d.changes(changes.take())}))
 				// Endpoints change many times a second as they load and unload units, and each
@@ -176,7 +176,7 @@
 			}
 		},
 		func(err error) {
-			d.link.failed(d.kind, err)
+			d.link.watchFailed(d.kind, err)
 			if !store.IsExpired(err) {
 				put(membership.StoreUnreachable{})
 			}
@@ -187,7 +187,7 @@
 // instance, or by the lease holder's attestations if that is earlier, as this instance alone
 // may have been cut off. Entries lapse only while their members cannot reach the store.
 func (d *entriesDuty) storeBackSince() time.Time {
-	own, holder := d.link.returned(), d.holderStoreBackSince()
+	own, holder := d.link.availableSince(), d.holderStoreBackSince()
 	if !holder.IsZero() && holder.Before(own) {
 		return holder
 	}
@@ -291,7 +291,7 @@
 		if listing, changed := d.step(e); changed {
 			_ = d.events.Put(ctx, membersListed{listing})
 		}
-		d.applied.finished(1)
+		d.applied.markProcessed(1)
 	}
 }
 
--- a/daemon/eras.go
+++ b/daemon/eras.go
@@ -18,10 +18,10 @@
 func (n *Node) onEraBegin(era int64) {
 	n.vars.Add("store_eras", 1)
 	n.log.Info("store came back from a copy", "era", era)
-	n.link.copied()
+	n.link.restoredFromCopy()
 	n.rights.doubt(eraSettleTime)
 	select {
-	case n.eraBegun <- struct{}{}:
+	case n.eraStarted <- struct{}{}:
 	default:
 	}
 	n.mesh.sendSoon()
@@ -33,14 +33,14 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.eraBegun:
+		case <-n.eraStarted:
 		}
 		_ = entries.inputs.Put(ctx, membership.StoreRestored{})
 		// All nodes write at the same time, so each waits for a random delay.
 		wait.For(ctx, jitter(presenceRetryDelay))
 		n.presence.run(ctx)
 		for _, w := range n.quarantine.HeldReports() {
-			_ = n.held.Put(ctx, w)
+			_ = n.unsavedReports.Put(ctx, w)
 		}
 	}
 }
--- a/daemon/evacuations.go
+++ b/daemon/evacuations.go
@@ -105,17 +105,17 @@
 		return
 	}
 	changes := map[string]bool{}
-	options := store.WatchOptions{OnFresh: func() { d.link.confirmed(d.kind) }, Now: d.now, WaitNow: d.wait}
+	options := store.WatchOptions{OnFresh: func() { d.link.watchConfirmed(d.kind) }, Now: d.now, WaitNow: d.wait}
 	r := store.NewReflector(d.client, d.kind, options,
 		func(l store.List) {
-			d.link.heard()
+			d.link.markReachable()
 			clear(changes)
 			d.listed(l)
 		},
 		func(e store.Event) {
 			switch e.Type {
 			case store.EventBookmark:
-				d.link.heard()
+				d.link.markReachable()
 				d.changed(e.Object.Metadata.ResourceVersion, changes)
 				clear(changes)
 				d.rest(ctx)
@@ -123,7 +123,7 @@
 				changes[e.Object.Metadata.Name] = e.Type != store.EventDeleted
 			}
 		},
-		func(err error) { d.link.failed(d.kind, err) })
+		func(err error) { d.link.watchFailed(d.kind, err) })
 	r.Run(ctx)
 }
 
--- a/daemon/events.go
+++ b/daemon/events.go
@@ -16,8 +16,8 @@
 type settingsAccepted struct {
 	accepted *revision.Accepted
 	// by is what brought it, and at when that was; zero where nobody notes it.
-	by settingsSource
-	at time.Time
+	source     settingsSource
+	receivedAt time.Time
 }
 
 // settingsSource is what brings settings.
@@ -25,9 +25,9 @@
 
 // Sources of settings.
 const (
-	byWatch   settingsSource = "watch"
-	byList    settingsSource = "list"
-	byRequest settingsSource = "request"
+	sourceWatch   settingsSource = "watch"
+	sourceList    settingsSource = "list"
+	sourceRequest settingsSource = "request"
 )
 
 // membersListed is a newer answer of the platform's list.
@@ -35,16 +35,16 @@
 
 // loadReported is an endpoint's report of its load.
 type loadReported struct {
-	endpoint string
-	own      int64
-	report   engine.Report
+	endpoint    string
+	ownInFlight int64
+	report      engine.Report
 }
 
 // instanceLeaving is an instance's word that it makes a planned stop.
 type instanceLeaving struct{ name string }
 
 // placementsTold is the word of the instance that places units.
-type placementsTold struct{ placements []peer.Placement }
+type placementsReceived struct{ placements []peer.Placement }
 
 // endpointsWithdrawn is an instance's word that endpoints take no more work.
 type endpointsWithdrawn struct{ endpoints []endpointStart }
@@ -54,7 +54,7 @@
 
 func (domainsEvacuated) isEvent()   {}
 func (endpointsWithdrawn) isEvent() {}
-func (placementsTold) isEvent()     {}
+func (placementsReceived) isEvent() {}
 func (instanceLeaving) isEvent()    {}
 func (settingsAccepted) isEvent()   {}
 func (membersListed) isEvent()      {}
--- a/daemon/resting_test.go
+++ b/daemon/followercalls_test.go
@@ -20,24 +20,24 @@
 // differs from the holder's.
 
 // restingCalls is how many calls a follower makes in a span that begins when it is told.
-func restingCalls(t *testing.T, span time.Duration, meanwhile func(s *lateStore)) (all, closely int) {
+func followerCalls(t *testing.T, span time.Duration, meanwhile func(s *staleStore)) (all, closely int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		s := newLateStore(staleAnswers)
+		s := newStaleStore(staleAnswers)
 		for i := range 200 {
 			s.put(fmt.Sprintf("e%d", i), membership.Live)
 		}
-		holder := newLateInstance(s, "holder", func() bool { return true })
-		follower := newLateInstance(s, "follower", func() bool { return false })
+		holder := newEntriesInstance(s, "holder", func() bool { return true })
+		follower := newEntriesInstance(s, "follower", func() bool { return false })
 		holder.follow(ctx)
-		holder.speak(ctx, follower)
+		holder.announceTo(ctx, follower)
 		follower.follow(ctx)
 		time.Sleep(staleAnswers + settleTime + 2*time.Second)
-		before, closeBefore := follower.client.counted()
+		before, closeBefore := follower.client.callCounts()
 		go meanwhile(s)
 		time.Sleep(span)
-		after, closeAfter := follower.client.counted()
+		after, closeAfter := follower.client.callCounts()
 		all, closely = after-before, closeAfter-closeBefore
 		require.NotZero(t, holder.mesh.endpointsDigest.Load())
 		require.Equal(t, holder.mesh.endpointsDigest.Load(), follower.mesh.endpointsDigest.Load(), "it lists the same in the end")
@@ -48,19 +48,19 @@
 	return all, closely
 }
 
-func TestInstanceThatIsToldAsksForNothingWhileNothingIsNew(t *testing.T) {
+func TestFollowerMakesNoFreshCallsWhileNothingChanges(t *testing.T) {
 	const span = 60 * time.Second
-	all, closely := restingCalls(t, span, func(*lateStore) {})
+	all, closely := followerCalls(t, span, func(*staleStore) {})
 	require.Zero(t, closely)
 	require.LessOrEqual(t, all, int(span/maxStalePause)+1)
 }
 
 // Units come and go at endpoints all the time, which the holder tells otherwise.
-func TestInstanceThatIsToldAsksForNothingWhileUnitsComeAndGo(t *testing.T) {
+func TestFollowerMakesNoFreshCallsWhileUnitsChange(t *testing.T) {
 	const span = 60 * time.Second
-	all, closely := restingCalls(t, span, func(s *lateStore) {
+	all, closely := followerCalls(t, span, func(s *staleStore) {
 		for i := range 600 {
-			s.holding(fmt.Sprintf("e%d", i%200), fmt.Sprintf("m%d", i))
+			s.putResident(fmt.Sprintf("e%d", i%200), fmt.Sprintf("m%d", i))
 			time.Sleep(80 * time.Millisecond)
 		}
 	})
@@ -69,9 +69,9 @@
 }
 
 // Endpoints that come, leave and go cost some calls each, none of them close.
-func TestInstanceThatIsToldAsksWhenEndpointsChange(t *testing.T) {
+func TestFollowerMakesOnlyStaleCallsWhenEndpointsChange(t *testing.T) {
 	const changes = 4
-	all, closely := restingCalls(t, 60*time.Second, func(s *lateStore) {
+	all, closely := followerCalls(t, 60*time.Second, func(s *staleStore) {
 		s.put("new", membership.Live)
 		time.Sleep(10 * time.Second)
 		s.put("e1", membership.Leaving)
@@ -86,11 +86,11 @@
 }
 
 // holding enters an endpoint with a unit that it holds.
-func (s *lateStore) holding(name, unit string) {
-	s.spec(membership.Member{Name: name, Incarnation: name, Pool: "pool", State: membership.Live, Slots: 1, Resident: []string{unit}})
+func (s *staleStore) putResident(name, unit string) {
+	s.putMember(membership.Member{Name: name, Incarnation: name, Pool: "pool", State: membership.Live, Slots: 1, Resident: []string{unit}})
 }
 
-func TestDigestTellsWhoIsListedAndHow(t *testing.T) {
+func TestDigestCoversMembersAndTheirFields(t *testing.T) {
 	list := func(version int64, members ...membership.Member) uint64 {
 		l := membership.NewList()
 		l.Step(time.Unix(1000, 0), membership.Listed{Listing: membership.Listing{Version: version, Members: members}})
@@ -120,33 +120,33 @@
 
 // An instance that asks seldom finds an outage late; it counts the time that entries have
 // to come back from the store's return all the same.
-func TestOutageThatIsMetLateIsOne(t *testing.T) {
+func TestOutageNoticedLateCountsFromTheReturn(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := &storeLink{log: logr.Discard(), now: func() time.Time { return now }}
-	l.asked(0)
-	l.answered()
-	began := l.returned()
+	l.callStarted(0)
+	l.callAnswered()
+	began := l.availableSince()
 	now = now.Add(10 * time.Second)
-	l.asked(0)
+	l.callStarted(0)
 	now = now.Add(50 * time.Millisecond)
-	l.answered()
-	require.Equal(t, began, l.returned(), "it had asked for nothing")
+	l.callAnswered()
+	require.Equal(t, began, l.availableSince(), "it had asked for nothing")
 	now = now.Add(10 * time.Second)
-	l.asked(0)
-	l.failed("servers", store.ErrOlder)
+	l.callStarted(0)
+	l.watchFailed("servers", store.ErrOlder)
 	now = now.Add(800 * time.Millisecond)
-	l.asked(0)
-	l.answered()
-	require.Equal(t, now, l.returned(), "the outage may have begun right behind the last answer")
-	l.asked(20 * time.Second)
+	l.callStarted(0)
+	l.callAnswered()
+	require.Equal(t, now, l.availableSince(), "the outage may have begun right behind the last answer")
+	l.callStarted(20 * time.Second)
 	now = now.Add(20 * time.Second)
-	l.answered()
-	require.NotEqual(t, now, l.returned(), "a call that is held for long shows nothing")
+	l.callAnswered()
+	require.NotEqual(t, now, l.availableSince(), "a call that is held for long shows nothing")
 }
 
 // All instances start at once: those who do not rank first leave the lease to those who
 // do, who have taken it and told before the others' patience ends.
-func TestFewCampaignAtACommonStart(t *testing.T) {
+func TestFewInstancesCampaignWhenAllStartTogether(t *testing.T) {
 	const instances = 295
 	start := time.Unix(1000, 0)
 	patience := campaignDelay + joinSettle + silentStart
--- a/daemon/followsettings.go
+++ b/daemon/followsettings.go
@@ -71,7 +71,7 @@
 			return
 		}
 		for _, e := range changes.take() {
-			d.accept(ctx, e.Object, byWatch)
+			d.accept(ctx, e.Object, sourceWatch)
 		}
 		d.reportConfirmed(e.FreshAsOf)
 		cancel()
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	d.accept(ctx, o, byList)
+	d.accept(ctx, o, sourceList)
 	d.reportConfirmed(askedAt)
 	return nil
 }
@@ -118,7 +118,7 @@
 			wait.For(ctx, jitter(settingsRetryDelay))
 			continue
 		}
-		d.accept(ctx, o, byRequest)
+		d.accept(ctx, o, sourceRequest)
 		// Until they are in force, every packet signals again that they are newer.
 		wait.For(ctx, settingsApplyDelay)
 		select {
@@ -143,26 +143,26 @@
 	// A new process must not begin with stale settings: all instances may have ended right
 	// after newer ones were acknowledged.
 	allowStale := func() bool { return listed.Load() && d.allowStale() }
-	options := store.WatchOptions{AllowStale: allowStale, OnFresh: func() { d.link.confirmed(d.kind) }, Now: d.now, WaitNow: d.watchHold}
+	options := store.WatchOptions{AllowStale: allowStale, OnFresh: func() { d.link.watchConfirmed(d.kind) }, Now: d.now, WaitNow: d.watchHold}
 	var changes batch
 	r := store.NewReflector(d.client, d.kind, options,
 		func(l store.List) {
-			d.link.listed(d.kind, l)
+			d.link.listReceived(d.kind, l)
 			changes.take()
 			listed.Store(true)
 			d.version.Store(&l.ResourceVersion)
 			for _, o := range l.Items {
-				d.accept(ctx, o, byList)
+				d.accept(ctx, o, sourceList)
 			}
 			d.reportConfirmed(l.FreshAsOf)
 		},
 		func(e store.Event) {
 			switch e.Type {
 			case store.EventBookmark:
-				d.link.heard()
+				d.link.markReachable()
 				d.version.Store(&e.Object.Metadata.ResourceVersion)
 				for _, e := range changes.take() {
-					d.accept(ctx, e.Object, byWatch)
+					d.accept(ctx, e.Object, sourceWatch)
 				}
 				d.reportConfirmed(e.FreshAsOf)
 				if e.Stale && d.hasNewest != nil {
@@ -175,7 +175,7 @@
 				changes.add(e)
 			}
 		},
-		func(err error) { d.link.failed(d.kind, err) })
+		func(err error) { d.link.watchFailed(d.kind, err) })
 	r.Run(ctx)
 }
 
@@ -203,5 +203,5 @@
 			break
 		}
 	}
-	_ = d.events.Put(ctx, settingsAccepted{accepted: accepted, by: by, at: d.timestamp()})
+	_ = d.events.Put(ctx, settingsAccepted{accepted: accepted, source: by, receivedAt: d.timestamp()})
 }
--- a/daemon/hungpoll_test.go
+++ b/daemon/hungpoll_test.go
@@ -32,14 +32,14 @@
 
 // silences answers no call that begins while it is silent, however long the caller
 // waits.
-type silences struct {
+type hangingHandler struct {
 	next   http.Handler
 	silent atomic.Bool
 	// hung and calls count the calls that nobody answers, and all.
 	hung, calls atomic.Int64
 }
 
-func (s *silences) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *hangingHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.calls.Add(1)
 	if s.silent.Load() {
 		s.hung.Add(1)
@@ -52,13 +52,13 @@
 // inMemory carries calls to a handler without a network. As net/http's transport does,
 // it gives a call up when its context ends, and it counts how often the resting
 // connections are closed.
-type inMemory struct {
+type memoryTransport struct {
 	handler http.Handler
 	closed  atomic.Int64
 }
 
-func (m *inMemory) RoundTrip(r *http.Request) (*http.Response, error) {
-	answer := &recordedAnswer{header: http.Header{}, status: http.StatusOK}
+func (m *memoryTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	answer := &recordedResponse{header: http.Header{}, status: http.StatusOK}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -72,20 +72,20 @@
 	return &http.Response{StatusCode: answer.status, Header: answer.header, Body: io.NopCloser(&answer.body), Request: r}, nil
 }
 
-func (m *inMemory) CloseIdleConnections() { m.closed.Add(1) }
+func (m *memoryTransport) CloseIdleConnections() { m.closed.Add(1) }
 
-type recordedAnswer struct {
+type recordedResponse struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-func (a *recordedAnswer) Header() http.Header         { return a.header }
-func (a *recordedAnswer) WriteHeader(status int)      { a.status = status }
-func (a *recordedAnswer) Write(b []byte) (int, error) { return a.body.Write(b) }
+func (a *recordedResponse) Header() http.Header         { return a.header }
+func (a *recordedResponse) WriteHeader(status int)      { a.status = status }
+func (a *recordedResponse) Write(b []byte) (int, error) { return a.body.Write(b) }
 
 // listOf returns a platform's list that holds an endpoint.
-func listOf(endpoint standin.Member) *standin.Members {
+func membersWith(endpoint standin.Member) *standin.Members {
 	members := standin.NewMembers(0)
 	members.Set(endpoint)
 	return members
@@ -95,7 +95,7 @@
 
 // leavesBy tells whether the events bring, by a moment of virtual time, a list on which
 // the endpoint leaves.
-func leavesBy(events *ring.Ring[event], within time.Duration) bool {
+func listedLeaving(events *ring.Ring[event], within time.Duration) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	for {
@@ -114,13 +114,13 @@
 // platformHold is how long the platform holds an unchanged list.
 const platformHold = 10 * time.Second
 
-// TestHungPollIsGivenUpBehindThePlatformsHold has nobody who could tell of the newer list.
-func TestHungPollIsGivenUpBehindThePlatformsHold(t *testing.T) {
+// TestHungPollIsCancelledAfterThePlatformsHold has nobody who could tell of the newer list.
+func TestHungPollIsCancelledAfterThePlatformsHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		members := listOf(deskMember)
-		list := &silences{next: members}
-		d := &membersDuty{source: membership.NewSource("http://platform", &inMemory{handler: list}), events: ring.New[event](eventsCapacity, ring.Block), log: logr.Discard()}
+		members := membersWith(deskMember)
+		list := &hangingHandler{next: members}
+		d := &membersPoller{source: membership.NewSource("http://platform", &memoryTransport{handler: list}), events: ring.New[event](eventsCapacity, ring.Block), log: logr.Discard()}
 		var running sync.WaitGroup
 		list.silent.Store(true)
 		running.Go(func() { d.run(ctx) })
@@ -129,7 +129,7 @@
 		leaves := deskMember
 		leaves.State = standin.MemberLeaving
 		members.Set(leaves)
-		require.True(t, leavesBy(d.events, platformHold+3*time.Second))
+		require.True(t, listedLeaving(d.events, platformHold+3*time.Second))
 		stop()
 		running.Wait()
 	})
@@ -140,13 +140,13 @@
 type twoInstances struct {
 	first, second *Instance
 	members       *standin.Members
-	list          *silences
+	list          *hangingHandler
 }
 
 func startTwo(t *testing.T) *twoInstances {
 	t.Helper()
 	two := &twoInstances{members: standin.NewMembers(0)}
-	two.list = &silences{next: two.members}
+	two.list = &hangingHandler{next: two.members}
 	platform, beside := http.NewServeMux(), http.NewServeMux()
 	platform.Handle("/apis/", standin.NewObjectAPI())
 	platform.Handle("/members", two.members)
@@ -154,8 +154,8 @@
 	objects, list := serve(t, platform), serve(t, beside)
 	publishSettings(t, objects)
 	two.members.Set(deskMember)
-	two.first = startBeside(t, two.members, "entry-0", Platform{ObjectAPI: objects, Members: objects})
-	two.second = startBeside(t, two.members, "entry-1", Platform{ObjectAPI: objects, Members: list})
+	two.first = startListed(t, two.members, "entry-0", Platform{ObjectAPI: objects, Members: objects})
+	two.second = startListed(t, two.members, "entry-1", Platform{ObjectAPI: objects, Members: list})
 	for _, i := range []*Instance{two.first, two.second} {
 		two.eventually(t, func() bool {
 			return i.Ready() && i.router.View().Instances == 2 && len(i.router.View().Pools["desk"]) == 1
@@ -172,7 +172,7 @@
 }
 
 // startBeside starts an instance and puts it on the list.
-func startBeside(t *testing.T, members *standin.Members, name string, platform Platform) *Instance {
+func startListed(t *testing.T, members *standin.Members, name string, platform Platform) *Instance {
 	t.Helper()
 	cfg := DefaultConfig()
 	cfg.Incarnation, cfg.Instance, cfg.FailureDomain = "1", name, "a"
@@ -200,7 +200,7 @@
 }
 
 // takesNothing tells whether an instance routes nothing to the endpoint.
-func takesNothing(i *Instance) bool {
+func routesNothing(i *Instance) bool {
 	for _, e := range i.router.View().Pools[deskMember.Pool] {
 		if !e.Leaving() {
 			return false
@@ -209,9 +209,9 @@
 	return true
 }
 
-// TestInstanceWhosePollHangsHearsThatAnEndpointLeaves lets the second instance's poll
+// TestInstanceWithAHungPollLearnsThatAnEndpointLeaves lets the second instance's poll
 // begin while its list is silent.
-func TestInstanceWhosePollHangsHearsThatAnEndpointLeaves(t *testing.T) {
+func TestInstanceWithAHungPollLearnsThatAnEndpointLeaves(t *testing.T) {
 	two := startTwo(t)
 	two.list.silent.Store(true)
 	two.members.Set(standin.Member{Name: "desk-1", Pool: "other", Address: "127.0.0.1:1", Incarnation: "1", State: standin.MemberLive})
@@ -220,28 +220,28 @@
 	leaves := deskMember
 	leaves.State = standin.MemberLeaving
 	two.members.Set(leaves)
-	two.eventually(t, func() bool { return takesNothing(two.first) })
-	two.eventually(t, func() bool { return takesNothing(two.second) })
+	two.eventually(t, func() bool { return routesNothing(two.first) })
+	two.eventually(t, func() bool { return routesNothing(two.second) })
 }
 
 // following is a duty that follows a list of the stand-ins without a network.
-type following struct {
-	*membersDuty
+type followedList struct {
+	*membersPoller
 	members *standin.Members
-	list    *silences
-	carrier *inMemory
+	list    *hangingHandler
+	carrier *memoryTransport
 	answers chan peer.ListReceived
 }
 
 // follow runs the duty until the returned function is called.
-func follow(t *testing.T) (*following, func()) {
+func followList(t *testing.T) (*followedList, func()) {
 	t.Helper()
-	f := &following{members: listOf(deskMember), answers: make(chan peer.ListReceived, eventsCapacity)}
-	f.list = &silences{next: f.members}
-	f.carrier = &inMemory{handler: f.list}
-	f.membersDuty = &membersDuty{
+	f := &followedList{members: membersWith(deskMember), answers: make(chan peer.ListReceived, eventsCapacity)}
+	f.list = &hangingHandler{next: f.members}
+	f.carrier = &memoryTransport{handler: f.list}
+	f.membersPoller = &membersPoller{
 		source: membership.NewSource("http://platform", f.carrier), events: ring.New[event](eventsCapacity, ring.Block), log: logr.Discard(),
-		held: func(version, asked int64) { f.answers <- peer.ListReceived{Version: version, Asked: asked} },
+		onListing: func(version, asked int64) { f.answers <- peer.ListReceived{Version: version, Asked: asked} },
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -251,7 +251,7 @@
 }
 
 // version returns the list's version.
-func (f *following) version() int64 {
+func (f *followedList) version() int64 {
 	answer := httptest.NewRecorder()
 	f.members.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/members?after=0", nil))
 	var l membership.Listing
@@ -261,7 +261,7 @@
 
 // hang lets the duty's next call begin while the list is silent, and lets the endpoint
 // leave behind the silence.
-func (f *following) hang(t *testing.T) {
+func (f *followedList) hang(t *testing.T) {
 	t.Helper()
 	f.list.silent.Store(true)
 	f.members.Set(deskMember)
@@ -274,14 +274,14 @@
 	synctest.Wait()
 }
 
-func TestHungPollIsGivenUpOnTheWordOfANewerList(t *testing.T) {
+func TestHungPollIsCancelledOnReportOfANewerList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, stop := follow(t)
+		f, stop := followList(t)
 		defer stop()
 		f.hang(t)
 		calls, closed := f.list.calls.Load(), f.carrier.closed.Load()
-		f.ask(f.version())
-		require.True(t, leavesBy(f.events, time.Millisecond))
+		f.requestVersion(f.version())
+		require.True(t, listedLeaving(f.events, time.Millisecond))
 		synctest.Wait()
 		require.EqualValues(t, 2, f.list.calls.Load()-calls, "one that asks, and one that waits for the next change")
 		require.EqualValues(t, 1, f.carrier.closed.Load()-closed, "resting connections may be as silent")
@@ -292,14 +292,14 @@
 	})
 }
 
-// TestWordOfAListThatIsNotThereIsAnswered has a list that began anew, so that another
+// TestReportOfAnUnknownListVersionIsAnswered has a list that began anew, so that another
 // instance tells of a version that will not come for long.
-func TestWordOfAListThatIsNotThereIsAnswered(t *testing.T) {
+func TestReportOfAnUnknownListVersionIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, stop := follow(t)
+		f, stop := followList(t)
 		defer stop()
 		<-f.answers
-		f.ask(100)
+		f.requestVersion(100)
 		synctest.Wait()
 		require.Len(t, f.answers, 1, "answered at once")
 		require.Equal(t, peer.ListReceived{Version: f.version(), Asked: 100}, <-f.answers)
@@ -307,9 +307,9 @@
 }
 
 // TestUnchangedListCostsACallForEachHold counts the calls of a healthy duty.
-func TestUnchangedListCostsACallForEachHold(t *testing.T) {
+func TestUnchangedListCostsOneCallPerHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, stop := follow(t)
+		f, stop := followList(t)
 		defer stop()
 		time.Sleep(time.Minute - time.Second)
 		require.EqualValues(t, 1+6, f.list.calls.Load())
@@ -318,46 +318,46 @@
 }
 
 // datagramWire carries datagrams between duties in memory, each to its address.
-type datagramWire struct {
-	mu sync.Mutex
-	to map[string]*peersDuty
+type memoryDatagrams struct {
+	mu        sync.Mutex
+	receivers map[string]*peersDuty
 }
 
-func (w *datagramWire) Send(address string, data []byte) {
+func (w *memoryDatagrams) Send(address string, data []byte) {
 	w.mu.Lock()
-	to := w.to[address]
+	to := w.receivers[address]
 	w.mu.Unlock()
 	if to != nil {
 		to.receive(data)
 	}
 }
 
-func (w *datagramWire) Close() {}
+func (w *memoryDatagrams) Close() {}
 
 // slowly answers each call a little later, by less than a bound. One caller at a time
 // uses it.
-type slowly struct {
+type slowHandler struct {
 	next  http.Handler
 	bound time.Duration
 	rand  *rand.Rand
 }
 
-func (s slowly) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s slowHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.next.ServeHTTP(w, r)
 	time.Sleep(time.Duration(s.rand.Int64N(int64(s.bound))))
 }
 
 // TestWordsCostNoCallsWhileAllAreWell has instances that tell each other how new their
 // list is, and a list whose answers reach them at different times.
-func TestWordsCostNoCallsWhileAllAreWell(t *testing.T) {
+func TestVersionReportsCostNoCallsWhileAllPollsWork(t *testing.T) {
 	const instances, changes, latest = 6, 50, 200 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer func() { stop(); time.Sleep(latest) }()
-		members, w := listOf(deskMember), &datagramWire{to: map[string]*peersDuty{}}
+		members, w := membersWith(deskMember), &memoryDatagrams{receivers: map[string]*peersDuty{}}
 		sealer, err := peer.NewSealer([][]byte{make([]byte, peer.KeyBytes)})
 		require.NoError(t, err)
-		var lists []*silences
+		var lists []*hangingHandler
 		for at := range instances {
 			name := fmt.Sprintf("i%d", at)
 			members.Set(standin.Member{Name: name, Pool: membership.InstancePool, Address: "10.0.0.1:1", PeerPort: at + 1, StreamPort: at + 1, Incarnation: "1", State: standin.MemberLive})
@@ -366,14 +366,14 @@
 				events: ring.New[peer.Event](peerEventCapacity, ring.DropOldest), log: logr.Discard(), now: time.Now,
 				freshness: newFreshness(time.Now, time.Second, func() {}), onPeerLeaving: func(string) {}, countSent: func(int) {}, countReceived: func(int) {},
 			}
-			w.to[fmt.Sprintf("10.0.0.1:%d", at+1)] = peers
-			list := &silences{next: slowly{members, latest, rand.New(rand.NewPCG(uint64(at), 0))}}
+			w.receivers[fmt.Sprintf("10.0.0.1:%d", at+1)] = peers
+			list := &hangingHandler{next: slowHandler{members, latest, rand.New(rand.NewPCG(uint64(at), 0))}}
 			lists = append(lists, list)
-			duty := &membersDuty{
-				source: membership.NewSource("http://platform", &inMemory{handler: list}), events: ring.New[event](eventsCapacity, ring.Block),
-				log: logr.Discard(), held: peers.listReceived,
+			duty := &membersPoller{
+				source: membership.NewSource("http://platform", &memoryTransport{handler: list}), events: ring.New[event](eventsCapacity, ring.Block),
+				log: logr.Discard(), onListing: peers.listReceived,
 			}
-			peers.refreshList = duty.ask
+			peers.refreshList = duty.requestVersion
 			// Their looks are spread.
 			time.Sleep(peerTickInterval / instances)
 			go peers.run(ctx)
--- a/daemon/idleconns.go
+++ b/daemon/idleconns.go
@@ -30,8 +30,8 @@
 	idle map[net.Conn]time.Time
 	// last is the limit at the last sweep. Before it was lowered it was earlier,
 	// which callers may go by until earlierUntil.
-	last, earlier time.Duration
-	earlierUntil  time.Time
+	lastLimit, previousLimit time.Duration
+	previousUntil            time.Time
 }
 
 func newIdleConns(log logr.Logger, now func() time.Time, limit func() time.Duration) *idleConns {
@@ -43,21 +43,21 @@
 	c.mu.Lock()
 	c.listener = l
 	c.mu.Unlock()
-	server.ConnState = c.note
+	server.ConnState = c.connStateChanged
 	return server.Serve(callerListener{l})
 }
 
 // drainLook is the time between two looks at the connections that are left, short
 // beside the seconds of a planned stop.
-const drainLook = 20 * time.Millisecond
+const drainPollInterval = 20 * time.Millisecond
 
 // drain takes no more connections, closes those at rest, and returns once the others
 // have ended behind their answers, or with ctx. Requests that arrive on them until
 // then go to the handler.
 func (c *idleConns) drain(ctx context.Context) error {
 	c.closeListener()
-	for c.closeResting() > 0 {
-		if !wait.For(ctx, drainLook) {
+	for c.closeIdle() > 0 {
+		if !wait.For(ctx, drainPollInterval) {
 			return ctx.Err()
 		}
 	}
@@ -73,69 +73,69 @@
 }
 
 // closeResting closes the connections at rest and returns how many are left.
-func (c *idleConns) closeResting() int {
+func (c *idleConns) closeIdle() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn := range c.open {
-		c.closeAtRest(conn)
+		c.closeIfIdle(conn)
 	}
 	return len(c.open)
 }
 
 // closeAtRest closes a connection unless a request has begun to arrive.
-func (c *idleConns) closeAtRest(conn net.Conn) bool {
-	if !conn.(*callerConn).closeAtRest() {
+func (c *idleConns) closeIfIdle(conn net.Conn) bool {
+	if !conn.(*callerConn).closeIfIdle() {
 		return false
 	}
-	c.forget(conn)
+	c.remove(conn)
 	return true
 }
 
-func (c *idleConns) forget(conn net.Conn) {
+func (c *idleConns) remove(conn net.Conn) {
 	delete(c.open, conn)
 	delete(c.idle, conn)
 }
 
 // note is the server's ConnState hook.
-func (c *idleConns) note(conn net.Conn, state http.ConnState) {
+func (c *idleConns) connStateChanged(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch state {
 	case http.StateIdle:
-		conn.(*callerConn).rest()
+		conn.(*callerConn).markIdle()
 		c.idle[conn] = c.now()
 	case http.StateNew, http.StateActive:
 		c.open[conn] = struct{}{}
 		delete(c.idle, conn)
 	default:
-		c.forget(conn)
+		c.remove(conn)
 	}
 }
 
 // idleSlack is how much longer than the limit a connection may rest: a request may
 // be on its way, and its caller would have to send it again.
-const idleSlack = time.Second
+const idleGrace = time.Second
 
 // promised is the limit that callers may go by: a lowered one holds only for
 // connections that began to rest behind it, as callers do not know at once.
-func (c *idleConns) promised(limit time.Duration) time.Duration {
+func (c *idleConns) effectiveLimit(limit time.Duration) time.Duration {
 	now := c.now()
-	if limit < c.last {
-		c.earlier, c.earlierUntil = max(c.last, c.earlier), now.Add(max(c.last, c.earlier))
+	if limit < c.lastLimit {
+		c.previousLimit, c.previousUntil = max(c.lastLimit, c.previousLimit), now.Add(max(c.lastLimit, c.previousLimit))
 	}
-	c.last = limit
-	if now.Before(c.earlierUntil) {
-		return max(limit, c.earlier)
+	c.lastLimit = limit
+	if now.Before(c.previousUntil) {
+		return max(limit, c.previousLimit)
 	}
-	c.earlier = 0
+	c.previousLimit = 0
 	return limit
 }
 
 // idleSweep is the time between two looks at the resting connections.
-const idleSweep = time.Second
+const sweepInterval = time.Second
 
 func (c *idleConns) run(ctx context.Context) {
-	for wait.For(ctx, idleSweep) {
+	for wait.For(ctx, sweepInterval) {
 		c.sweep()
 	}
 }
@@ -145,14 +145,14 @@
 	limit := c.limit()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	limit = c.promised(limit)
+	limit = c.effectiveLimit(limit)
 	if limit == 0 {
 		return
 	}
 	closed, oldest := 0, time.Duration(0)
 	for conn, since := range c.idle {
 		rested := c.now().Sub(since)
-		if rested < limit+idleSlack || !c.closeAtRest(conn) {
+		if rested < limit+idleGrace || !c.closeIfIdle(conn) {
 			continue
 		}
 		closed, oldest = closed+1, max(oldest, rested)
--- a/daemon/idleconns_test.go
+++ b/daemon/idleconns_test.go
@@ -31,13 +31,13 @@
 	t.Cleanup(func() { h.conn.Close(); h.peer.Close() })
 	h.idleConns = newIdleConns(logr.Discard(), func() time.Time { return h.clock }, func() time.Duration { return h.bound })
 	h.sweep()
-	h.note(h.conn, http.StateIdle)
+	h.connStateChanged(h.conn, http.StateIdle)
 	return h
 }
 
 // after lets time pass, sweeping each second, and tells whether the connection
 // is still open.
-func (h *idleHarness) after(d time.Duration) bool {
+func (h *idleHarness) openAfter(d time.Duration) bool {
 	for range int(d / time.Second) {
 		h.clock = h.clock.Add(time.Second)
 		h.sweep()
@@ -52,22 +52,22 @@
 // caller may not know yet and may use it for as long as the old limit said.
 func TestLoweredLimitSparesConnections(t *testing.T) {
 	h := newIdleHarness(t, 15*time.Second)
-	require.True(t, h.after(5*time.Second))
+	require.True(t, h.openAfter(5*time.Second))
 	h.bound = 3 * time.Second
-	require.True(t, h.after(8*time.Second), "13 s of the 15 that it was promised")
-	require.False(t, h.after(20*time.Second))
+	require.True(t, h.openAfter(8*time.Second), "13 s of the 15 that it was promised")
+	require.False(t, h.openAfter(20*time.Second))
 }
 
-func TestRestedConnectionsAreClosed(t *testing.T) {
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	h := newIdleHarness(t, 3*time.Second)
-	require.True(t, h.after(3*time.Second), "a request may just be on its way")
-	require.False(t, h.after(3*time.Second))
+	require.True(t, h.openAfter(3*time.Second), "a request may just be on its way")
+	require.False(t, h.openAfter(3*time.Second))
 }
 
 func TestConnectionsInUseStay(t *testing.T) {
 	h := newIdleHarness(t, 3*time.Second)
-	h.note(h.conn, http.StateActive)
-	h.after(time.Minute)
-	h.note(h.conn, http.StateIdle)
-	require.True(t, h.after(time.Second))
+	h.connStateChanged(h.conn, http.StateActive)
+	h.openAfter(time.Minute)
+	h.connStateChanged(h.conn, http.StateIdle)
+	require.True(t, h.openAfter(time.Second))
 }
--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -77,7 +77,7 @@
 	streams    *peer.StreamServer
 	asking     *peer.StreamClient
 	// settings fetches revisions.
-	settings *settingsDuty
+	settings *settingsFetcher
 	// draining is set once a planned stop has begun.
 	draining atomic.Bool
 	// process tells this process from any other of the same instance.
@@ -96,7 +96,7 @@
 
 // New returns an instance that has its listeners but serves nothing yet.
 func New(cfg Config, deps Deps) (*Instance, error) {
-	wakes := ring.New[time.Duration](wakesCapacity, ring.DropOldest)
+	wakes := ring.New[time.Duration](suspensionsCapacity, ring.DropOldest)
 	exact := deps.Now
 	if deps.Now == nil {
 		c := clock.New(clock.System(), func(slept time.Duration) { _ = wakes.Put(context.Background(), slept) })
@@ -154,7 +154,7 @@
 	i.peers = &peersDuty{
 		onLiveCount: i.allowances.SetInstanceCount,
 		gossip:      peer.NewGossip(peer.GossipConfig{Name: i.cfg.Instance, Process: i.process}), sealer: sealer,
-		events: ring.New[peer.Event](peerEventCapacity, ring.DropOldest), fetches: ring.New[wanted](wantedCapacity, ring.DropOldest),
+		events: ring.New[peer.Event](peerEventCapacity, ring.DropOldest), fetches: ring.New[settingsCandidate](candidatesCapacity, ring.DropOldest),
 		freshness: i.heard, quarantine: i.quarantine, log: i.log, now: i.deps.Now,
 		onPeerLeaving: func(name string) { _ = i.events.Put(i.work, instanceLeaving{name}) },
 		countSent:     func(n int) { i.vars.Add("peer_bytes_out", int64(n)) },
@@ -270,7 +270,7 @@
 		Handler: h, MaxHeaderBytes: i.cfg.Limits.HeaderBytes,
 		ReadHeaderTimeout: milliseconds(i.cfg.Limits.ReadMS), ReadTimeout: milliseconds(i.cfg.Limits.ReadMS),
 		// Callers' connections rest for as long as idleConns allows.
-		IdleTimeout: longestRest,
+		IdleTimeout: maxConnIdle,
 	}
 }
 
@@ -305,25 +305,25 @@
 		list: membership.NewList(), endpoints: map[string]*routing.Endpoint{}, residency: newResidency(), withdrawnUntil: map[string]withdrawal{},
 		resolve: i.adopt, updatePeers: i.peers.updateMembers,
 	}
-	i.settings = &settingsDuty{
-		client: objects, streams: i.asking, fetcher: revision.NewFetcher(), wanted: i.peers.fetches,
-		events: i.events, heard: i.heard, log: i.log,
+	i.settings = &settingsFetcher{
+		client: objects, streams: i.asking, fetcher: revision.NewFetcher(), candidates: i.peers.fetches,
+		events: i.events, contact: i.heard, log: i.log,
 	}
-	members := &membersDuty{
-		source: membership.NewSource(i.cfg.Platform.Members, platform), events: i.events, log: i.log, held: i.peers.listReceived,
+	members := &membersPoller{
+		source: membership.NewSource(i.cfg.Platform.Members, platform), events: i.events, log: i.log, onListing: i.peers.listReceived,
 	}
-	i.peers.refreshList = members.ask
-	load := &loadDuty{
+	i.peers.refreshList = members.requestVersion
+	load := &loadPoller{
 		router: i.router, client: i.control, catalog: i.catalog.Load, events: i.events, log: i.log,
-		limiter: rate.NewLimiter(rate.Limit(i.cfg.Limits.LoadPollsPerSecond), 1),
-		busy:    rate.Limit(i.cfg.Limits.LoadPollsPerSecond), idle: rate.Limit(i.cfg.Limits.LoadPollsPerSecond) / idleShare,
-		requests: func() int64 { return i.Counter("requests") },
+		limiter:    rate.NewLimiter(rate.Limit(i.cfg.Limits.LoadPollsPerSecond), 1),
+		activeRate: rate.Limit(i.cfg.Limits.LoadPollsPerSecond), idleRate: rate.Limit(i.cfg.Limits.LoadPollsPerSecond) / idleShare,
+		requestCount: func() int64 { return i.Counter("requests") },
 	}
 	poll := func(ctx context.Context) {
 		i.settings.poll(ctx, func() int { return i.router.View().Instances })
 	}
 	for _, run := range []func(context.Context){
-		view.run, i.settings.run, i.settings.watch, poll, members.run, load.run, i.peers.run, i.kickDuty, i.idle.run, i.wake,
+		view.run, i.settings.run, i.settings.watch, poll, members.run, load.run, i.peers.run, i.kickDuty, i.idle.run, i.handleSuspensions,
 	} {
 		i.done.Go(func() { run(i.work) })
 	}
--- a/daemon/late_test.go
+++ b/daemon/leavedelay_test.go
@@ -21,32 +21,32 @@
 // the store it begins to speak, how long after that the follower starts, when the
 // endpoint leaves, and how long after that the holder runs into trouble.
 // A calm store has nothing else that changes, so that the follower's watch rests.
-type lateCase struct {
-	speak, start, leave, trouble time.Duration
-	calm                         bool
+type leaveCase struct {
+	announceAt, start, leave, trouble time.Duration
+	calm                              bool
 }
 
 // lateRun has an endpoint leave before a follower and a holder that runs into trouble,
 // and returns how late the follower knows.
-func lateRun(t *testing.T, c lateCase, strike func(holder *lateInstance, kill func())) time.Duration {
+func runLeaveCase(t *testing.T, c leaveCase, strike func(holder *entriesInstance, kill func())) time.Duration {
 	t.Helper()
 	var late time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		holderLives, kill := context.WithCancel(ctx)
-		s := newLateStore(staleAnswers)
+		s := newStaleStore(staleAnswers)
 		s.put("e", membership.Live)
-		holder := newLateInstance(s, "holder", func() bool { return true })
-		follower := newLateInstance(s, "follower", func() bool { return false })
+		holder := newEntriesInstance(s, "holder", func() bool { return true })
+		follower := newEntriesInstance(s, "follower", func() bool { return false })
 		if !c.calm {
-			go s.busy(ctx)
+			go s.churn(ctx)
 		}
 		holder.follow(holderLives)
-		time.Sleep(c.speak)
-		holder.speak(holderLives, follower)
+		time.Sleep(c.announceAt)
+		holder.announceTo(holderLives, follower)
 		time.Sleep(c.start)
 		follower.follow(ctx)
-		time.Sleep(staleAnswers + 2*time.Second + c.leave - c.start - c.speak)
+		time.Sleep(staleAnswers + 2*time.Second + c.leave - c.start - c.announceAt)
 		began := time.Now()
 		s.put("e", membership.Leaving)
 		time.Sleep(c.trouble)
@@ -63,22 +63,22 @@
 
 // lateRuns is how many cases latest tries, lateSeed what they are drawn from.
 const (
-	lateRuns = 400
-	lateSeed = 1
+	leaveCases    = 400
+	leaveCaseSeed = 1
 )
 
 // latest is the worst of many cases.
-func latest(t *testing.T, strike func(holder *lateInstance, kill func())) (worst time.Duration, at lateCase) {
+func worstLateness(t *testing.T, strike func(holder *entriesInstance, kill func())) (worst time.Duration, at leaveCase) {
 	t.Helper()
-	random := rand.New(rand.NewPCG(lateSeed, 0))
+	random := rand.New(rand.NewPCG(leaveCaseSeed, 0))
 	upTo := func(d time.Duration) time.Duration { return time.Duration(random.Int64N(int64(d))) }
-	for range lateRuns {
-		c := lateCase{
-			speak: upTo(minAnnounceInterval), start: upTo(staleBatchDelay), leave: upTo(staleBatchDelay), trouble: upTo(entriesBatchDelay + minAnnounceInterval),
+	for range leaveCases {
+		c := leaveCase{
+			announceAt: upTo(minAnnounceInterval), start: upTo(staleBatchDelay), leave: upTo(staleBatchDelay), trouble: upTo(entriesBatchDelay + minAnnounceInterval),
 		}
 		// The same moments with and without other changes.
 		for _, c.calm = range []bool{false, true} {
-			if late := lateRun(t, c, strike); late > worst {
+			if late := runLeaveCase(t, c, strike); late > worst {
 				worst, at = late, c
 			}
 		}
@@ -88,14 +88,14 @@
 
 // lookAfterSilence is how long after the last word of the holder, which comes at that
 // offset, a follower has looked closely at what changed right after it.
-func lookAfterSilence(t *testing.T, fresh NodeFreshness, last time.Duration) time.Duration {
+func latenessAfterSilence(t *testing.T, fresh NodeFreshness, last time.Duration) time.Duration {
 	t.Helper()
 	var late time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		s := newLateStore(staleAnswers)
+		s := newStaleStore(staleAnswers)
 		s.put("e", membership.Live)
-		follower := newLateInstance(s, "follower", func() bool { return false })
+		follower := newEntriesInstance(s, "follower", func() bool { return false })
 		follower.client.fresh, follower.mesh.totals.holderTimeout = fresh, fresh.holderTimeout()
 		follower.follow(ctx)
 		silent := time.Now().Add(5*time.Second + last)
@@ -118,13 +118,13 @@
 // The holder of the lease ends, or the store turns it away, in the pause before its own
 // next look. The others go by its last word until that is too old, and then finish the
 // pause or the call that they had begun. All these waits follow each other.
-func TestNewsIsInTimeWhateverTheOthersAreAtWhenTheHolderIsLost(t *testing.T) {
+func TestChangesAreKnownInTimeWhateverTheOthersDoWhenTheHolderIsLost(t *testing.T) {
 	fresh := DefaultNodeConfig().Fresh
 	wider := NodeFreshness{LeavingMS: 3000, SettingsMS: 3000, ContactMS: 4000}
 	for _, f := range []NodeFreshness{fresh, wider} {
 		var look time.Duration
 		for last := time.Duration(0); last < 2*staleBatchDelay+f.staleWatchHold(); last += 5 * time.Millisecond {
-			look = max(look, lookAfterSilence(t, f, last))
+			look = max(look, latenessAfterSilence(t, f, last))
 		}
 		t.Logf("leaving within %d ms: others look %v after the last word", f.LeavingMS, look)
 		assert.Less(t, f.maxAttestedAge()+look, milliseconds(f.LeavingMS))
@@ -133,23 +133,23 @@
 
 // The store turns the holder of the lease away while an endpoint leaves. The holder
 // vouches on for a while, then the others sleep on in the pause that they had begun.
-func TestEndpointThatLeavesIsKnownInTimeWhenTheHolderIsTurnedAway(t *testing.T) {
-	worst, at := latest(t, func(holder *lateInstance, _ func()) { holder.client.set(true, false, true) })
+func TestLeavingEndpointIsKnownInTimeWhenTheStoreRejectsTheHolder(t *testing.T) {
+	worst, at := worstLateness(t, func(holder *entriesInstance, _ func()) { holder.client.set(true, false, true) })
 	require.Less(t, worst, milliseconds(DefaultNodeConfig().Fresh.LeavingMS), "%+v", at)
 }
 
 // The store has forgotten the holder's watch in silence while it answers the renewals
 // of its lease. These make the holder vouch for entries that it does not follow.
-func TestHolderDoesNotVouchWhileItsWatchIsSilent(t *testing.T) {
+func TestHolderDoesNotAttestWhileItsWatchIsSilent(t *testing.T) {
 	var late time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		s := newLateStore(staleAnswers)
+		s := newStaleStore(staleAnswers)
 		s.put("e", membership.Live)
-		holder := newLateInstance(s, "holder", func() bool { return true })
-		follower := newLateInstance(s, "follower", func() bool { return false })
+		holder := newEntriesInstance(s, "holder", func() bool { return true })
+		follower := newEntriesInstance(s, "follower", func() bool { return false })
 		holder.follow(ctx)
-		holder.speak(ctx, follower)
+		holder.announceTo(ctx, follower)
 		follower.follow(ctx)
 		time.Sleep(5 * time.Second)
 		holder.client.set(false, true, true)
@@ -169,11 +169,11 @@
 // A watch is cut once, as the store may do at any time, and the next one hears nothing
 // for a while as nothing changes. The first that it hears is that an endpoint has gone.
 // As if the store were back only now, the endpoint is kept for entries that lapsed.
-func TestEndpointThatGoesLongAfterACutWatchIsKnownInTime(t *testing.T) {
+func TestRemovalLongAfterACutWatchIsKnownInTime(t *testing.T) {
 	const step = 50 * time.Millisecond
 	var worst time.Duration
 	for quiet := time.Second; quiet < 2500*time.Millisecond; quiet += step {
-		worst = max(worst, goneAfterACut(t, quiet))
+		worst = max(worst, latenessAfterCutWatch(t, quiet))
 	}
 	t.Logf("worst %v", worst)
 	require.Less(t, worst, milliseconds(DefaultNodeConfig().Fresh.LeavingMS))
@@ -181,15 +181,15 @@
 
 // goneAfterACut is how late the holder of the lease knows that an endpoint has gone, so
 // long after its watch was cut.
-func goneAfterACut(t *testing.T, quiet time.Duration) time.Duration {
+func latenessAfterCutWatch(t *testing.T, quiet time.Duration) time.Duration {
 	t.Helper()
 	var late time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		s := newLateStore(staleAnswers)
+		s := newStaleStore(staleAnswers)
 		s.put("e", membership.Live)
 		s.put("other", membership.Live)
-		holder := newLateInstance(s, "holder", func() bool { return true })
+		holder := newEntriesInstance(s, "holder", func() bool { return true })
 		holder.follow(ctx)
 		time.Sleep(5 * time.Second)
 		holder.client.set(false, false, true)
@@ -209,7 +209,7 @@
 // look, so it never tells that an endpoint leaves. Its successor has just begun a pause
 // too, one as long as those who are told in time may make. It tells at once that what it
 // knows is current, as the store has answered its call for the lease.
-func TestSuccessorLooksBeforeItVouches(t *testing.T) {
+func TestSuccessorReadsTheStoreBeforeItAttests(t *testing.T) {
 	const step, startStep = 15 * time.Millisecond, 150 * time.Millisecond
 	// takes is how long the successor may need to see that the lease is free, and less
 	// than what makes the others look closely.
@@ -217,7 +217,7 @@
 	var worst time.Duration
 	for last := time.Duration(0); last < staleBatchDelay+step; last += step {
 		for start := time.Duration(0); start < staleBatchDelay; start += startStep {
-			worst = max(worst, handOver(t, last, start, takes))
+			worst = max(worst, latenessAfterHandover(t, last, start, takes))
 		}
 	}
 	t.Logf("worst %v", worst)
@@ -226,22 +226,22 @@
 
 // handOver has an endpoint leave before the lease is handed over, and returns how late
 // another instance knows, which starts a while after the successor.
-func handOver(t *testing.T, last, start, takes time.Duration) time.Duration {
+func latenessAfterHandover(t *testing.T, last, start, takes time.Duration) time.Duration {
 	t.Helper()
 	var late time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		s := newLateStore(staleAnswers)
+		s := newStaleStore(staleAnswers)
 		s.put("e", membership.Live)
 		var holds atomic.Bool
-		successor := newLateInstance(s, "successor", holds.Load)
-		other := newLateInstance(s, "other", func() bool { return false })
+		successor := newEntriesInstance(s, "successor", holds.Load)
+		other := newEntriesInstance(s, "other", func() bool { return false })
 		hear := func() {
 			successor.mesh.totals.receive(time.Now(), holderAnnouncement(true))
 			other.mesh.totals.receive(time.Now(), holderAnnouncement(true))
 		}
 		successor.follow(ctx)
-		successor.speak(ctx, other)
+		successor.announceTo(ctx, other)
 		go func() {
 			time.Sleep(start)
 			other.follow(ctx)
@@ -272,11 +272,11 @@
 // in contact, but nothing has changed since, so that no watch has had an answer yet. Its
 // first is that an endpoint has gone, which all of them then keep for entries that
 // lapsed, the holder of the lease too.
-func TestEndpointThatGoesWhenTheStoreIsStableAgainIsKnownInTime(t *testing.T) {
+func TestRemovalAfterAStoreOutageIsKnownInTime(t *testing.T) {
 	const phases, phase = 40, 37 * time.Millisecond
 	var worst time.Duration
 	for n := range phases {
-		worst = max(worst, goneAfterAnOutage(t, time.Duration(n)*phase))
+		worst = max(worst, latenessAfterOutage(t, time.Duration(n)*phase))
 	}
 	t.Logf("worst %v", worst)
 	require.Less(t, worst, milliseconds(DefaultNodeConfig().Fresh.LeavingMS))
@@ -284,19 +284,19 @@
 
 // goneAfterAnOutage is how late a follower knows that an endpoint has gone, the instances
 // being in contact again after an outage of the store that began so long after them.
-func goneAfterAnOutage(t *testing.T, began time.Duration) time.Duration {
+func latenessAfterOutage(t *testing.T, began time.Duration) time.Duration {
 	t.Helper()
 	const outage = 4 * time.Second
 	var late time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		s := newLateStore(staleAnswers)
+		s := newStaleStore(staleAnswers)
 		s.put("e", membership.Live)
 		s.put("other", membership.Live)
-		holder := newLateInstance(s, "holder", func() bool { return true })
-		follower := newLateInstance(s, "follower", func() bool { return false })
+		holder := newEntriesInstance(s, "holder", func() bool { return true })
+		follower := newEntriesInstance(s, "follower", func() bool { return false })
 		holder.follow(ctx)
-		holder.speak(ctx, follower)
+		holder.announceTo(ctx, follower)
 		follower.follow(ctx)
 		time.Sleep(2*staleAnswers + began)
 		holder.client.set(true, false, true)
--- a/daemon/logwriter_test.go
+++ b/daemon/logwriter_test.go
@@ -19,7 +19,7 @@
 func TestLoggingNeverWaits(t *testing.T) {
 	stuck := stuckWriter{release: make(chan struct{})}
 	w := NewLogWriter(stuck)
-	for i := range 3 * (logBurst + logLines) {
+	for i := range 3 * (logBurst + logQueueLines) {
 		_, err := fmt.Fprintf(w, "line=%d\n", i)
 		require.NoError(t, err)
 	}
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -65,18 +65,18 @@
 // endpoints and a whole configuration. It keeps nothing: whatever it knows it
 // has from there, and loses at any moment.
 type Node struct {
-	cfg   NodeConfig
-	ports PlatformAdapter
-	log   logr.Logger
+	cfg      NodeConfig
+	platform PlatformAdapter
+	log      logr.Logger
 	// clock goes on while the machine is suspended; now is its Now.
 	clock *clock.Clock
 	now   func() time.Time
 	// wakes holds suspensions that were noticed and not acted on yet.
-	wakes *ring.Ring[time.Duration]
+	suspensions *ring.Ring[time.Duration]
 	// storeCalls are the calls to the store in progress, and overdue ends requests whose
 	// deadline has passed.
-	storeCalls *interruptible
-	overdue    func()
+	storeTransport *interruptibleTransport
+	cancelOverdue  func()
 	// startedAt is when the process began.
 	startedAt time.Time
 	vars      *expvar.Map
@@ -92,35 +92,35 @@
 	rights     *keyRights
 	allowances *allowances
 	// permits holds the limits that endpoints name for all nodes.
-	permits *permits
-	held    *ring.Ring[quarantine.Report]
+	permits        *permits
+	unsavedReports *ring.Ring[quarantine.Report]
 	// control carries reports and orders, apart from callers' requests.
 	control *engine.Client
 	mesh    *mesh
 	// relays asks other instances for the list of endpoints, and tells it.
 	relays *relays
 	// eras follows the store's eras; eraBegun is told when one has begun.
-	eras     *store.Eras
-	eraBegun chan struct{}
-	placers  *placers
-	presence *presenceDuty
-	events   *ring.Ring[event]
+	eras       *store.Eras
+	eraStarted chan struct{}
+	placers    *placers
+	presence   *presenceDuty
+	events     *ring.Ring[event]
 	// eventsApplied and entriesApplied tell how far the view and the list of endpoints are
 	// behind what the store has answered.
-	eventsApplied, entriesApplied *applied
-	link                          *storeLink
-	idle                          *idleConns
-	catalog                       atomic.Pointer[settings.Catalog]
+	eventsLag, entriesLag *lagTracker
+	link                  *storeLink
+	idle                  *idleConns
+	catalog               atomic.Pointer[settings.Catalog]
 	// retrySettings are those in force, which a reload replaces.
 	retrySettings atomic.Pointer[NodeRetry]
 	stopping      atomic.Pointer[time.Time]
 	// ranks holds a poolRank for each pool.
 	ranks sync.Map
 
-	front, ready, operators *nodeServer
-	work                    context.Context
-	stop                    context.CancelFunc
-	done                    sync.WaitGroup
+	callerServer, readinessServer, operatorServer *nodeServer
+	runCtx                                        context.Context
+	stop                                          context.CancelFunc
+	done                                          sync.WaitGroup
 }
 
 // idlePerEndpoint is how many idle connections a node keeps to each endpoint.
@@ -139,17 +139,17 @@
 // NewNode returns a node that listens but serves nothing yet.
 func NewNode(cfg NodeConfig, ports PlatformAdapter, log logr.Logger) (*Node, error) {
 	n := &Node{
-		cfg: cfg, ports: ports, log: log, vars: new(expvar.Map).Init(),
-		router:  routing.NewRouter(routing.Policies()[cfg.RoutingPolicy], randv2.Float64),
-		retries: pipeline.NewRetryBudgets(cfg.Retries.limits(0)),
-		events:  ring.New[event](eventsCapacity, ring.Block),
-		wakes:   ring.New[time.Duration](wakesCapacity, ring.DropOldest),
-		held:    ring.New[quarantine.Report](holdsWaiting, ring.DropOldest),
-		eras:    &store.Eras{}, eraBegun: make(chan struct{}, 1),
+		cfg: cfg, platform: ports, log: log, vars: new(expvar.Map).Init(),
+		router:         routing.NewRouter(routing.Policies()[cfg.RoutingPolicy], randv2.Float64),
+		retries:        pipeline.NewRetryBudgets(cfg.Retries.instanceLimits(0)),
+		events:         ring.New[event](eventsCapacity, ring.Block),
+		suspensions:    ring.New[time.Duration](suspensionsCapacity, ring.DropOldest),
+		unsavedReports: ring.New[quarantine.Report](holdsWaiting, ring.DropOldest),
+		eras:           &store.Eras{}, eraStarted: make(chan struct{}, 1),
 	}
 	n.eras.OnBegin(n.onEraBegin)
-	n.work, n.stop = context.WithCancel(context.Background())
-	n.clock = clock.New(clock.System(), func(slept time.Duration) { _ = n.wakes.Put(n.work, slept) })
+	n.runCtx, n.stop = context.WithCancel(context.Background())
+	n.clock = clock.New(clock.System(), func(slept time.Duration) { _ = n.suspensions.Put(n.runCtx, slept) })
 	n.now = n.clock.Now
 	n.vars.Set("suspensions", expvar.Func(func() any { return n.clock.Suspensions() }))
 	n.retrySettings.Store(&cfg.Retries)
@@ -157,15 +157,15 @@
 	n.link = &storeLink{log: log, now: n.now}
 	n.idle = newIdleConns(log, n.now, n.idleLimit)
 	n.gates = pipeline.NewGates(admission.Limits{MaxWaiters: cfg.Limits.QueueRequests, MaxBytes: cfg.Limits.QueueBytes}, n.now)
-	n.engine = engine.NewClient(engine.Config{Dial: watchfulDialer().DialContext, IdlePerEndpoint: idlePerEndpoint, Dialect: ports.Endpoints})
-	n.control = engine.NewClient(engine.Config{Dial: watchfulDialer().DialContext, Dialect: ports.Endpoints, IdlePerEndpoint: 1})
+	n.engine = engine.NewClient(engine.Config{Dial: newKeepAliveDialer().DialContext, IdlePerEndpoint: idlePerEndpoint, Dialect: ports.Endpoints})
+	n.control = engine.NewClient(engine.Config{Dial: newKeepAliveDialer().DialContext, Dialect: ports.Endpoints, IdlePerEndpoint: 1})
 	n.quarantine = quarantine.NewManager(quarantine.Config{
 		Limits: cfg.Quarantine.limits(), Now: n.now, Log: log, Wake: func() { n.mesh.sendSoon() },
-		Persist: func(w quarantine.Report) { _ = n.held.Put(n.work, w) },
+		Persist: func(w quarantine.Report) { _ = n.unsavedReports.Put(n.runCtx, w) },
 	})
 	n.vars.Set("quarantine", expvar.Func(func() any { return n.quarantine.Stats() }))
-	n.storeCalls = newInterruptible(&http.Transport{
-		DialContext: watchfulDialer().DialContext, MaxIdleConnsPerHost: platformConns, IdleConnTimeout: time.Minute,
+	n.storeTransport = newInterruptibleTransport(&http.Transport{
+		DialContext: newKeepAliveDialer().DialContext, MaxIdleConnsPerHost: platformConns, IdleConnTimeout: time.Minute,
 	})
 	n.permits = newPermits(cfg.Instance, n.router, log, n.now)
 	n.router.SetPermits(n.permits.local)
@@ -173,7 +173,7 @@
 	n.permits.connect(n.mesh, n.gates.Wake)
 	n.relays = &relays{
 		instance: n.cfg.Instance, failureDomain: n.cfg.FailureDomain, address: n.mesh.self.Streams,
-		fleet: n.mesh.fleet, streamAddress: n.mesh.streamAddress, isHolder: n.mesh.isHolder, holderAttests: n.mesh.holderAttests, storeAnswers: n.storeAnswers, attest: n.vouchFor, onDelta: n.vouchedFor, feed: relay.NewFeed(n.mesh.process),
+		fleet: n.mesh.fleet, streamAddress: n.mesh.streamAddress, isHolder: n.mesh.isHolder, holderAttests: n.mesh.holderAttests, storeAnswers: n.storeAnswers, attest: n.addAttestation, onDelta: n.applyAttestation, feed: relay.NewFeed(n.mesh.process),
 		holdTime: n.relayHold, attestationLifetime: n.cfg.Fresh.relayAttestationLifetime(), fleetVersion: n.mesh.knownVersion, log: n.log, now: n.now,
 	}
 	n.vars.Set("evacuated", expvar.Func(func() any { return n.evacuationStats() }))
@@ -195,7 +195,7 @@
 
 // limits is this instance's share of what all may make. A little stays unused,
 // as an instance that is restarted begins anew.
-func (r NodeRetry) limits(instances int) pipeline.RetryLimits {
+func (r NodeRetry) instanceLimits(instances int) pipeline.RetryLimits {
 	const used = 0.8
 	if instances == 0 {
 		instances = assumedInstances
@@ -204,13 +204,13 @@
 }
 
 // shareRetries divides the retries that all may make among so many instances.
-func (n *Node) shareRetries(instances int) {
-	n.retries.SetLimits(n.retrySettings.Load().limits(instances))
+func (n *Node) updateRetryLimits(instances int) {
+	n.retries.SetLimits(n.retrySettings.Load().instanceLimits(instances))
 }
 
 // counted is told how many instances are listed.
-func (n *Node) counted(instances int) {
-	n.shareRetries(instances)
+func (n *Node) setInstanceCount(instances int) {
+	n.updateRetryLimits(instances)
 	n.allowances.local.SetInstanceCount(instances)
 	n.router.SetInstances(instances)
 }
@@ -232,10 +232,10 @@
 		rights: n.rights, allowances: n.allowances, permits: n.permits, evacuations: n.newEvacuations(), eras: n.eras,
 		instance: n.cfg.Instance, process: process, address: address,
 		router: n.router, gates: n.gates, demand: &pipeline.Demand{}, refusals: &pipeline.Refusals{}, quarantine: n.quarantine, log: n.log, now: n.now,
-		onPlacements: func(p []peer.Placement) { _ = n.events.Put(n.work, placementsTold{p}) },
+		onPlacements: func(p []peer.Placement) { _ = n.events.Put(n.runCtx, placementsReceived{p}) },
 		onDemand:     func(d map[string]peer.Demand) { n.placers.demanded(d) },
 		onSuspects:   func(endpoints []string) { n.placers.suspected(endpoints) },
-		onReplaced:   n.endpointsGone,
+		onReplaced:   n.endpointsReplaced,
 		onPartition:  func(alone bool) { n.placers.alone(alone) },
 		leaving:      func() bool { return n.stopping.Load() != nil },
 		storeCurrent: n.current,
@@ -245,9 +245,9 @@
 			Datagrams: address, Streams: n.streamsAddress(host), FailureDomain: n.cfg.FailureDomain, Cores: n.cfg.Limits.CPUShare * n.cfg.Limits.CoreSpeed,
 		},
 		revision: n.revision, newerSettings: make(chan struct{}, 1), withdrawn: map[string]withdrawal{},
-		onEndpointsLeaving: func(leaving []endpointStart) { _ = n.events.Put(n.work, endpointsWithdrawn{leaving}) },
+		onEndpointsLeaving: func(leaving []endpointStart) { _ = n.events.Put(n.runCtx, endpointsWithdrawn{leaving}) },
 		isHolder:           holds,
-		onInstanceCount:    n.counted,
+		onInstanceCount:    n.setInstanceCount,
 		linkBytesPerSecond: n.cfg.Limits.LinkMbps * bytesPerMbit,
 		totals:             totals{holderTimeout: n.cfg.Fresh.holderTimeout()},
 	}
@@ -256,7 +256,7 @@
 }
 
 // open opens the links to the others, once their key is known, or goes on with another key.
-func (n *Node) open(key []byte) error {
+func (n *Node) openLinks(key []byte) error {
 	if err := n.mesh.open(key); err != nil {
 		return err
 	}
@@ -280,7 +280,7 @@
 		return nil
 	}
 	return &evacuations{log: n.log, changed: func(domains []string) {
-		_ = n.events.Put(n.work, domainsEvacuated{domains})
+		_ = n.events.Put(n.runCtx, domainsEvacuated{domains})
 		n.mesh.sendSoon()
 	}}
 }
@@ -295,7 +295,7 @@
 
 // endpointsGone stops to route to endpoints whose addresses others have, and to
 // place units there.
-func (n *Node) endpointsGone(starts []endpointStart) {
+func (n *Node) endpointsReplaced(starts []endpointStart) {
 	gone := make(map[string]endpointStart, len(starts))
 	for _, s := range starts {
 		gone[s.name] = s
@@ -313,25 +313,25 @@
 }
 
 // holder names this process among all that ever run.
-func (n *Node) holder() string { return n.cfg.Instance + "/" + n.mesh.process }
+func (n *Node) holderID() string { return n.cfg.Instance + "/" + n.mesh.process }
 
 func (n *Node) listen() error {
-	dialect := n.ports.Callers(n.catalog.Load, pipeline.Authenticator{TokensCurrent: n.rights.current})
+	dialect := n.platform.Callers(n.catalog.Load, pipeline.Authenticator{TokensCurrent: n.rights.current})
 	handler := pipeline.New(pipeline.Config{
 		Dialect: dialect, Catalog: n.catalog.Load, Router: n.router, Gates: n.gates, Engine: n.engine, Retries: n.retries,
 		Demand: n.mesh.demand, Refusals: n.mesh.refusals, OnNoReplica: n.mesh.sendSoon,
 		Metrics: pipeline.NewMetrics(n.vars), Log: n.log, Now: n.now, FailureDomain: n.cfg.FailureDomain,
 		SettingsOutdated: n.mesh.outdated, Revisions: n.revisions, EndpointsAgeMS: n.endpointsAgeMS, Quarantine: n.quarantine, Allowances: n.allowances.local, Permits: n.permits.local,
 	})
-	n.overdue = handler.CancelOverdue
+	n.cancelOverdue = handler.CancelOverdue
 	for _, s := range []struct {
 		into    **nodeServer
 		address string
 		handler http.Handler
 	}{
-		{&n.front, n.cfg.Callers, n.guard(dialect, handler)},
-		{&n.ready, n.cfg.Readiness, n.readiness()},
-		{&n.operators, n.cfg.Operators, n.metrics()},
+		{&n.callerServer, n.cfg.Callers, n.admit(dialect, handler)},
+		{&n.readinessServer, n.cfg.Readiness, n.readiness()},
+		{&n.operatorServer, n.cfg.Operators, n.metrics()},
 	} {
 		listener, err := net.Listen("tcp", s.address)
 		if err != nil {
@@ -342,14 +342,14 @@
 			Handler: s.handler, MaxHeaderBytes: n.cfg.Limits.HeaderBytes, ReadHeaderTimeout: read, ReadTimeout: read,
 			// Callers' connections rest for as long as the settings in force
 			// allow, which idleConns sees to.
-			IdleTimeout: longestRest,
+			IdleTimeout: maxConnIdle,
 		}}
 	}
 	return nil
 }
 
 // longestRest is how long a connection may rest whatever the settings say.
-const longestRest = time.Hour
+const maxConnIdle = time.Hour
 
 func (n *Node) idleLimit() time.Duration {
 	c := n.catalog.Load()
@@ -370,13 +370,13 @@
 }
 
 // CallersAddr, ReadinessAddr and OperatorsAddr are where the node listens.
-func (n *Node) CallersAddr() string   { return n.front.listener.Addr().String() }
-func (n *Node) ReadinessAddr() string { return n.ready.listener.Addr().String() }
-func (n *Node) OperatorsAddr() string { return n.operators.listener.Addr().String() }
+func (n *Node) CallersAddr() string   { return n.callerServer.listener.Addr().String() }
+func (n *Node) ReadinessAddr() string { return n.readinessServer.listener.Addr().String() }
+func (n *Node) OperatorsAddr() string { return n.operatorServer.listener.Addr().String() }
 
 func (n *Node) readiness() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+n.ports.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET "+n.platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !n.Ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -397,69 +397,69 @@
 }
 
 // duties starts what follows the store and builds the view.
-func (n *Node) duties() {
+func (n *Node) startTasks() {
 	calls := new(expvar.Map).Init()
 	n.vars.Set("store_calls", calls)
 	n.vars.Set("queue_length", expvar.Func(func() any { return n.gates.Len() }))
 	n.vars.Set("endpoints_age_ms", expvar.Func(func() any { return n.endpointsAgeMS() }))
 	n.vars.Set("settings_revision", expvar.Func(func() any { return n.revision() }))
-	objects := n.ports.Store(store.Config{URL: n.cfg.ObjectStore, Calls: calls, Phase: n.phase, WatchWait: n.cfg.Fresh.settingsWatchHold(), StaleWait: n.cfg.Fresh.staleWatchHold(), OnCall: n.link.asked, OnAnswer: n.link.answered, Transport: n.storeCalls, Eras: n.eras})
+	objects := n.platform.Store(store.Config{URL: n.cfg.ObjectStore, Calls: calls, Phase: n.phase, WatchWait: n.cfg.Fresh.settingsWatchHold(), StaleWait: n.cfg.Fresh.staleWatchHold(), OnCall: n.link.callStarted, OnAnswer: n.link.callAnswered, Transport: n.storeTransport, Eras: n.eras})
 	n.placers = &placers{
-		ctx: n.work, cfg: n.cfg.Orders, instance: n.cfg.Instance, holder: n.holder(), client: objects, log: n.log, now: n.clock.NowExact, done: &n.done,
-		controls: n.ports.Controls(n.control, n.cfg.Instance), campaigns: n.campaigns, looks: n.looks, place: n.mesh.publishPlacements, running: map[string]*placer{}, era: n.eras.Newest,
+		ctx: n.runCtx, cfg: n.cfg.Orders, instance: n.cfg.Instance, holder: n.holderID(), client: objects, log: n.log, now: n.clock.NowExact, done: &n.done,
+		controls: n.platform.Controls(n.control, n.cfg.Instance), campaigns: n.campaigns, looks: n.looks, place: n.mesh.publishPlacements, running: map[string]*placer{}, era: n.eras.Newest,
 	}
 	n.presence = &presenceDuty{
 		client: objects, writer: store.NewWriter(objects), instance: n.cfg.Instance, link: n.link, log: n.log,
-		self: n.mesh.self, onKey: n.open, onInstance: n.mesh.updateInstance,
+		self: n.mesh.self, onKey: n.openLinks, onInstance: n.mesh.updateInstance,
 	}
 	n.relays.fleetKnown = n.presence.initialListRead.Load
-	n.eventsApplied = newApplied(n.events.Added, n.now)
+	n.eventsLag = newLagTracker(n.events.Added, n.now)
 	entryInputs := ring.New[membership.EntryEvent](entryInputCapacity, ring.Block)
-	n.entriesApplied = newApplied(entryInputs.Added, n.now)
+	n.entriesLag = newLagTracker(entryInputs.Added, n.now)
 	view := &viewDuty{
-		applied: n.eventsApplied,
+		applied: n.eventsLag,
 		events:  n.events, router: n.router, log: n.log, now: n.now, notify: n.gates.Wake,
 		updateCells: n.placers.update, updatePeers: func(*membership.List) {},
 		list: membership.NewList(), endpoints: map[string]*routing.Endpoint{}, residency: newResidency(), withdrawnUntil: map[string]withdrawal{},
-		resolve: n.adopt, onLeaving: n.mesh.recordWithdrawal, onDigest: n.mesh.endpointsDigest.Store, listDiffers: n.mesh.listDiffersFromHolder,
+		resolve: n.applySettings, onLeaving: n.mesh.recordWithdrawal, onDigest: n.mesh.endpointsDigest.Store, listDiffers: n.mesh.listDiffersFromHolder,
 		onCold: n.endpointCold, sinceRevisionSeen: n.mesh.sinceRevisionSeen,
 	}
 	config := &settingsWatch{
-		client: objects, kind: n.ports.SettingsKind, name: n.ports.SettingsName, decode: n.ports.DecodeSettings,
-		newer: n.mesh.newerSettings, allowStale: n.settingsMayBeBehind, hasNewest: n.mesh.hasNewestSettings, events: n.events, link: n.link, log: n.log,
+		client: objects, kind: n.platform.SettingsKind, name: n.platform.SettingsName, decode: n.platform.DecodeSettings,
+		newer: n.mesh.newerSettings, allowStale: n.settingsMayLag, hasNewest: n.mesh.hasNewestSettings, events: n.events, link: n.link, log: n.log,
 		onConfirmed: n.rights.confirmed, now: n.now, watchHold: n.settingsWait,
 	}
 	entries := &entriesDuty{
-		client: objects, kind: n.ports.MembersKind, decode: n.ports.DecodeMember, entries: membership.NewEntries(), parseVersion: n.ports.StoreVersion,
-		inputs: entryInputs, applied: n.entriesApplied, events: n.events, link: n.link, log: n.log, now: n.now,
-		allowStale: n.entriesMayBeBehind, matchesHolder: n.mesh.listMatchesHolder, freshWatchHold: n.cfg.Fresh.entriesWatchHold(),
+		client: objects, kind: n.platform.MembersKind, decode: n.platform.DecodeMember, entries: membership.NewEntries(), parseVersion: n.platform.StoreVersion,
+		inputs: entryInputs, applied: n.entriesLag, events: n.events, link: n.link, log: n.log, now: n.now,
+		allowStale: n.entriesMayLag, matchesHolder: n.mesh.listMatchesHolder, freshWatchHold: n.cfg.Fresh.entriesWatchHold(),
 		relays:               n.relays,
 		holderStoreBackSince: func() time.Time { return n.mesh.totals.storeBackSince(n.now()) },
 	}
 	n.relays.listing, n.relays.listingVersion, n.relays.storeVersion, n.relays.newestStoreVersion = entries.listing, entries.listingVersion, entries.storeVersion, entries.newestStoreVersion
 	evacuations := &evacuationsDuty{
-		client: objects, kind: n.ports.EvacuationsKind, version: n.ports.StoreVersion, known: n.mesh.evacuations, told: n.evacuationsTold,
+		client: objects, kind: n.platform.EvacuationsKind, version: n.platform.StoreVersion, known: n.mesh.evacuations, told: n.evacuationsAnnounced,
 		wait: n.settingsWait, now: n.now, link: n.link, log: n.log,
 	}
 	n.vars.Set("entries_refused", &entries.entriesRefused)
 	holds := &holdsDuty{
-		client: objects, keeper: n.quarantine, words: n.held, isolated: n.mesh.isolated, memory: n.cfg.Quarantine.limits().Retention(),
+		client: objects, keeper: n.quarantine, words: n.unsavedReports, isolated: n.mesh.isolated, memory: n.cfg.Quarantine.limits().Retention(),
 		log: n.log, timeOfDay: time.Now,
 	}
 	renew := func(ctx context.Context) { n.rewriteOnEra(ctx, entries) }
 	keys := func(ctx context.Context) { n.rights.keep(ctx, n.cfg.Fresh.maxKeysAge(), config.checkStore) }
 	for _, run := range []func(context.Context){
-		view.run, config.run, config.readNewer, entries.watch, entries.run, n.idle.run, n.kick, n.mesh.run, n.presence.run, n.presence.watch, n.wake, holds.run, holds.write, keys, renew, n.permits.run,
+		view.run, config.run, config.readNewer, entries.watch, entries.run, n.idle.run, n.wakeWaiters, n.mesh.run, n.presence.run, n.presence.watch, n.handleSuspensions, holds.run, holds.write, keys, renew, n.permits.run,
 	} {
-		n.done.Go(func() { run(n.work) })
+		n.done.Go(func() { run(n.runCtx) })
 	}
 	if n.mesh.evacuations != nil {
-		n.done.Go(func() { evacuations.run(n.work) })
+		n.done.Go(func() { evacuations.run(n.runCtx) })
 	}
 }
 
 // kick offers waiting requests to the router now and then.
-func (n *Node) kick(ctx context.Context) { kickLoop(ctx, n.gates) }
+func (n *Node) wakeWaiters(ctx context.Context) { kickLoop(ctx, n.gates) }
 
 func (n *Node) revision() int64 {
 	if c := n.catalog.Load(); c != nil {
@@ -476,7 +476,7 @@
 }
 
 // adopt puts a configuration in force.
-func (n *Node) adopt(a *revision.Accepted) *settings.Catalog {
+func (n *Node) applySettings(a *revision.Accepted) *settings.Catalog {
 	a.Tree.Regions = n.cfg.Regions
 	c := settings.NewCatalog(a.Tree)
 	c.Revision = a.Entry.Revision
@@ -495,17 +495,17 @@
 		return
 	}
 	n.retrySettings.Store(&cfg.Retries)
-	n.shareRetries(n.mesh.listedCount())
+	n.updateRetryLimits(n.mesh.listedCount())
 	n.quarantine.SetLimits(cfg.Quarantine.limits())
 	n.log.Info("reload", "retry_ratio", cfg.Retries.Ratio, "retry_slack", cfg.Retries.Slack)
 }
 
 // Run serves until ctx ends, then makes a planned stop.
 func (n *Node) Run(ctx context.Context) error {
-	n.duties()
+	n.startTasks()
 	failed := make(chan error, 3)
 	for _, serve := range []func() error{
-		func() error { return n.idle.serve(n.front.server, n.front.listener) }, n.ready.serve, n.operators.serve,
+		func() error { return n.idle.serve(n.callerServer.server, n.callerServer.listener) }, n.readinessServer.serve, n.operatorServer.serve,
 	} {
 		n.done.Go(func() {
 			if err := serve(); !errors.Is(err, http.ErrServerClosed) {
@@ -529,7 +529,7 @@
 // Kill stops at once, as a crash would: connections are cut.
 func (n *Node) Kill() {
 	n.stop()
-	for _, s := range []*nodeServer{n.front, n.ready, n.operators} {
+	for _, s := range []*nodeServer{n.callerServer, n.readinessServer, n.operatorServer} {
 		if s != nil {
 			s.server.Close()
 			s.listener.Close()
--- a/daemon/node_test.go
+++ b/daemon/node_test.go
@@ -14,7 +14,7 @@
 
 // TestHolderStaysWhenStrongerOnesCome lists stronger instances after this one has
 // taken the lease: it keeps it, but does not campaign for one that it lacks.
-func TestHolderStaysWhenStrongerOnesCome(t *testing.T) {
+func TestHolderKeepsTheLeaseWhenStrongerInstancesJoin(t *testing.T) {
 	n := &Node{now: time.Now}
 	n.cfg.Instance = "weak"
 	n.mesh = &mesh{
@@ -50,7 +50,7 @@
 }
 
 // TestHubLeavesItsLinkToCallers compares what the hub's words take with its link.
-func TestHubLeavesItsLinkToCallers(t *testing.T) {
+func TestCoordinatorLeavesItsLinkToCallers(t *testing.T) {
 	m := &mesh{now: time.Now, listed: map[string]presence{}, onInstanceCount: func(int) {}, fleetTotals: make([]peer.EndpointLoad, 140)}
 	for i := range 90 {
 		m.updateInstance(fmt.Sprint(i), &presence{})
@@ -65,7 +65,7 @@
 }
 
 // TestSilentHubIsReplaced lets entries of instances that are gone rank first.
-func TestSilentHubIsReplaced(t *testing.T) {
+func TestSilentCoordinatorIsReplaced(t *testing.T) {
 	now := time.Now()
 	n := &Node{now: func() time.Time { return now }}
 	n.cfg.Instance = "weak"
@@ -85,7 +85,7 @@
 	const instances = 90
 	n := &Node{log: logr.Discard(), retries: pipeline.NewRetryBudgets(pipeline.RetryLimits{})}
 	n.retrySettings.Store(&NodeRetry{})
-	n.mesh = &mesh{now: time.Now, listed: map[string]presence{}, onInstanceCount: n.shareRetries}
+	n.mesh = &mesh{now: time.Now, listed: map[string]presence{}, onInstanceCount: n.updateRetryLimits}
 	for i := range instances {
 		n.mesh.updateInstance(fmt.Sprint(i), &presence{})
 	}
@@ -100,7 +100,7 @@
 func TestRetrySharesKeepToTheSlackOfAll(t *testing.T) {
 	r := NodeRetry{Ratio: 0.2, Slack: 52}
 	for _, instances := range []int{1, 6, 9, 20} {
-		require.LessOrEqual(t, r.limits(instances).Burst*float64(instances), 52.0, "%d instances", instances)
+		require.LessOrEqual(t, r.instanceLimits(instances).Burst*float64(instances), 52.0, "%d instances", instances)
 	}
-	require.LessOrEqual(t, r.limits(0).Ratio, 0.2)
+	require.LessOrEqual(t, r.instanceLimits(0).Ratio, 0.2)
 }
--- a/daemon/nodefront.go
+++ b/daemon/nodecallers.go
@@ -11,14 +11,14 @@
 
 // guard lets callers in while there are settings to serve them by and the node
 // has not stopped taking work.
-func (n *Node) guard(d pipeline.Dialect, next http.Handler) http.Handler {
+func (n *Node) admit(d pipeline.Dialect, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w = &closingWriter{ResponseWriter: w, stopping: func() bool { return n.stopping.Load() != nil }}
 		catalog := n.catalog.Load()
 		switch {
 		case catalog == nil:
 			pipeline.WriteNotRun(d, w, "no settings are known yet")
-		case n.takesNoMore():
+		case n.refusesRequests():
 			pipeline.WriteNotRun(d, w, "the instance is stopping")
 		case headerBytes(r) > catalog.Tree.Edge.Limits.HeaderBytes:
 			http.Error(w, "the header is too large", http.StatusRequestHeaderFieldsTooLarge)
@@ -61,16 +61,16 @@
 const (
 	// stopTaking is when new requests are refused: by then the platform has
 	// asked for readiness twice and sends none.
-	stopTaking = 3 * time.Second
+	refuseAfter = 3 * time.Second
 	// stopEarly is how long before the end of the grace the process ends.
-	stopEarly = 300 * time.Millisecond
+	exitMargin = 300 * time.Millisecond
 )
 
 // takesNoMore tells whether a planned stop has gone so far that a new request
 // might not be finished in it.
-func (n *Node) takesNoMore() bool {
+func (n *Node) refusesRequests() bool {
 	since := n.stopping.Load()
-	return since != nil && n.now().Sub(*since) >= stopTaking
+	return since != nil && n.now().Sub(*since) >= refuseAfter
 }
 
 // drain makes a planned stop: not ready at once, while callers that are still
@@ -80,11 +80,11 @@
 	began := n.now()
 	n.stopping.Store(&began)
 	n.mesh.sendSoon()
-	n.done.Go(func() { n.presence.withdraw(n.work) })
+	n.done.Go(func() { n.presence.withdraw(n.runCtx) })
 	n.log.Info("draining", "waiting", n.gates.Len())
-	wait.For(context.Background(), stopTaking)
+	wait.For(context.Background(), refuseAfter)
 	n.gates.Stop()
-	left := began.Add(milliseconds(n.cfg.Limits.GraceMS) - stopEarly).Sub(n.now())
+	left := began.Add(milliseconds(n.cfg.Limits.GraceMS) - exitMargin).Sub(n.now())
 	ctx, cancel := context.WithTimeout(context.Background(), left)
 	defer cancel()
 	if err := n.idle.drain(ctx); err != nil {
--- a/daemon/nodeconfig.go
+++ b/daemon/nodeconfig.go
@@ -98,14 +98,14 @@
 }
 
 func (c *configChecker) node(cfg NodeConfig) {
-	c.given("/instance", cfg.Instance)
-	c.given("/failureDomain", cfg.FailureDomain)
+	c.required("/instance", cfg.Instance)
+	c.required("/failureDomain", cfg.FailureDomain)
 	c.address("/callers", cfg.Callers)
 	c.address("/readiness", cfg.Readiness)
 	c.address("/operators", cfg.Operators)
 	c.url("/objectStore", cfg.ObjectStore)
 	if len(cfg.PeerPorts) != 2 || cfg.PeerPorts[0] < 1 || cfg.PeerPorts[1] < cfg.PeerPorts[0] {
-		c.add("/peerPorts", "must be the first and the last of a range of ports")
+		c.addFault("/peerPorts", "must be the first and the last of a range of ports")
 	}
 	c.choices(cfg.RoutingPolicy, cfg.LogLevel)
 	c.quarantine(cfg.Quarantine)
@@ -128,7 +128,7 @@
 		"/allowances/over":  cfg.Allowances.Over, "/allowances/slack": cfg.Allowances.Slack, "/fresh/revokedMS": float64(cfg.Fresh.RevokedMS),
 	} {
 		if n < 0 {
-			c.add(path, "must not be negative")
+			c.addFault(path, "must not be negative")
 		}
 	}
 }
--- a/daemon/nodeconfig_test.go
+++ b/daemon/nodeconfig_test.go
@@ -31,7 +31,7 @@
 }
 
 // TestTemplateTakesTheBoundsOfAccounts fills it in for a deployment with accounts.
-func TestTemplateTakesTheBoundsOfAccounts(t *testing.T) {
+func TestTemplateTakesTheAccountBounds(t *testing.T) {
 	cfg := fillTemplate(t, map[string]string{
 		"bounds.strictRevoke": "true", "bounds.revokeMs": "5000",
 		"bounds.quotaWindowS": "8", "bounds.quotaOver": "0.1", "bounds.quotaSlack": "17000",
@@ -41,7 +41,7 @@
 }
 
 // TestTemplateTakesTheBoundOfEvacuations fills it in for a deployment that evacuates domains.
-func TestTemplateTakesTheBoundOfEvacuations(t *testing.T) {
+func TestTemplateTakesTheEvacuationBound(t *testing.T) {
 	require.Equal(t, 5000, fillTemplate(t, map[string]string{"bounds.evacuateMs": "5000"}).Fresh.EvacuateMS)
 }
 
--- a/daemon/nodefresh.go
+++ b/daemon/nodefreshness.go
@@ -13,31 +13,31 @@
 	phaseStart = "start"
 	// phaseHolder is while this instance holds the lease, phaseTold while another tells
 	// it what is new, phaseUntold while none does.
-	phaseHolder = "holder"
-	phaseTold   = "told"
-	phaseUntold = "untold"
+	phaseHolder      = "holder"
+	phaseAnnounced   = "told"
+	phaseUnannounced = "untold"
 	// phaseAway is while the store does not answer.
-	phaseAway = "away"
+	phaseStoreLost = "away"
 )
 
 func (n *Node) phase() string {
 	switch {
-	case n.link.lost():
-		return phaseAway
+	case n.link.isLost():
+		return phaseStoreLost
 	case n.mesh.isHolder():
 		return phaseHolder
 	case n.mesh.holderAttests():
-		return phaseTold
+		return phaseAnnounced
 	case n.mesh.totals.attestationAge(n.now()) == neverConfirmed:
 		return phaseStart
 	default:
-		return phaseUntold
+		return phaseUnannounced
 	}
 }
 
 // vouchFor adds to news of members what this instance knows besides, and whether all of it is
 // current.
-func (n *Node) vouchFor(news *relay.Delta) {
+func (n *Node) addAttestation(news *relay.Delta) {
 	news.Revision = n.revision()
 	var p peer.Packet
 	told := !n.mesh.isHolder() && n.mesh.totals.attestationAge(n.now()) < n.cfg.Fresh.relayAttestationLifetime()
@@ -47,9 +47,9 @@
 }
 
 // vouchedFor takes what another instance adds to its news.
-func (n *Node) vouchedFor(news relay.Delta) {
+func (n *Node) applyAttestation(news relay.Delta) {
 	n.mesh.evacuations.heard(peer.Packet{
-		From: byRelay, Evacuated: news.Evacuated, EvacuatedEra: news.EvacuatedEra, EvacuatedRevision: news.EvacuatedRevision,
+		From: fromRelay, Evacuated: news.Evacuated, EvacuatedEra: news.EvacuatedEra, EvacuatedRevision: news.EvacuatedRevision,
 	})
 	n.mesh.receiveRevision(news.Revision)
 }
@@ -64,27 +64,27 @@
 }
 
 // byRelay names, in the log, an instance that tells the members.
-const byRelay = "the relay"
+const fromRelay = "the relay"
 
 // told tells whether another instance, the holder of the lease or one that tells the members,
 // vouches for telling what is new.
-func (n *Node) told() bool {
+func (n *Node) receivesAnnouncements() bool {
 	return n.mesh.holderAttests() || !n.mesh.isHolder() && n.relays.attested()
 }
 
 // entriesMayBeBehind tells whether the watch on endpoints may be seconds behind: the
 // holder of the lease tells which of them leave, and no entry is on its way back
 // behind an outage, which an old answer would show as gone.
-func (n *Node) entriesMayBeBehind() bool {
+func (n *Node) entriesMayLag() bool {
 	return n.mesh.holderAttests() && n.link.settled() || n.starting()
 }
 
 // settingsMayBeBehind tells the same of the watch on settings.
-func (n *Node) settingsMayBeBehind() bool { return n.told() || n.starting() }
+func (n *Node) settingsMayLag() bool { return n.receivesAnnouncements() || n.starting() }
 
 // evacuationsTold tells whether another instance tells in time which failure domains are
 // evacuated.
-func (n *Node) evacuationsTold() bool { return n.told() || n.starting() }
+func (n *Node) evacuationsAnnounced() bool { return n.receivesAnnouncements() || n.starting() }
 
 // settingsWait is how long the store may hold a close watch on settings.
 func (n *Node) settingsWait() time.Duration {
@@ -96,7 +96,7 @@
 
 // contactReserve is how long before an instance counts as in contact its watches are
 // close, if nobody tells it what is new.
-const contactReserve = 1200 * time.Millisecond
+const contactMargin = 1200 * time.Millisecond
 
 // starting tells whether this process began so lately that it does not count as in
 // contact yet: until then it waits for the word of a holder rather than look closely.
@@ -106,7 +106,7 @@
 	if n.relays.servesFollowers() || n.mesh.isHolder() || n.mesh.totals.attestationAge(n.now()) != neverConfirmed {
 		return false
 	}
-	return n.now().Sub(n.startedAt) < milliseconds(n.cfg.Fresh.ContactMS)-contactReserve
+	return n.now().Sub(n.startedAt) < milliseconds(n.cfg.Fresh.ContactMS)-contactMargin
 }
 
 // current tells whether this instance knows of newer settings and leaving endpoints
@@ -117,9 +117,9 @@
 		// Entries that are kept now may have lapsed, or have left.
 		return false
 	}
-	age := max(n.link.age(n.ports.MembersKind), n.link.age(n.ports.SettingsKind))
+	age := max(n.link.confirmedAge(n.platform.MembersKind), n.link.confirmedAge(n.platform.SettingsKind))
 	if n.mesh.evacuations != nil {
-		age = max(age, n.link.age(n.ports.EvacuationsKind))
+		age = max(age, n.link.confirmedAge(n.platform.EvacuationsKind))
 	}
 	// An age that is unknown is the largest there is, to which nothing can be added.
 	return age != neverConfirmed && age+n.lag() < n.cfg.Fresh.maxAttestedAge()
@@ -128,23 +128,23 @@
 // followsStore tells whether this instance knows of endpoints in time, by its own watch, but for
 // entries that may be on their way back.
 func (n *Node) followsStore() bool {
-	age := n.link.age(n.ports.MembersKind)
+	age := n.link.confirmedAge(n.platform.MembersKind)
 	return age != neverConfirmed && age+n.lag() < n.cfg.Fresh.maxAttestedAge()
 }
 
 // storeAnswers tells whether the store answers the close watch on settings, which every instance
 // has while nobody vouches.
 func (n *Node) storeAnswers() bool {
-	age := n.link.age(n.ports.SettingsKind)
+	age := n.link.confirmedAge(n.platform.SettingsKind)
 	return age != neverConfirmed && age < n.cfg.Fresh.settingsWatchHold()+2*storeAnswerTime
 }
 
 // lag is for how long answers of the store have waited here to be in force.
-func (n *Node) lag() time.Duration { return n.entriesApplied.lag() + n.eventsApplied.lag() }
+func (n *Node) lag() time.Duration { return n.entriesLag.lag() + n.eventsLag.lag() }
 
 // endpointsAgeMS is how long ago it was certain that this instance knew which
 // endpoints leave, by its own watch or by the word of the holder of the lease, whose
 // own knowledge may be vouchAge old, in milliseconds; -1 if it never was.
 func (n *Node) endpointsAgeMS() int64 {
-	return ageMS(min(n.link.age(n.ports.MembersKind), n.mesh.totals.attestationAge(n.now()), n.relays.attestationAge()))
+	return ageMS(min(n.link.confirmedAge(n.platform.MembersKind), n.mesh.totals.attestationAge(n.now()), n.relays.attestationAge()))
 }
--- a/daemon/owncut_test.go
+++ b/daemon/owncut_test.go
@@ -34,13 +34,13 @@
 	var late time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		s := newLateStore(staleAnswers)
+		s := newStaleStore(staleAnswers)
 		s.put("e", membership.Live)
-		i := newLateInstance(s, "cut", func() bool { return false })
+		i := newEntriesInstance(s, "cut", func() bool { return false })
 		i.follow(ctx)
-		settings := &lateClient{store: newLateStore(staleAnswers), link: i.link, fresh: i.client.fresh, cut: make(chan struct{})}
+		settings := &staleStoreClient{store: newStaleStore(staleAnswers), link: i.link, fresh: i.client.fresh, cut: make(chan struct{})}
 		go store.NewReflector(settings, "settings", store.WatchOptions{}, func(store.List) {}, func(store.Event) {}, func(error) {}).Run(ctx)
-		go s.busy(ctx)
+		go s.churn(ctx)
 		var hear atomic.Bool
 		hear.Store(true)
 		go func() {
@@ -108,13 +108,13 @@
 	var late time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		s := newLateStore(staleAnswers)
+		s := newStaleStore(staleAnswers)
 		s.put("e", membership.Live)
-		holder := newLateInstance(s, "holder", func() bool { return true })
-		follower := newLateInstance(s, "follower", func() bool { return false })
-		go s.busy(ctx)
+		holder := newEntriesInstance(s, "holder", func() bool { return true })
+		follower := newEntriesInstance(s, "follower", func() bool { return false })
+		go s.churn(ctx)
 		holder.follow(ctx)
-		holder.speak(ctx, follower)
+		holder.announceTo(ctx, follower)
 		follower.follow(ctx)
 		time.Sleep(8 * time.Second)
 		holder.client.set(true, false, true)
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -22,7 +22,7 @@
 	sealer    *peer.Sealer
 	datagrams peer.Datagrams
 	events    *ring.Ring[peer.Event]
-	fetches   *ring.Ring[wanted]
+	fetches   *ring.Ring[settingsCandidate]
 	freshness *freshness
 	log       logr.Logger
 	now       func() time.Time
@@ -141,7 +141,7 @@
 		d.countSent(len(sealed))
 		d.datagrams.Send(address, sealed)
 	case peer.Fetch:
-		_ = d.fetches.Put(ctx, wanted{stream: d.address(a.From).streams, revision: a.Revision})
+		_ = d.fetches.Put(ctx, settingsCandidate{peerAddress: d.address(a.From).streams, revision: a.Revision})
 	case peer.RefreshList:
 		d.refreshList(a.Version)
 	case peer.EndingsReceived:
--- a/daemon/duties.go
+++ b/daemon/pollers.go
@@ -21,24 +21,24 @@
 )
 
 // membersDuty follows the platform's list.
-type membersDuty struct {
+type membersPoller struct {
 	source *membership.Source
 	events *ring.Ring[event]
 	log    logr.Logger
 	// held is told of each answer's version, and of the version on whose word it was
 	// asked for, 0 if on none; nil tells nobody.
-	held func(version, asked int64)
+	onListing func(version, asked int64)
 	// told is a version that another instance has and that was not asked for yet.
-	told atomic.Int64
+	announcedVersion atomic.Int64
 }
 
 // membersPause is the pause after a failure to read the list.
-const membersPause = 300 * time.Millisecond
+const membersRetryDelay = 300 * time.Millisecond
 
-func (d *membersDuty) run(ctx context.Context) {
+func (d *membersPoller) run(ctx context.Context) {
 	var version int64
 	for ctx.Err() == nil {
-		after, asked := version, d.told.Swap(0)
+		after, asked := version, d.announcedVersion.Swap(0)
 		if asked > version {
 			// Any list is asked for, so that it answers at once whichever it has.
 			after = 0
@@ -47,45 +47,45 @@
 		}
 		listing, err := d.source.Next(ctx, after)
 		if err != nil {
-			d.failed(ctx, err, version)
+			d.handleFailure(ctx, err, version)
 			continue
 		}
 		version = listing.Version
 		_ = d.events.Put(ctx, membersListed{listing})
-		if d.held != nil {
-			d.held(version, asked)
+		if d.onListing != nil {
+			d.onListing(version, asked)
 		}
 	}
 }
 
 // failed tells of a call without an answer, and pauses unless it was given up to ask
 // at once.
-func (d *membersDuty) failed(ctx context.Context, err error, version int64) {
+func (d *membersPoller) handleFailure(ctx context.Context, err error, version int64) {
 	if ctx.Err() != nil {
 		return
 	}
 	if givenUp := (*membership.PollCancelledError)(nil); errors.As(err, &givenUp) {
-		d.log.Info("poll given up", "version", version, "told", d.told.Load(), "waited_ms", givenUp.Waited.Milliseconds())
+		d.log.Info("poll given up", "version", version, "told", d.announcedVersion.Load(), "waited_ms", givenUp.Waited.Milliseconds())
 		return
 	}
 	d.log.Info("members not read", "error", err.Error())
-	wait.For(ctx, jitter(membersPause))
+	wait.For(ctx, jitter(membersRetryDelay))
 }
 
 // ask gives up a call that waits and asks at once, as another instance has that version.
-func (d *membersDuty) ask(version int64) {
-	d.told.Store(version)
+func (d *membersPoller) requestVersion(version int64) {
+	d.announcedVersion.Store(version)
 	d.source.CancelPoll()
 }
 
 // loadDuty asks the engines for their load in turn. Its rate does not grow
 // with the number of endpoints; reports only become older. While no requests
 // come to this instance it asks less often, as nothing is routed by the answers.
-type loadDuty struct {
+type loadPoller struct {
 	// requests returns the number of requests so far.
-	requests func() int64
+	requestCount func() int64
 	// busy and idle are the reports a second with and without requests.
-	busy, idle rate.Limit
+	activeRate, idleRate rate.Limit
 
 	router  *routing.Router
 	client  *engine.Client
@@ -99,16 +99,16 @@
 const loadTimeout = time.Second
 
 // idlePause is the pause while there is no endpoint to ask.
-const idlePause = 100 * time.Millisecond
+const noEndpointsDelay = 100 * time.Millisecond
 
-func (d *loadDuty) run(ctx context.Context) {
+func (d *loadPoller) run(ctx context.Context) {
 	var before int64
 	for ctx.Err() == nil {
 		asked := 0
-		now := d.requests()
-		d.limiter.SetLimit(d.idle)
+		now := d.requestCount()
+		d.limiter.SetLimit(d.idleRate)
 		if now != before {
-			d.limiter.SetLimit(d.busy)
+			d.limiter.SetLimit(d.activeRate)
 		}
 		before = now
 		for name, pool := range d.pools() {
@@ -120,23 +120,23 @@
 					return
 				}
 				asked++
-				go d.ask(ctx, e)
+				go d.poll(ctx, e)
 			}
 		}
 		if asked == 0 {
-			wait.For(ctx, idlePause)
+			wait.For(ctx, noEndpointsDelay)
 		}
 	}
 }
 
-func (d *loadDuty) pools() map[string]*settings.Pool {
+func (d *loadPoller) pools() map[string]*settings.Pool {
 	if c := d.catalog(); c != nil {
 		return c.Tree.Pools
 	}
 	return nil
 }
 
-func (d *loadDuty) ask(ctx context.Context, e *routing.Endpoint) {
+func (d *loadPoller) poll(ctx context.Context, e *routing.Endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	own := e.OwnInFlight()
@@ -145,13 +145,13 @@
 		d.log.V(1).Info("load not reported", "endpoint", e.Name, "error", err.Error())
 		return
 	}
-	_ = d.events.Put(ctx, loadReported{endpoint: e.Name, own: own, report: report})
+	_ = d.events.Put(ctx, loadReported{endpoint: e.Name, ownInFlight: own, report: report})
 }
 
 // jitter spreads d by half to either side.
 func jitter(d time.Duration) time.Duration { return time.Duration(float64(d) * (0.5 + rand.Float64())) }
 
 // objectNamePart makes a text fit for a part of an object's name.
-func objectNamePart(s string) string {
+func hashedNamePart(s string) string {
 	return strconv.FormatUint(xxhash.Sum64String(s), 16)
 }
--- a/daemon/presence.go
+++ b/daemon/presence.go
@@ -197,11 +197,11 @@
 func (d *presenceDuty) watch(ctx context.Context) {
 	r := store.NewReflector(d.client, store.KindInstance, store.WatchOptions{AllowStale: staleInstancesAllowed, Now: d.link.now},
 		func(l store.List) {
-			d.link.listed(store.KindInstance, l)
+			d.link.listReceived(store.KindInstance, l)
 			d.applyList(l)
 		},
 		func(e store.Event) {
-			d.link.heard()
+			d.link.markReachable()
 			switch e.Type {
 			case store.EventBookmark:
 				// Many instances start together; their entries are batched meanwhile.
@@ -212,7 +212,7 @@
 				d.update(e.Object)
 			}
 		},
-		func(err error) { d.link.failed(store.KindInstance, err) })
+		func(err error) { d.link.watchFailed(store.KindInstance, err) })
 	r.Run(ctx)
 }
 
--- a/daemon/quarantineconfig.go
+++ b/daemon/quarantineconfig.go
@@ -33,9 +33,9 @@
 
 func (c *configChecker) quarantine(q QuarantineConfig) {
 	if q.Endings != 0 && (q.Endings < leastEndings || q.Endings > mostEndings) {
-		c.add("/quarantine/endings", "must be 0 or from 2 to 6")
+		c.addFault("/quarantine/endings", "must be 0 or from 2 to 6")
 	}
 	if q.HoldS < 1 || q.HoldS > mostHoldS {
-		c.add("/quarantine/holdS", "must be from 1 to 3600 seconds")
+		c.addFault("/quarantine/holdS", "must be from 1 to 3600 seconds")
 	}
 }
--- a/daemon/restart_test.go
+++ b/daemon/restart_test.go
@@ -53,7 +53,7 @@
 	e.SetReplaced()
 	e.MarkFull(h.clock)
 	e.SetReportedLoad(routing.Load{At: h.clock, Running: 60, Waiting: 9})
-	h.step(placementsTold{[]peer.Placement{{Epoch: 4, Endpoint: "e1", StartedAtMS: 100, Units: []string{"m1", "m2"}}}})
+	h.step(placementsReceived{[]peer.Placement{{Epoch: 4, Endpoint: "e1", StartedAtMS: 100, Units: []string{"m1", "m2"}}}})
 	h.step(endpointsWithdrawn{[]endpointStart{{"e1", 100}}})
 	require.False(t, h.acceptsRequests("e1"))
 
@@ -72,11 +72,11 @@
 	h.list(started("e1", 200))
 	h.step(endpointsWithdrawn{[]endpointStart{{"e1", 100}}})
 	require.True(t, h.acceptsRequests("e1"))
-	h.step(placementsTold{[]peer.Placement{{Epoch: 9, Endpoint: "e1", StartedAtMS: 100, Units: []string{"m1"}}}})
+	h.step(placementsReceived{[]peer.Placement{{Epoch: 9, Endpoint: "e1", StartedAtMS: 100, Units: []string{"m1"}}}})
 	require.False(t, h.serves("e1", "m1"))
 	require.False(t, endpointStart{"e1", 100}.concerns(200))
 
-	h.step(placementsTold{[]peer.Placement{{Epoch: 3, Endpoint: "e1", StartedAtMS: 200, Units: []string{"m2"}}}})
+	h.step(placementsReceived{[]peer.Placement{{Epoch: 3, Endpoint: "e1", StartedAtMS: 200, Units: []string{"m2"}}}})
 	require.True(t, h.serves("e1", "m2"), "an older holder's word on the former start does not outrank it")
 	h.step(endpointsWithdrawn{[]endpointStart{{"e1", 200}}})
 	require.False(t, h.acceptsRequests("e1"))
@@ -87,7 +87,7 @@
 func TestPlacementOfANewStartOutranksTheOldEntry(t *testing.T) {
 	h := newViewHarness()
 	h.list(started("e1", 100, "m1"), started("e2", 100))
-	h.step(placementsTold{[]peer.Placement{{Epoch: 4, Endpoint: "e1", StartedAtMS: 200, Units: []string{"m2"}}}})
+	h.step(placementsReceived{[]peer.Placement{{Epoch: 4, Endpoint: "e1", StartedAtMS: 200, Units: []string{"m2"}}}})
 	require.True(t, h.serves("e1", "m2"))
 	require.False(t, h.serves("e1", "m1"))
 	h.list(started("e1", 100, "m1", "m3"), started("e2", 100))
--- a/daemon/retryshare_test.go
+++ b/daemon/retryshare_test.go
@@ -27,11 +27,11 @@
 // restart gives an instance a new process, which does not know how many instances
 // there are.
 func (f *retryFleet) restart(i int) {
-	f.budgets[i] = pipeline.NewRetryBudgets(f.settings.limits(0))
+	f.budgets[i] = pipeline.NewRetryBudgets(f.settings.instanceLimits(0))
 }
 
 // learn tells an instance how many there are.
-func (f *retryFleet) learn(i int) { f.budgets[i].SetLimits(f.settings.limits(len(f.budgets))) }
+func (f *retryFleet) learn(i int) { f.budgets[i].SetLimits(f.settings.instanceLimits(len(f.budgets))) }
 
 // step lets an instance have requests, and retry as often as it may if greedy.
 func (f *retryFleet) step(i, requests int, greedy bool) {
--- a/daemon/returngrace_test.go
+++ b/daemon/returngrace_test.go
@@ -82,7 +82,7 @@
 		s.until(ctx, 5*time.Second)
 		return errSilent
 	}
-	s.link.answered()
+	s.link.callAnswered()
 	handle(store.Event{Type: store.EventDeleted, Object: memberObject("e1")})
 	handle(bookmark("2"))
 	<-ctx.Done()
@@ -130,9 +130,9 @@
 	for at := range 40 {
 		moment := time.Duration(at) * leaseRenewal
 		s.until(ctx, moment)
-		link.asked(0)
+		link.callStarted(0)
 		if moment < from || moment > to {
-			link.answered()
+			link.callAnswered()
 		}
 	}
 }
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -15,35 +15,35 @@
 )
 
 // wanted is a revision that may be newer than the one in force.
-type wanted struct {
+type settingsCandidate struct {
 	// root is the store's, or nil.
 	root *revision.Root
 	// stream is the address of a peer that has the revision, or empty.
-	stream   string
-	revision int64
+	peerAddress string
+	revision    int64
 }
 
 // settingsDuty fetches each newer revision, from the store or from a peer. It
 // never goes back to a lower one.
-type settingsDuty struct {
+type settingsFetcher struct {
 	client  store.Client
 	streams *peer.StreamClient
 	fetcher *revision.Fetcher
 	// wanted joins the watch, the polls and the gossip to this duty.
-	wanted *ring.Ring[wanted]
-	events *ring.Ring[event]
-	heard  *freshness
-	log    logr.Logger
-	newest int64
+	candidates *ring.Ring[settingsCandidate]
+	events     *ring.Ring[event]
+	contact    *freshness
+	log        logr.Logger
+	newest     int64
 }
 
 // wantedCapacity bounds the revisions that wait to be fetched; an older one is
 // of no use once a newer one is known.
-const wantedCapacity = 8
+const candidatesCapacity = 8
 
-func (d *settingsDuty) run(ctx context.Context) {
+func (d *settingsFetcher) run(ctx context.Context) {
 	for {
-		w, err := d.wanted.Take(ctx)
+		w, err := d.candidates.Take(ctx)
 		if err != nil {
 			return
 		}
@@ -51,18 +51,18 @@
 			continue
 		}
 		if err := d.fetch(ctx, w); err != nil {
-			d.log.Info("settings not fetched", "revision", w.revision, "from", w.stream, "error", err.Error())
+			d.log.Info("settings not fetched", "revision", w.revision, "from", w.peerAddress, "error", err.Error())
 		}
 	}
 }
 
-func (d *settingsDuty) fetch(ctx context.Context, w wanted) error {
+func (d *settingsFetcher) fetch(ctx context.Context, w settingsCandidate) error {
 	var accepted *revision.Accepted
 	var err error
 	if w.root != nil {
 		accepted, err = d.fetcher.Fetch(ctx, w.root.Current, w.root.InlineSource(revision.StoreSource(d.client)))
 	} else {
-		accepted, err = d.fetchFromPeer(ctx, w.stream)
+		accepted, err = d.fetchFromPeer(ctx, w.peerAddress)
 	}
 	if err != nil {
 		return err
@@ -74,7 +74,7 @@
 	return d.events.Put(ctx, settingsAccepted{accepted: accepted})
 }
 
-func (d *settingsDuty) fetchFromPeer(ctx context.Context, address string) (*revision.Accepted, error) {
+func (d *settingsFetcher) fetchFromPeer(ctx context.Context, address string) (*revision.Accepted, error) {
 	session, err := d.streams.Dial(ctx, address)
 	if err != nil {
 		return nil, err
@@ -94,14 +94,14 @@
 }
 
 // watch keeps the one watch of this instance on the settings' root.
-func (d *settingsDuty) watch(ctx context.Context) {
-	r := watchLatest(d.client, store.KindSettings, store.WatchOptions{}, d.heard.storeAnswered,
-		func(o store.Object) { d.found(ctx, o) },
+func (d *settingsFetcher) watch(ctx context.Context) {
+	r := watchLatest(d.client, store.KindSettings, store.WatchOptions{}, d.contact.storeAnswered,
+		func(o store.Object) { d.rootRead(ctx, o) },
 		func(err error) { d.log.Info("settings watch interrupted", "error", err.Error()) })
 	r.Run(ctx)
 }
 
-func (d *settingsDuty) found(ctx context.Context, o store.Object) {
+func (d *settingsFetcher) rootRead(ctx context.Context, o store.Object) {
 	if o.Metadata.Name != revision.RootName {
 		return
 	}
@@ -110,23 +110,23 @@
 		d.log.Error(err, "settings root unreadable")
 		return
 	}
-	_ = d.wanted.Put(ctx, wanted{root: &root, revision: root.Current.Revision})
+	_ = d.candidates.Put(ctx, settingsCandidate{root: &root, revision: root.Current.Revision})
 }
 
 // confirmTimeout bounds a read that confirms the revision in force.
 const confirmTimeout = time.Second
 
 // confirm reads the root from the store. It reports whether the store answered.
-func (d *settingsDuty) confirm(ctx context.Context) bool {
+func (d *settingsFetcher) confirm(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	o, err := d.client.Get(ctx, store.KindSettings, revision.RootName)
 	if err != nil && !store.IsNotFound(err) {
 		return false
 	}
-	d.heard.storeAnswered()
+	d.contact.storeAnswered()
 	if err == nil {
-		d.found(ctx, o)
+		d.rootRead(ctx, o)
 	}
 	return true
 }
@@ -134,14 +134,14 @@
 // confirmShare is the time between polls of the root for each live instance:
 // all instances together poll once in this time, whatever their number. What
 // one of them finds, the gossip tells the others.
-const confirmShare = 250 * time.Millisecond
+const pollPeriodPerInstance = 250 * time.Millisecond
 
 // poll reads the root now and then, as a watch can be broken without notice.
 // An instance that hears no peer polls by itself, to stay fresh.
-func (d *settingsDuty) poll(ctx context.Context, instances func() int) {
+func (d *settingsFetcher) poll(ctx context.Context, instances func() int) {
 	for ctx.Err() == nil {
-		every := max(time.Duration(instances())*confirmShare, time.Second)
-		if d.heard.peersSilent() {
+		every := max(time.Duration(instances())*pollPeriodPerInstance, time.Second)
+		if d.contact.peersSilent() {
 			every = time.Second
 		}
 		wait.For(ctx, jitter(every))
--- a/daemon/settingspath_test.go
+++ b/daemon/settingsdelay_test.go
@@ -48,7 +48,7 @@
 
 // settingsClient is an instance's way to the settings in a store whose link all share.
 type settingsClient struct {
-	*lateClient
+	*staleStoreClient
 	link *sharedLink
 }
 
@@ -72,7 +72,7 @@
 	mu      sync.Mutex
 	inForce int64
 	// since is when each revision came into force.
-	since map[int64]time.Time
+	inForceAt map[int64]time.Time
 }
 
 func (i *settingsInstance) revision() int64 {
@@ -85,7 +85,7 @@
 func (i *settingsInstance) inForceSince(revision int64) (at time.Time, known bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	at, known = i.since[revision]
+	at, known = i.inForceAt[revision]
 	return at, known
 }
 
@@ -93,7 +93,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.inForce = a.Entry.Revision
-	i.since[a.Entry.Revision] = time.Now()
+	i.inForceAt[a.Entry.Revision] = time.Now()
 	return settings.NewCatalog(a.Tree)
 }
 
@@ -106,7 +106,7 @@
 
 // settingsFleet is instances that share a store; the first one holds the lease.
 type settingsFleet struct {
-	store     *lateStore
+	store     *staleStore
 	storeLink *sharedLink
 	instances []*settingsInstance
 	placers   *placers
@@ -120,7 +120,7 @@
 }
 
 func newSettingsFleet(t *testing.T, size fleetSize) *settingsFleet {
-	f := &settingsFleet{store: newLateStore(staleAnswers), storeLink: &sharedLink{bytesPerSecond: 1000 * bytesPerMbit}}
+	f := &settingsFleet{store: newStaleStore(staleAnswers), storeLink: &sharedLink{bytesPerSecond: 1000 * bytesPerMbit}}
 	f.store.record(store.EventModified, store.Object{Kind: "settings", Metadata: store.Metadata{Name: "main"}, Spec: json.RawMessage(`{}`)})
 	f.busy = &placer{
 		events: ring.New[counted.Event](placerEvents, ring.Block), runner: lease.NewRunner(lease.RunnerConfig{}), log: logr.Discard(),
@@ -153,18 +153,18 @@
 func (f *settingsFleet) newInstance(t *testing.T, name string, first bool, size fleetSize) *settingsInstance {
 	fresh := DefaultNodeConfig().Fresh
 	link := &storeLink{log: logr.Discard(), now: time.Now}
-	i := &settingsInstance{name: name, link: link, since: map[int64]time.Time{}}
+	i := &settingsInstance{name: name, link: link, inForceAt: map[int64]time.Time{}}
 	sealer, err := peer.NewSealer([][]byte{make([]byte, peer.KeyBytes)})
 	require.NoError(t, err)
 	events := ring.New[event](eventsCapacity, ring.Block)
-	lag := newApplied(events.Added, time.Now)
+	lag := newLagTracker(events.Added, time.Now)
 	i.mesh = &mesh{
 		instance: name, now: time.Now, log: logr.Discard(), sealer: sealer, withdrawn: map[string]withdrawal{}, listed: map[string]presence{},
 		self: presence{Cores: size.cores}, linkBytesPerSecond: size.mbits * bytesPerMbit, onInstanceCount: func(int) {}, newerSettings: make(chan struct{}, 1),
 		router: routing.NewRouter(routing.Policies()[routing.PolicyTimely], nil), revision: i.revision,
 		isHolder: func() bool { return first },
 		storeCurrent: func() bool {
-			return link.settled() && link.age("settings")+lag.lag() < fresh.maxAttestedAge()
+			return link.settled() && link.confirmedAge("settings")+lag.lag() < fresh.maxAttestedAge()
 		},
 	}
 	i.view = &viewDuty{
@@ -176,7 +176,7 @@
 		i.view.updateCells = f.placers.update
 	}
 	i.config = &settingsWatch{
-		client: settingsClient{&lateClient{store: f.store, link: link, fresh: fresh, cut: make(chan struct{})}, f.storeLink},
+		client: settingsClient{&staleStoreClient{store: f.store, link: link, fresh: fresh, cut: make(chan struct{})}, f.storeLink},
 		kind:   "settings", name: "main", decode: decodeSettings, newer: i.mesh.newerSettings, allowStale: i.mesh.holderAttests, hasNewest: i.mesh.hasNewestSettings,
 		now: time.Now, events: events, link: link, log: logr.Discard(),
 	}
@@ -269,7 +269,7 @@
 // holder of the lease itself, or at those who rest on its word: it follows settings from their
 // acknowledgement through watch, word, read, ring and view, while the placer gets more reports
 // than it bears.
-func TestSettingsAreInForceAtTheLastInstanceInTime(t *testing.T) {
+func TestSettingsAreInForceEverywhereInTime(t *testing.T) {
 	for _, size := range []fleetSize{{6, 15, 1000, 0.4}, {90, 140, 200, 0.8}, {301, 3000, 1000, 0.4}, {301, 3000, 200, 0.8}, {984, 4000, 1000, 0.8}} {
 		t.Run(fmt.Sprintf("%d instances, %d endpoints, %v Mbit/s", size.instances, size.endpoints, size.mbits), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/daemon/latestore_test.go
+++ b/daemon/stalestore_test.go
@@ -21,16 +21,16 @@
 
 // lateStore keeps entries of endpoints and serves watches by calls that wait, as the
 // platform's store does. Watches that may be behind see what is staleBy old.
-type lateStore struct {
+type staleStore struct {
 	staleBy time.Duration
 
 	mu       sync.Mutex
 	revision int64
-	history  []lateChange
+	history  []storeChange
 	changed  chan struct{}
 }
 
-type lateChange struct {
+type storeChange struct {
 	at       time.Time
 	revision int64
 	event    store.Event
@@ -38,17 +38,17 @@
 
 const endpointsKind store.Kind = "endpoints"
 
-func newLateStore(staleBy time.Duration) *lateStore {
-	return &lateStore{staleBy: staleBy, changed: make(chan struct{})}
+func newStaleStore(staleBy time.Duration) *staleStore {
+	return &staleStore{staleBy: staleBy, changed: make(chan struct{})}
 }
 
-func (s *lateStore) put(name string, state membership.State) { s.enter(name, state, 1) }
+func (s *staleStore) put(name string, state membership.State) { s.putSlots(name, state, 1) }
 
-func (s *lateStore) enter(name string, state membership.State, slots int) {
-	s.spec(membership.Member{Name: name, Incarnation: name, Pool: "pool", State: state, Slots: slots})
+func (s *staleStore) putSlots(name string, state membership.State, slots int) {
+	s.putMember(membership.Member{Name: name, Incarnation: name, Pool: "pool", State: state, Slots: slots})
 }
 
-func (s *lateStore) spec(m membership.Member) {
+func (s *staleStore) putMember(m membership.Member) {
 	spec, err := json.Marshal(m)
 	if err != nil {
 		panic(err)
@@ -56,21 +56,21 @@
 	s.record(store.EventModified, store.Object{Kind: endpointsKind, Metadata: store.Metadata{Name: m.Name}, Spec: spec})
 }
 
-func (s *lateStore) remove(name string) {
+func (s *staleStore) remove(name string) {
 	s.record(store.EventDeleted, store.Object{Kind: endpointsKind, Metadata: store.Metadata{Name: name}})
 }
 
-func (s *lateStore) record(what store.EventType, o store.Object) {
+func (s *staleStore) record(what store.EventType, o store.Object) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
 	o.Metadata.ResourceVersion = strconv.FormatInt(s.revision, 10)
-	s.history = append(s.history, lateChange{at: time.Now(), revision: s.revision, event: store.Event{Type: what, Object: o}})
+	s.history = append(s.history, storeChange{at: time.Now(), revision: s.revision, event: store.Event{Type: what, Object: o}})
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *lateStore) list() store.List {
+func (s *staleStore) list() store.List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	items := map[string]store.Object{}
@@ -90,7 +90,7 @@
 
 // since returns what a watch sees behind a revision, and what to wait for if that is
 // nothing.
-func (s *lateStore) since(revision int64, behind bool) (events []store.Event, at int64, changed <-chan struct{}) {
+func (s *staleStore) changesAfter(revision int64, behind bool) (events []store.Event, at int64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at = revision
@@ -104,15 +104,15 @@
 }
 
 // lateClient is one instance's way to the store.
-type lateClient struct {
+type staleStoreClient struct {
 	store.Client
-	store *lateStore
+	store *staleStore
 	link  *storeLink
 	fresh NodeFreshness
 
 	mu sync.Mutex
 	// calls are those that were made, closeCalls those of them that are not behind.
-	calls, closeCalls int
+	calls, freshCalls int
 	// away makes calls fail, silent makes watches that begin now wait in vain; both
 	// end a watch that waits when they change.
 	away, silent bool
@@ -122,7 +122,7 @@
 var errStoreAway = errors.New("the store does not answer")
 
 // set changes how the store behaves to this instance; cut breaks the watch that waits.
-func (c *lateClient) set(away, silent, cut bool) {
+func (c *staleStoreClient) set(away, silent, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.away, c.silent = away, silent
@@ -132,22 +132,22 @@
 	}
 }
 
-func (c *lateClient) state() (away, silent bool, cut <-chan struct{}) {
+func (c *staleStoreClient) state() (away, silent bool, cut <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.away, c.silent, c.cut
 }
 
-func (c *lateClient) List(context.Context, store.Kind) (store.List, error) {
+func (c *staleStoreClient) List(context.Context, store.Kind) (store.List, error) {
 	if away, _, _ := c.state(); away {
 		return store.List{}, errStoreAway
 	}
-	c.link.asked(0)
-	c.link.answered()
+	c.link.callStarted(0)
+	c.link.callAnswered()
 	return c.store.list(), nil
 }
 
-func (c *lateClient) Watch(ctx context.Context, _ store.Kind, version string, o store.WatchOptions, handle func(store.Event)) error {
+func (c *staleStoreClient) Watch(ctx context.Context, _ store.Kind, version string, o store.WatchOptions, handle func(store.Event)) error {
 	revision, err := strconv.ParseInt(version, 10, 64)
 	for err == nil {
 		var events []store.Event
@@ -165,13 +165,13 @@
 }
 
 // wait is one call of a watch.
-func (c *lateClient) wait(ctx context.Context, revision int64, behind bool) ([]store.Event, int64, error) {
+func (c *staleStoreClient) wait(ctx context.Context, revision int64, behind bool) ([]store.Event, int64, error) {
 	hold := c.fresh.entriesWatchHold()
 	if behind {
 		hold = c.fresh.staleWatchHold()
 	}
 	away, silent, cut := c.state()
-	c.link.asked(hold)
+	c.link.callStarted(hold)
 	c.count(behind)
 	if away {
 		return nil, 0, errStoreAway
@@ -183,9 +183,9 @@
 		var changed <-chan struct{}
 		var look <-chan time.Time
 		if !silent {
-			events, at, more := c.store.since(revision, behind)
+			events, at, more := c.store.changesAfter(revision, behind)
 			if len(events) > 0 {
-				c.link.answered()
+				c.link.callAnswered()
 				return events, at, nil
 			}
 			changed = more
@@ -201,7 +201,7 @@
 			return nil, 0, errStoreAway
 		case <-over.C:
 			if !silent {
-				c.link.answered()
+				c.link.callAnswered()
 				return nil, revision, nil
 			}
 		case <-timeout.C:
@@ -212,25 +212,25 @@
 	}
 }
 
-func (c *lateClient) count(behind bool) {
+func (c *staleStoreClient) count(behind bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
 	if !behind {
-		c.closeCalls++
+		c.freshCalls++
 	}
 }
 
 // counted returns how many calls were made, and how many of them were close.
-func (c *lateClient) counted() (all, closely int) {
+func (c *staleStoreClient) callCounts() (all, closely int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.calls, c.closeCalls
+	return c.calls, c.freshCalls
 }
 
 // lateInstance is what of an instance learns of endpoints that leave.
-type lateInstance struct {
-	client *lateClient
+type entriesInstance struct {
+	client *staleStoreClient
 	link   *storeLink
 	mesh   *mesh
 	duty   *entriesDuty
@@ -241,12 +241,12 @@
 	left map[string]time.Time
 }
 
-func newLateInstance(s *lateStore, name string, holds func() bool) *lateInstance {
+func newEntriesInstance(s *staleStore, name string, holds func() bool) *entriesInstance {
 	fresh := DefaultNodeConfig().Fresh
 	link := &storeLink{log: logr.Discard(), now: time.Now}
-	i := &lateInstance{
+	i := &entriesInstance{
 		link: link, list: membership.NewList(), left: map[string]time.Time{},
-		client: &lateClient{store: s, link: link, fresh: fresh, cut: make(chan struct{})},
+		client: &staleStoreClient{store: s, link: link, fresh: fresh, cut: make(chan struct{})},
 	}
 	sealer, err := peer.NewSealer([][]byte{make([]byte, peer.KeyBytes)})
 	if err != nil {
@@ -254,7 +254,7 @@
 	}
 	i.mesh = &mesh{
 		instance: name, now: time.Now, log: logr.Discard(), sealer: sealer, isHolder: holds,
-		storeCurrent: func() bool { return link.settled() && link.age(endpointsKind) < fresh.maxAttestedAge() },
+		storeCurrent: func() bool { return link.settled() && link.confirmedAge(endpointsKind) < fresh.maxAttestedAge() },
 		listed:       map[string]presence{}, withdrawn: map[string]withdrawal{}, onInstanceCount: func(int) {},
 		router: routing.NewRouter(routing.Policies()[routing.PolicyTimely], nil), revision: func() int64 { return 1 },
 	}
@@ -270,14 +270,14 @@
 }
 
 // follow runs what follows the store.
-func (i *lateInstance) follow(ctx context.Context) {
+func (i *entriesInstance) follow(ctx context.Context) {
 	go i.duty.watch(ctx)
 	go i.duty.run(ctx)
-	go i.learn(ctx)
+	go i.applyListings(ctx)
 }
 
 // learn takes the list as the view does.
-func (i *lateInstance) learn(ctx context.Context) {
+func (i *entriesInstance) applyListings(ctx context.Context) {
 	for {
 		e, err := i.duty.events.Take(ctx)
 		if err != nil {
@@ -289,14 +289,14 @@
 			for _, c := range changes {
 				if c.Member.State != membership.Live {
 					i.mesh.recordWithdrawal(endpointStart{name: c.Member.Name})
-					i.leaves(c.Member.Name)
+					i.markLeaving(c.Member.Name)
 				}
 			}
 		}
 	}
 }
 
-func (i *lateInstance) leaves(name string) {
+func (i *entriesInstance) markLeaving(name string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if _, known := i.left[name]; !known {
@@ -305,7 +305,7 @@
 }
 
 // lateness is how long after began the instance knew that the endpoint leaves.
-func (i *lateInstance) lateness(t *testing.T, name string, began time.Time) time.Duration {
+func (i *entriesInstance) lateness(t *testing.T, name string, began time.Time) time.Duration {
 	t.Helper()
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -316,7 +316,7 @@
 
 // wire carries the packets of one instance to the only other one.
 type wire struct {
-	from, to *lateInstance
+	from, to *entriesInstance
 }
 
 func (w wire) Send(_ string, sealed []byte) {
@@ -330,21 +330,21 @@
 	}
 	w.to.mesh.totals.receive(time.Now(), p)
 	for _, name := range p.Withdrawn {
-		w.to.leaves(name)
+		w.to.markLeaving(name)
 	}
 }
 
 func (wire) Close() {}
 
 // speak lets a holder of the lease renew it and tell the other instance what it knows.
-func (i *lateInstance) speak(ctx context.Context, to *lateInstance) {
+func (i *entriesInstance) announceTo(ctx context.Context, to *entriesInstance) {
 	i.mesh.datagrams = wire{from: i, to: to}
 	i.mesh.listed[to.mesh.instance] = presence{Datagrams: "10.0.0.2:1"}
 	go func() {
 		for ctx.Err() == nil {
-			i.link.asked(0)
+			i.link.callStarted(0)
 			if away, _, _ := i.client.state(); !away {
-				i.link.answered()
+				i.link.callAnswered()
 			}
 			time.Sleep(leaseRenewal)
 		}
@@ -360,9 +360,9 @@
 }
 
 // busy lets other endpoints change all the time, as units come and go.
-func (s *lateStore) busy(ctx context.Context) {
+func (s *staleStore) churn(ctx context.Context) {
 	for n := 1; ctx.Err() == nil; n++ {
-		s.enter("busy", membership.Live, n)
+		s.putSlots("busy", membership.Live, n)
 		time.Sleep(50 * time.Millisecond)
 	}
 }
--- a/daemon/storelink.go
+++ b/daemon/storelink.go
@@ -23,9 +23,9 @@
 	// answeredAt is when the store last answered any call, askedAt when the first call
 	// since was made that it should have answered soon; zero for none. returnedAt is
 	// since when it has answered without a break of awayAfter.
-	answeredAt, askedAt, returnedAt time.Time
+	lastAnswerAt, unansweredSince, returnedAt time.Time
 	// failing is set from a watch that got no answer to the next answer.
-	failing bool
+	watchFailing bool
 	// confirmedAt is when the watch on a kind was last answered closely.
 	confirmedAt map[store.Kind]time.Time
 }
@@ -33,43 +33,43 @@
 // awayAfter is the time for which a call goes without an answer after which the store
 // was away. Entries of endpoints lapse only after several heartbeats of a second or
 // more. An instance that asks for nothing, as another tells it, does not find it away.
-const awayAfter = 2 * time.Second
+const outageThreshold = 2 * time.Second
 
 // asked notes that a call is made which the store may hold for so long.
-func (l *storeLink) asked(hold time.Duration) {
+func (l *storeLink) callStarted(hold time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if hold < awayAfter && l.askedAt.IsZero() {
-		l.askedAt = l.now()
+	if hold < outageThreshold && l.unansweredSince.IsZero() {
+		l.unansweredSince = l.now()
 	}
 }
 
 // listed notes that the store has answered with a whole list, and logs how long that took.
-func (l *storeLink) listed(kind store.Kind, list store.List) {
-	l.heard()
+func (l *storeLink) listReceived(kind store.Kind, list store.List) {
+	l.markReachable()
 	if !list.RequestedAt.IsZero() {
 		l.log.Info("list read", "kind", kind, "objects", len(list.Items), "took_ms", l.now().Sub(list.RequestedAt).Milliseconds())
 	}
 }
 
 // answered notes that the store has answered a call.
-func (l *storeLink) answered() {
+func (l *storeLink) callAnswered() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	unanswered := !l.askedAt.IsZero() && now.Sub(l.askedAt) >= awayAfter
+	unanswered := !l.unansweredSince.IsZero() && now.Sub(l.unansweredSince) >= outageThreshold
 	// Whoever asks seldom meets an outage late: it may have begun right behind the last
 	// answer.
-	missed := l.failing && now.Sub(l.answeredAt) >= awayAfter
-	if l.answeredAt.IsZero() || unanswered || missed {
+	missed := l.watchFailing && now.Sub(l.lastAnswerAt) >= outageThreshold
+	if l.lastAnswerAt.IsZero() || unanswered || missed {
 		l.returnedAt = now
 	}
-	l.answeredAt, l.askedAt, l.failing = now, time.Time{}, false
+	l.lastAnswerAt, l.unansweredSince, l.watchFailing = now, time.Time{}, false
 }
 
 // copied notes that the store has come back from a copy: what it shows is settled only
 // behind the time that members take to write their entries again.
-func (l *storeLink) copied() {
+func (l *storeLink) restoredFromCopy() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.returnedAt = l.now()
@@ -78,7 +78,7 @@
 
 // returned is since when the store has answered without a break, whatever the
 // call: a watch that began while it was away may hang long after its return.
-func (l *storeLink) returned() time.Time {
+func (l *storeLink) availableSince() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.returnedAt
@@ -90,10 +90,10 @@
 
 // settled tells whether the store has answered for so long that each entry which
 // lapsed while it was away is back.
-func (l *storeLink) settled() bool { return l.now().Sub(l.returned()) >= settleTime }
+func (l *storeLink) settled() bool { return l.now().Sub(l.availableSince()) >= settleTime }
 
 // confirmed notes that the watch on a kind was answered closely.
-func (l *storeLink) confirmed(kind store.Kind) {
+func (l *storeLink) watchConfirmed(kind store.Kind) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.confirmedAt == nil {
@@ -106,7 +106,7 @@
 const neverConfirmed = time.Duration(math.MaxInt64)
 
 // age is how long ago the watch on a kind was last answered closely.
-func (l *storeLink) age(kind store.Kind) time.Duration {
+func (l *storeLink) confirmedAge(kind store.Kind) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at, known := l.confirmedAt[kind]
@@ -117,13 +117,13 @@
 }
 
 // lost tells whether the store gives no answers now.
-func (l *storeLink) lost() bool {
+func (l *storeLink) isLost() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.lostAt.IsZero()
 }
 
-func (l *storeLink) heard() {
+func (l *storeLink) markReachable() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.lostAt.IsZero() {
@@ -134,15 +134,15 @@
 }
 
 // failed logs why a watch has ended, and that the store is lost if it is.
-func (l *storeLink) failed(kind store.Kind, err error) {
-	l.log.Info("watch ended", "kind", kind, "confirmed_ms", ageMS(l.age(kind)), "error", err.Error())
+func (l *storeLink) watchFailed(kind store.Kind, err error) {
+	l.log.Info("watch ended", "kind", kind, "confirmed_ms", ageMS(l.confirmedAge(kind)), "error", err.Error())
 	if store.IsExpired(err) {
 		// The store answers; only the changes meanwhile are gone.
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.failing = true
+	l.watchFailing = true
 	if !l.lostAt.IsZero() {
 		return
 	}
--- a/daemon/wake.go
+++ b/daemon/suspension.go
@@ -9,30 +9,30 @@
 )
 
 // wakesCapacity bounds the suspensions that wait; each is acted on at once.
-const wakesCapacity = 4
+const suspensionsCapacity = 4
 
 // wake acts on suspensions that the clock notices. The lease's duty reads the clock ten
 // times a second, so that none goes unnoticed for long.
-func (n *Node) wake(ctx context.Context) {
+func (n *Node) handleSuspensions(ctx context.Context) {
 	for {
-		slept, err := n.wakes.Take(ctx)
+		slept, err := n.suspensions.Take(ctx)
 		if err != nil {
 			return
 		}
-		n.woke(slept)
+		n.resume(slept)
 	}
 }
 
 // woke is told that the machine was suspended. What was known is judged by its true age
 // from then on, as all times come from one clock. What remains are waits on timers, which
 // would end late by as long: they are ended here.
-func (n *Node) woke(slept time.Duration) {
+func (n *Node) resume(slept time.Duration) {
 	n.log.Info("woke from suspension", "slept_ms", slept.Milliseconds(), "times", n.clock.Suspensions())
 	// Connections may have ended meanwhile, or be silent for good.
-	n.storeCalls.interrupt()
+	n.storeTransport.interrupt()
 	n.engine.Close()
 	n.control.Close()
-	n.overdue()
+	n.cancelOverdue()
 	n.mesh.sendSoon()
 	n.gates.Wake()
 }
@@ -40,7 +40,7 @@
 // wake acts on suspensions that the clock notices, as Node.wake does. Calls to the
 // platform are bounded by seconds, and the settings are confirmed before a request is
 // served by them.
-func (i *Instance) wake(ctx context.Context) {
+func (i *Instance) handleSuspensions(ctx context.Context) {
 	for {
 		slept, err := i.wakes.Take(ctx)
 		if err != nil {
@@ -56,38 +56,38 @@
 }
 
 // interruptible is a transport whose calls in progress can be given up, all at once.
-type interruptible struct {
+type interruptibleTransport struct {
 	next *http.Transport
 
 	mu sync.Mutex
 	// calls ends with the next interruption.
-	calls context.Context
-	end   context.CancelFunc
+	callsCtx    context.Context
+	cancelCalls context.CancelFunc
 }
 
-func newInterruptible(next *http.Transport) *interruptible {
-	t := &interruptible{next: next}
-	t.calls, t.end = context.WithCancel(context.Background())
+func newInterruptibleTransport(next *http.Transport) *interruptibleTransport {
+	t := &interruptibleTransport{next: next}
+	t.callsCtx, t.cancelCalls = context.WithCancel(context.Background())
 	return t
 }
 
 // interrupt gives up all calls in progress, and the connections at rest.
-func (t *interruptible) interrupt() {
+func (t *interruptibleTransport) interrupt() {
 	t.mu.Lock()
-	end := t.end
-	t.calls, t.end = context.WithCancel(context.Background())
+	end := t.cancelCalls
+	t.callsCtx, t.cancelCalls = context.WithCancel(context.Background())
 	t.mu.Unlock()
 	end()
 	t.next.CloseIdleConnections()
 }
 
 // CloseIdleConnections is for http.Client.
-func (t *interruptible) CloseIdleConnections() { t.next.CloseIdleConnections() }
+func (t *interruptibleTransport) CloseIdleConnections() { t.next.CloseIdleConnections() }
 
 // RoundTrip implements http.RoundTripper.
-func (t *interruptible) RoundTrip(req *http.Request) (*http.Response, error) {
+func (t *interruptibleTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	t.mu.Lock()
-	calls := t.calls
+	calls := t.callsCtx
 	t.mu.Unlock()
 	ctx, cancel := context.WithCancel(req.Context())
 	stop := context.AfterFunc(calls, cancel)
--- a/daemon/wake_test.go
+++ b/daemon/suspension_test.go
@@ -13,7 +13,7 @@
 // TestInterruptGivesUpCallsThatWait makes calls that are never answered, as on connections
 // that went silent while the machine was suspended: an interruption ends all of them, and
 // later calls are served.
-func TestInterruptGivesUpCallsThatWait(t *testing.T) {
+func TestInterruptCancelsPendingCalls(t *testing.T) {
 	asked := make(chan struct{}, 3)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -28,7 +28,7 @@
 		}
 	}))
 	defer s.Close()
-	transport := newInterruptible(&http.Transport{})
+	transport := newInterruptibleTransport(&http.Transport{})
 	client := http.Client{Transport: transport}
 	failed := make(chan error, 3)
 	for _, path := range []string{"/hangs", "/hangs", "/half"} {
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -25,7 +25,7 @@
 	log    logr.Logger
 	now    func() time.Time
 	// applied counts the events that are in force; may be nil.
-	applied *applied
+	applied *lagTracker
 	// sinceRevisionSeen returns how long ago another instance first reported this revision or
 	// a later one, neverConfirmed if none has; nil means that this is not known.
 	sinceRevisionSeen func(revision int64) time.Duration
@@ -89,7 +89,7 @@
 		if d.expireWithdrawals() || changed {
 			d.rebuild()
 		}
-		d.applied.finished(taken + count)
+		d.applied.markProcessed(taken + count)
 		d.notify()
 	}
 }
@@ -102,7 +102,7 @@
 // drainEvents applies the events that are queued after e. It returns their number, and whether
 // the view must be rebuilt for them.
 func (d *viewDuty) drainEvents(ctx context.Context, e event) (taken int64, changed bool) {
-	if _, placed := e.(placementsTold); placed {
+	if _, placed := e.(placementsReceived); placed {
 		wait.For(ctx, placementBatchDelay)
 	}
 	for d.events.Len() > 0 {
@@ -159,7 +159,7 @@
 	switch e := e.(type) {
 	case loadReported:
 		return d.applyLoad(e)
-	case placementsTold:
+	case placementsReceived:
 		return d.applyPlacements(e)
 	default:
 		changed := d.applyMembers(e)
@@ -218,8 +218,8 @@
 	d.resolved = d.resolve(a)
 	d.evacuate()
 	values := []any{"revision", a.Entry.Revision, "author", a.Entry.Author}
-	if !e.at.IsZero() {
-		values = append(values, "by", e.by, "waited_ms", d.now().Sub(e.at).Milliseconds(), "heard_ms", d.revisionSeenMS(a.Entry.Revision))
+	if !e.receivedAt.IsZero() {
+		values = append(values, "by", e.source, "waited_ms", d.now().Sub(e.receivedAt).Milliseconds(), "heard_ms", d.revisionSeenMS(a.Entry.Revision))
 	}
 	d.log.Info("settings in force", values...)
 	return true
@@ -239,7 +239,7 @@
 	if !known || endpoint.Incarnation != e.report.Incarnation {
 		return false
 	}
-	endpoint.SetReportedLoad(routing.Load{At: d.now(), Running: e.report.Running, Waiting: e.report.Waiting, OwnAtReport: e.own})
+	endpoint.SetReportedLoad(routing.Load{At: d.now(), Running: e.report.Running, Waiting: e.report.Waiting, OwnAtReport: e.ownInFlight})
 	var ready []string
 	for _, u := range e.report.Units {
 		if u.Ready {
@@ -295,7 +295,7 @@
 }
 
 // applyPlacements applies placements of the instance that places units.
-func (d *viewDuty) applyPlacements(e placementsTold) bool {
+func (d *viewDuty) applyPlacements(e placementsReceived) bool {
 	known := len(d.changedEndpoints)
 	for _, p := range e.placements {
 		if _, listed := d.endpoints[p.Endpoint]; listed && d.residency.placed(p) {
--- a/daemon/view_test.go
+++ b/daemon/view_test.go
@@ -139,7 +139,7 @@
 			if len(p.Units) > 0 && random.IntN(2) == 0 {
 				p.Draining = p.Units[:1]
 			}
-			h.step(placementsTold{[]peer.Placement{p}})
+			h.step(placementsReceived{[]peer.Placement{p}})
 		}
 		view := *h.router.View()
 		h.rebuildAll()
