--- a/daemon/callerconn.go
+++ b/daemon/callerconn.go
@@ -9,24 +9,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// callerConn is a caller's connection that can be closed at rest without cutting a
-// request. net/http counts a connection as idle until it has read the whole head of
-// the next request, so its word is not enough: by it, a request that was being read
-// was served and its answer lost.
+// callerConn is a caller's connection that can be closed while idle without cutting off a
+// request. The state that net/http reports is not enough: it counts a connection as idle
+// until it has read the whole header of the next request, so that closing by that state
+// lets a request that is being read be served and its response be lost.
 //
-// A connection is at rest from its last answer, or its beginning, until the first
-// byte behind that is taken from the system.
+// A callerConn is idle from its last response, or from its start, until the first byte
+// after that is read from the kernel.
 type callerConn struct {
 	net.Conn
-	// raw is nil for a connection that is no socket, of which nothing tells whether
-	// bytes wait unread.
+	// raw is nil for a connection that is not a socket, where unread bytes cannot be
+	// detected.
 	raw syscall.RawConn
 
 	mu   sync.Mutex
 	idle bool
 }
 
-// callerListener accepts connections as callerConns.
+// callerListener wraps the connections that it accepts in callerConn.
 type callerListener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -45,8 +45,8 @@
 	return c, nil
 }
 
-// Read implements net.Conn. It ends the rest before it takes the first byte: until
-// then the byte shows to unread.
+// Read implements net.Conn. It marks the connection as active before it reads the first
+// byte: until then hasUnread detects the byte.
 func (c *callerConn) Read(p []byte) (int, error) {
 	if c.raw == nil {
 		n, err := c.Conn.Read(p)
@@ -54,7 +54,7 @@
 		return n, err
 	}
 	if c.isIdle() {
-		// Whatever it fails by, the read below fails by too.
+		// An error here recurs in the read below, which reports it.
 		_ = c.raw.Read(func(fd uintptr) bool {
 			_, err := peek(fd)
 			return !errors.Is(err, unix.EAGAIN)
@@ -70,7 +70,7 @@
 	return c.idle
 }
 
-// rest begins a rest: the server has answered and reads nothing.
+// markIdle is called when the server has sent its response and is not reading.
 func (c *callerConn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,7 +83,8 @@
 	c.idle = false
 }
 
-// closeAtRest closes the connection, unless the first byte of a request has arrived.
+// closeIfIdle closes the connection unless the first byte of a request has arrived, and
+// reports whether it did.
 func (c *callerConn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +95,7 @@
 	return true
 }
 
-// unread tells whether bytes wait to be read.
+// hasUnread reports whether received bytes have not been read yet.
 func (c *callerConn) hasUnread() bool {
 	if c.raw == nil {
 		return false
@@ -104,8 +105,8 @@
 	return err == nil && n > 0
 }
 
-// CloseWrite lets net/http end its side first, so that a caller that is still sending
-// reads the answer.
+// CloseWrite lets net/http close its direction first, so that a caller that is still
+// sending can read the response.
 func (c *callerConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// peek returns how many bytes, of one, could be read without waiting.
+// peek returns 1 if a byte could be read without blocking, without consuming it.
 func peek(fd uintptr) (int, error) {
 	var first [1]byte
 	for {
--- a/daemon/config.go
+++ b/daemon/config.go
@@ -12,15 +12,15 @@
 	"github.com/eiderspring/eiderspring/routing"
 )
 
-// Config is the settings of one instance, as its file gives them.
+// Config is the configuration of one instance, as read from its file.
 type Config struct {
 	// Instance is the instance's name on the platform's list.
 	Instance string `json:"instance"`
-	// Incarnation is the instance's on the platform's list; it changes when the
-	// instance is started anew.
+	// Incarnation is the instance's incarnation on the platform's list; it changes when
+	// the instance is restarted.
 	Incarnation   string `json:"incarnation"`
 	FailureDomain string `json:"failureDomain"`
-	// Callers is the address for callers, Operators that for operators.
+	// Callers and Operators are the addresses to listen on for callers and operators.
 	Callers   string   `json:"callers"`
 	Operators string   `json:"operators"`
 	Platform  Platform `json:"platform"`
@@ -30,27 +30,28 @@
 	Limits        Limits `json:"limits"`
 	// LogLevel is debug, info or error.
 	LogLevel string `json:"logLevel"`
-	// Quarantine bounds what requests that end endpoints may do.
+	// Quarantine limits requests that terminate endpoints.
 	Quarantine QuarantineConfig `json:"quarantine"`
 }
 
-// Platform tells where the platform's services are.
+// Platform holds the URLs of the platform's services.
 type Platform struct {
 	ObjectAPI string `json:"objectAPI"`
 	Members   string `json:"members"`
 }
 
-// Peers tells how other instances reach this one.
+// Peers holds the addresses at which other instances reach this one, and the keys used
+// among them.
 type Peers struct {
 	// Datagrams and Streams are UDP addresses of the form IP:PORT.
 	Datagrams string `json:"datagrams"`
 	Streams   string `json:"streams"`
-	// Keys are the keys to begin with, in hex, the one to use first; keys in
-	// the settings come before them.
+	// Keys are the initial keys, in hex, the one to seal with first; keys in the
+	// settings take precedence over them.
 	Keys []string `json:"keys"`
 }
 
-// Limits bound what one instance takes on.
+// Limits bounds the work that one instance accepts.
 type Limits struct {
 	HeaderBytes int `json:"headerBytes"`
 	BodyBytes   int `json:"bodyBytes"`
@@ -60,19 +61,19 @@
 	// QueueRequests and QueueBytes bound the queue of each pool.
 	QueueRequests int `json:"queueRequests"`
 	QueueBytes    int `json:"queueBytes"`
-	// LoadPollsPerSecond bounds the load reports asked for.
+	// LoadPollsPerSecond bounds the requests for load reports.
 	LoadPollsPerSecond float64 `json:"loadPollsPerSecond"`
-	// FreshnessMS is for how long an instance serves by its settings without
-	// having heard the object API or any peer, in milliseconds.
+	// FreshnessMS is for how long an instance serves by its settings without contact
+	// with the object API or any peer, in milliseconds.
 	FreshnessMS int `json:"freshnessMS"`
-	// DrainGraceMS is how long a planned stop still takes the callers that the
-	// balancer sends before it has seen that the instance is not ready.
+	// DrainGraceMS is for how long a planned stop still accepts requests, which the load
+	// balancer sends until it notices that the instance is not ready, in milliseconds.
 	DrainGraceMS int `json:"drainGraceMS"`
 	// DrainMS bounds a planned stop, in milliseconds.
 	DrainMS int `json:"drainMS"`
 }
 
-// DefaultConfig returns the values of fields that a file leaves out.
+// DefaultConfig returns the values of fields that a file omits.
 func DefaultConfig() Config {
 	return Config{
 		RoutingPolicy: routing.DefaultPolicy,
@@ -85,7 +86,7 @@
 	}
 }
 
-// LoadConfig reads a configuration file. Faults come in one *jsonc.Error.
+// LoadConfig reads a configuration file. All faults are reported in one *jsonc.Error.
 func LoadConfig(path string) (Config, error) { return loadFile(path, ParseConfig) }
 
 // ParseConfig reads and checks a configuration text.
@@ -93,7 +94,7 @@
 	return parseChecked(file, src, DefaultConfig(), (*configChecker).check)
 }
 
-// loadFile reads a file and parses it.
+// loadFile reads a file and parses it with parse.
 func loadFile[T any](path string, parse func(file string, src []byte) (T, error)) (T, error) {
 	src, err := os.ReadFile(path)
 	if err != nil {
@@ -103,7 +104,8 @@
 	return parse(path, src)
 }
 
-// parseChecked reads a text on top of the defaults in cfg and checks the result.
+// parseChecked decodes a text over the defaults in cfg and checks the result. All faults are
+// reported in one *jsonc.Error.
 func parseChecked[T any](file string, src []byte, cfg T, check func(*configChecker, T)) (T, error) {
 	doc, err := jsonc.Parse(file, src)
 	if err != nil {
@@ -120,6 +122,7 @@
 	return cfg, nil
 }
 
+// configChecker collects the faults of one configuration text.
 type configChecker struct {
 	doc    *jsonc.Document
 	faults []jsonc.Fault
--- a/daemon/countedconn.go
+++ b/daemon/countedconn.go
@@ -5,7 +5,8 @@
 	"net"
 )
 
-// countedConn counts the bytes of a connection.
+// countedConn counts the bytes read from and written to a connection in vars, under the
+// keys NAME_bytes_in and NAME_bytes_out.
 type countedConn struct {
 	net.Conn
 	vars *expvar.Map
--- a/daemon/dial.go
+++ b/daemon/dial.go
@@ -8,21 +8,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds after which a connection whose peer says nothing at all is given up: a
-// machine that lost power or is cut off resets nothing.
+// Bounds after which a connection with a silent peer is closed: a machine that has lost
+// power or its network sends no reset.
 const (
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 3
-	// unackedTimeout bounds how long sent bytes may go without a sign of the
-	// peer's system.
+	// tcpUserTimeout bounds how long sent bytes may remain unacknowledged
+	// (TCP_USER_TIMEOUT, RFC 5482).
 	tcpUserTimeout = 3 * time.Second
-	// dialTimeout bounds the opening of a connection; a peer whose queue is full
-	// drops the first packet, which goes again after a second.
+	// dialTimeout bounds the opening of a connection. A peer whose accept queue is full
+	// drops the first SYN, which is retransmitted only after a second.
 	dialTimeout = 700 * time.Millisecond
 )
 
-// watchfulDialer opens connections that end when the peer's machine is gone.
+// newKeepAliveDialer returns a dialer whose connections fail when the peer's machine is gone.
 func newKeepAliveDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout: dialTimeout,
--- a/daemon/doc.go
+++ b/daemon/doc.go
@@ -1,7 +1,7 @@
-// Package daemon assembles the duties of one instance: the callers' and the
-// operators' listeners, the watch of settings, the platform's list, the load
-// reports, and the view that routing works on.
+// Package daemon assembles one instance: the listeners for callers and operators,
+// the watch on settings, the reads of the platform's member list, the polls of
+// endpoint load, and the view that requests are routed by.
 //
-// Each duty is a goroutine of its own. What it learns goes through a bounded
-// ring to the view duty, which alone builds views.
+// Each background task runs in a goroutine of its own and sends what it learns
+// through a bounded ring to one consumer, which alone builds views.
 package daemon
--- a/daemon/events.go
+++ b/daemon/events.go
@@ -9,47 +9,49 @@
 	"github.com/eiderspring/eiderspring/revision"
 )
 
-// event is an input of the view duty.
+// event is an input of the task that builds views.
 type event interface{ isEvent() }
 
-// settingsAccepted is a newer revision of the settings.
+// settingsAccepted carries a newer revision of the settings.
 type settingsAccepted struct {
 	accepted *revision.Accepted
-	// by is what brought it, and at when that was; zero where nobody notes it.
+	// source is what delivered the revision, and receivedAt when; both are zero where
+	// they are not recorded.
 	source     settingsSource
 	receivedAt time.Time
 }
 
-// settingsSource is what brings settings.
+// settingsSource is the way by which settings reach an instance.
 type settingsSource string
 
-// Sources of settings.
+// Sources of settings, as logged.
 const (
 	sourceWatch   settingsSource = "watch"
 	sourceList    settingsSource = "list"
 	sourceRequest settingsSource = "request"
 )
 
-// membersListed is a newer answer of the platform's list.
+// membersListed carries a newer version of the platform's member list.
 type membersListed struct{ listing membership.Listing }
 
-// loadReported is an endpoint's report of its load.
+// loadReported carries an endpoint's report of its load. ownInFlight is the number of this
+// instance's requests that were in flight there when the report was requested.
 type loadReported struct {
 	endpoint    string
 	ownInFlight int64
 	report      engine.Report
 }
 
-// instanceLeaving is an instance's word that it makes a planned stop.
+// instanceLeaving reports that another instance has begun a planned stop.
 type instanceLeaving struct{ name string }
 
-// placementsTold is the word of the instance that places units.
+// placementsReceived carries placements announced by the instance that places units.
 type placementsReceived struct{ placements []peer.Placement }
 
-// endpointsWithdrawn is an instance's word that endpoints take no more work.
+// endpointsWithdrawn reports, from another instance, endpoints that accept no more requests.
 type endpointsWithdrawn struct{ endpoints []endpointStart }
 
-// domainsEvacuated is the failure domains that the platform has evacuated.
+// domainsEvacuated carries the failure domains that the platform has evacuated.
 type domainsEvacuated struct{ domains []string }
 
 func (domainsEvacuated) isEvent()   {}
--- a/daemon/idleconns.go
+++ b/daemon/idleconns.go
@@ -12,24 +12,24 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// idleConns closes callers' connections that have rested for longer than the
-// settings allow, and all that rest once the instance stops. net/http reads its own
-// bound without a lock, so it cannot follow settings that change, and its Shutdown
-// drops requests that it is reading.
+// idleConns closes callers' connections that have been idle for longer than the settings
+// allow, and all idle ones once the instance stops. net/http cannot do either: it reads its
+// own IdleTimeout without a lock, so that the limit cannot change at run time, and its
+// Shutdown drops requests that are being read.
 type idleConns struct {
 	log logr.Logger
 	now func() time.Time
-	// limit returns how long a connection may rest; 0 sets no bound.
+	// limit returns how long a connection may be idle; 0 sets no bound.
 	limit func() time.Duration
 
 	mu       sync.Mutex
 	listener net.Listener
-	// open holds all connections, idle those that wait for a further request and
-	// since when.
+	// open holds all connections, idle those that net/http reports as idle and since
+	// when.
 	open map[net.Conn]struct{}
 	idle map[net.Conn]time.Time
-	// last is the limit at the last sweep. Before it was lowered it was earlier,
-	// which callers may go by until earlierUntil.
+	// lastLimit is the limit at the last sweep; previousLimit, the one before it was lowered,
+	// applies until previousUntil.
 	lastLimit, previousLimit time.Duration
 	previousUntil            time.Time
 }
@@ -38,7 +38,7 @@
 	return &idleConns{log: log, now: now, limit: limit, open: map[net.Conn]struct{}{}, idle: map[net.Conn]time.Time{}}
 }
 
-// serve runs the callers' server on a listener, whose connections are then watched.
+// serve runs the callers' server on l and tracks its connections.
 func (c *idleConns) serve(server *http.Server, l net.Listener) error {
 	c.mu.Lock()
 	c.listener = l
@@ -47,13 +47,13 @@
 	return server.Serve(callerListener{l})
 }
 
-// drainLook is the time between two looks at the connections that are left, short
-// beside the seconds of a planned stop.
+// drainPollInterval is the time between two checks of the remaining connections, short
+// compared with the seconds of a planned stop.
 const drainPollInterval = 20 * time.Millisecond
 
-// drain takes no more connections, closes those at rest, and returns once the others
-// have ended behind their answers, or with ctx. Requests that arrive on them until
-// then go to the handler.
+// drain accepts no more connections, closes the idle ones, and returns once the others
+// have been closed after their responses, or with the error of ctx. Requests that arrive
+// on them until then go to the handler.
 func (c *idleConns) drain(ctx context.Context) error {
 	c.closeListener()
 	for c.closeIdle() > 0 {
@@ -72,7 +72,7 @@
 	}
 }
 
-// closeResting closes the connections at rest and returns how many are left.
+// closeIdle closes the idle connections and returns how many are left.
 func (c *idleConns) closeIdle() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +82,7 @@
 	return len(c.open)
 }
 
-// closeAtRest closes a connection unless a request has begun to arrive.
+// closeIfIdle closes a connection unless a request has begun to arrive; mu must be held.
 func (c *idleConns) closeIfIdle(conn net.Conn) bool {
 	if !conn.(*callerConn).closeIfIdle() {
 		return false
@@ -96,7 +96,7 @@
 	delete(c.idle, conn)
 }
 
-// note is the server's ConnState hook.
+// connStateChanged is the server's ConnState hook.
 func (c *idleConns) connStateChanged(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,12 +112,13 @@
 	}
 }
 
-// idleSlack is how much longer than the limit a connection may rest: a request may
-// be on its way, and its caller would have to send it again.
+// idleGrace is how much longer than the limit a connection may be idle: a request may
+// be in transit, and its caller would have to send it again.
 const idleGrace = time.Second
 
-// promised is the limit that callers may go by: a lowered one holds only for
-// connections that began to rest behind it, as callers do not know at once.
+// effectiveLimit returns the limit to enforce. After the limit is lowered, the previous one
+// stays in effect for its own length: callers do not learn of the change at once and may use
+// connections that became idle before it for as long.
 func (c *idleConns) effectiveLimit(limit time.Duration) time.Duration {
 	now := c.now()
 	if limit < c.lastLimit {
@@ -131,7 +132,7 @@
 	return limit
 }
 
-// idleSweep is the time between two looks at the resting connections.
+// sweepInterval is the time between two sweeps.
 const sweepInterval = time.Second
 
 func (c *idleConns) run(ctx context.Context) {
@@ -140,7 +141,7 @@
 	}
 }
 
-// sweep ends the connections that have rested for longer than the limit.
+// sweep closes the connections that have been idle for longer than the limit.
 func (c *idleConns) sweep() {
 	limit := c.limit()
 	c.mu.Lock()
@@ -149,15 +150,15 @@
 	if limit == 0 {
 		return
 	}
-	closed, oldest := 0, time.Duration(0)
+	closed, longest := 0, time.Duration(0)
 	for conn, since := range c.idle {
-		rested := c.now().Sub(since)
-		if rested < limit+idleGrace || !c.closeIfIdle(conn) {
+		idle := c.now().Sub(since)
+		if idle < limit+idleGrace || !c.closeIfIdle(conn) {
 			continue
 		}
-		closed, oldest = closed+1, max(oldest, rested)
+		closed, longest = closed+1, max(longest, idle)
 	}
 	if closed > 0 {
-		c.log.Info("idle connections closed", "closed", closed, "limit_ms", limit.Milliseconds(), "oldest_ms", oldest.Milliseconds())
+		c.log.Info("idle connections closed", "closed", closed, "limit_ms", limit.Milliseconds(), "oldest_ms", longest.Milliseconds())
 	}
 }
--- a/daemon/lag.go
+++ b/daemon/lag.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// applied tells for how long a duty has had something in its ring that it has not applied: what
-// the store has answered counts only once it is in force here.
+// lagTracker measures for how long a ring has held events that its consumer has not applied
+// yet: an answer of the store counts only once it is in force in this instance. A nil tracker
+// has no lag.
 type lagTracker struct {
-	// added returns how many events were ever put into the ring.
+	// enqueued returns how many events were ever put into the ring.
 	enqueued func() int64
 	now      func() time.Time
 
 	mu        sync.Mutex
 	processed int64
-	// caughtUpAt is when nothing was last seen to wait.
+	// caughtUpAt is when the consumer was last seen to have applied all events.
 	caughtUpAt time.Time
 }
 
@@ -22,7 +23,7 @@
 	return &lagTracker{enqueued: added, now: now, caughtUpAt: now()}
 }
 
-// finished notes that so many more events have been applied.
+// markProcessed adds to the number of events that have been applied.
 func (a *lagTracker) markProcessed(events int64) {
 	if a == nil {
 		return
@@ -33,14 +34,14 @@
 	a.updateCaughtUp()
 }
 
-// look notes whether all has been applied; mu must be held.
+// updateCaughtUp records the time if all events have been applied; mu must be held.
 func (a *lagTracker) updateCaughtUp() {
 	if a.processed >= a.enqueued() {
 		a.caughtUpAt = a.now()
 	}
 }
 
-// lag is for how long something has waited, 0 if nothing does.
+// lag returns for how long events have been waiting, 0 if none are.
 func (a *lagTracker) lag() time.Duration {
 	if a == nil {
 		return 0
--- a/daemon/log.go
+++ b/daemon/log.go
@@ -9,8 +9,8 @@
 
 var logLevels = map[string]slog.Level{"debug": slog.LevelDebug, "info": slog.LevelInfo, "error": slog.LevelError}
 
-// NewLogger returns a logger that writes one line of key=value pairs for each
-// event, at the level that a Config names.
+// NewLogger returns a logger that writes one line of key=value pairs per event, at the
+// log level of a Config.
 func NewLogger(w io.Writer, level string) logr.Logger {
 	return logr.FromSlogHandler(slog.NewTextHandler(w, &slog.HandlerOptions{Level: logLevels[level]}))
 }
--- a/daemon/logwriter.go
+++ b/daemon/logwriter.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// logLines bounds the lines that wait to be written; the oldest go first.
+	// logQueueLines bounds the queue of lines to write; when full, the oldest are dropped.
 	logQueueLines = 4096
-	// logRate bounds the lines a second, logBurst how many may come at once.
-	// Two lines a request leave room for 500 requests a second.
+	// logRate bounds the lines per second, logBurst the size of a burst. With two lines
+	// per request, logRate suffices for 500 requests per second.
 	logRate  = 1000
 	logBurst = 4000
-	// logFlush bounds the wait for the last lines at the end.
+	// logFlushTimeout bounds how long Close waits for the remaining lines.
 	logFlushTimeout = 200 * time.Millisecond
 )
 
-// LogWriter writes lines from a goroutine of its own, so that whoever logs is
-// never held up by who reads. It bounds the lines a second; what is dropped is
-// counted.
+// LogWriter writes lines from a goroutine of its own, so that a slow reader of the log
+// never blocks the code that logs. It bounds the lines per second and counts those that it
+// drops.
 type LogWriter struct {
 	out       io.Writer
 	lines     *ring.Ring[[]byte]
@@ -35,7 +35,7 @@
 	done      chan struct{}
 }
 
-// NewLogWriter returns a writer in front of out.
+// NewLogWriter returns a LogWriter that writes to out.
 func NewLogWriter(out io.Writer) *LogWriter {
 	w := &LogWriter{
 		out: out, lines: ring.New[[]byte](logQueueLines, ring.DropOldest), limiter: rate.NewLimiter(logRate, logBurst), done: make(chan struct{}),
@@ -44,21 +44,21 @@
 	return w
 }
 
-// Write takes one line. It never fails and never waits.
+// Write queues one line. It never fails and never blocks.
 func (w *LogWriter) Write(line []byte) (int, error) {
 	if !w.limiter.Allow() {
 		w.discarded.Add(1)
 		return len(line), nil
 	}
-	// The ring drops rather than fails; after Close there is nobody to tell.
+	// A full ring drops its oldest line instead of failing; after Close the line is lost.
 	_ = w.lines.Put(context.Background(), bytes.Clone(line))
 	return len(line), nil
 }
 
-// Dropped is how many lines were not written.
+// Dropped returns how many lines were not written.
 func (w *LogWriter) Dropped() int64 { return w.discarded.Value() + w.lines.Dropped() }
 
-// Close writes what is left, as long as the reader takes it.
+// Close writes the queued lines, for at most logFlushTimeout.
 func (w *LogWriter) Close() {
 	w.lines.Close()
 	select {
@@ -75,7 +75,7 @@
 			return
 		}
 		if _, err := w.out.Write(line); err != nil {
-			// Nowhere is left to say so but the count.
+			// The log itself cannot report the error; only the counter can.
 			w.discarded.Add(1)
 		}
 	}
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -34,87 +34,89 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// PlatformAdapter holds what a node needs to run on a platform: clients, decoders and dialects.
+// PlatformAdapter holds what a node needs to run on a platform: the client of its object store,
+// the kinds and decoders of its objects, and the dialects of callers and endpoints.
 type PlatformAdapter struct {
 	// Store returns a client of the platform's object store.
 	Store func(store.Config) store.Client
-	// SettingsKind and SettingsName tell which object holds the settings, and
-	// DecodeSettings reads it.
+	// SettingsKind and SettingsName identify the object that holds the settings, which
+	// DecodeSettings decodes.
 	SettingsKind   store.Kind
 	SettingsName   string
 	DecodeSettings func(store.Object) (*revision.Accepted, error)
-	// MembersKind is the kind of the endpoints' entries, which DecodeMember
-	// reads.
+	// MembersKind is the kind of the endpoints' entries, which DecodeMember decodes.
 	MembersKind  store.Kind
 	DecodeMember func(store.Object) (membership.Member, error)
 	// EvacuationsKind is the kind of the objects by which the platform evacuates failure
-	// domains, each named as one, and StoreVersion reads a version of the store.
+	// domains; each object is named after its domain. StoreVersion parses a resource version
+	// of the store.
 	EvacuationsKind store.Kind
 	StoreVersion    func(resourceVersion string) (evacuation.Version, error)
-	// Callers returns the callers' dialect over the settings in force.
+	// Callers returns the dialect of callers, which reads the settings in force from catalog.
 	Callers func(catalog func() *settings.Catalog, auth pipeline.Authenticator) pipeline.Dialect
-	// Endpoints is the endpoints' dialect.
+	// Endpoints is the dialect of endpoints.
 	Endpoints engine.Dialect
-	// Controls returns what orders engines about, in the name of an instance.
+	// Controls returns the interface that sends orders to engines on behalf of an instance.
 	Controls func(c *engine.Client, instance string) Controls
-	// ReadyPath is where the platform asks for readiness.
+	// ReadyPath is the path of the platform's readiness probe.
 	ReadyPath string
 }
 
-// Node is one instance on a platform that gives it an object store, a list of
-// endpoints and a whole configuration. It keeps nothing: whatever it knows it
-// has from there, and loses at any moment.
+// Node is one instance on a platform that provides an object store, a list of endpoints and a
+// complete configuration. It has no persistent state of its own: all that it knows comes from
+// the platform and from other instances, and may be lost at any time.
 type Node struct {
 	cfg      NodeConfig
 	platform PlatformAdapter
 	log      logr.Logger
-	// clock goes on while the machine is suspended; now is its Now.
+	// clock includes time for which the machine is suspended; now is its Now method.
 	clock *clock.Clock
 	now   func() time.Time
-	// wakes holds suspensions that were noticed and not acted on yet.
+	// suspensions holds the lengths of detected suspensions that were not handled yet.
 	suspensions *ring.Ring[time.Duration]
-	// storeCalls are the calls to the store in progress, and overdue ends requests whose
+	// storeTransport carries the calls to the store; cancelOverdue cancels requests whose
 	// deadline has passed.
 	storeTransport *interruptibleTransport
 	cancelOverdue  func()
-	// startedAt is when the process began.
+	// startedAt is when the process started.
 	startedAt time.Time
 	vars      *expvar.Map
 	router    *routing.Router
 	gates     *pipeline.Gates
 	retries   *pipeline.RetryBudgets
 	engine    *engine.Client
-	// quarantine holds back requests that end endpoints; held are those that it is to
-	// keep in the store.
+	// quarantine holds back requests that terminate endpoints; unsavedReports are its reports
+	// that are still to be written to the store.
 	quarantine *quarantine.Manager
-	// rights is the node's right to go by the keys of accounts, allowances what accounts may
-	// ask of all nodes.
+	// rights tracks whether the node may authenticate by the account keys that it knows;
+	// allowances enforces what accounts may use across all nodes.
 	rights     *keyRights
 	allowances *allowances
-	// permits holds the limits that endpoints name for all nodes.
+	// permits enforces the limits that endpoints set for all nodes together.
 	permits        *permits
 	unsavedReports *ring.Ring[quarantine.Report]
-	// control carries reports and orders, apart from callers' requests.
+	// control carries reports and orders, separately from callers' requests.
 	control *engine.Client
 	mesh    *mesh
-	// relays asks other instances for the list of endpoints, and tells it.
+	// relays requests the list of endpoints from other instances, and serves it to them.
 	relays *relays
-	// eras follows the store's eras; eraBegun is told when one has begun.
+	// eras tracks the eras of the store; eraStarted signals that a new one has begun.
 	eras       *store.Eras
 	eraStarted chan struct{}
 	placers    *placers
 	presence   *presenceDuty
 	events     *ring.Ring[event]
-	// eventsApplied and entriesApplied tell how far the view and the list of endpoints are
-	// behind what the store has answered.
+	// eventsLag and entriesLag measure by how much the view and the list of endpoints lag
+	// behind the answers of the store.
 	eventsLag, entriesLag *lagTracker
 	link                  *storeLink
 	idle                  *idleConns
 	catalog               atomic.Pointer[settings.Catalog]
-	// retrySettings are those in force, which a reload replaces.
+	// retrySettings is the configuration in force, which a reload replaces. stopping is when
+	// a planned stop began, or nil.
 	retrySettings atomic.Pointer[NodeRetry]
 	stopping      atomic.Pointer[time.Time]
-	// ranks holds a poolRank for each pool.
+	// ranks caches a poolRank for each pool.
 	ranks sync.Map
 
 	callerServer, readinessServer, operatorServer *nodeServer
@@ -123,12 +125,12 @@
 	done                                          sync.WaitGroup
 }
 
-// idlePerEndpoint is how many idle connections a node keeps to each endpoint.
-// Endpoints bound the connections from all instances together (96 to 860 seen):
-// those in use are bounded by the endpoint's slots, the idle ones by this.
+// idlePerEndpoint is how many idle connections a node keeps to each endpoint. Endpoints limit
+// the connections from all instances together (limits from 96 to 860 occur): connections in
+// use are bounded by the endpoint's slots, idle ones by this constant.
 const idlePerEndpoint = 8
 
-// nodeServer is one listener and what serves it.
+// nodeServer is an HTTP server and its listener.
 type nodeServer struct {
 	listener net.Listener
 	server   *http.Server
@@ -136,10 +138,10 @@
 
 func (s *nodeServer) serve() error { return s.server.Serve(s.listener) }
 
-// NewNode returns a node that listens but serves nothing yet.
-func NewNode(cfg NodeConfig, ports PlatformAdapter, log logr.Logger) (*Node, error) {
+// NewNode returns a node that listens but serves no requests until Run is called.
+func NewNode(cfg NodeConfig, platform PlatformAdapter, log logr.Logger) (*Node, error) {
 	n := &Node{
-		cfg: cfg, platform: ports, log: log, vars: new(expvar.Map).Init(),
+		cfg: cfg, platform: platform, log: log, vars: new(expvar.Map).Init(),
 		router:         routing.NewRouter(routing.Policies()[cfg.RoutingPolicy], randv2.Float64),
 		retries:        pipeline.NewRetryBudgets(cfg.Retries.instanceLimits(0)),
 		events:         ring.New[event](eventsCapacity, ring.Block),
@@ -157,8 +159,8 @@
 	n.link = &storeLink{log: log, now: n.now}
 	n.idle = newIdleConns(log, n.now, n.idleLimit)
 	n.gates = pipeline.NewGates(admission.Limits{MaxWaiters: cfg.Limits.QueueRequests, MaxBytes: cfg.Limits.QueueBytes}, n.now)
-	n.engine = engine.NewClient(engine.Config{Dial: newKeepAliveDialer().DialContext, IdlePerEndpoint: idlePerEndpoint, Dialect: ports.Endpoints})
-	n.control = engine.NewClient(engine.Config{Dial: newKeepAliveDialer().DialContext, Dialect: ports.Endpoints, IdlePerEndpoint: 1})
+	n.engine = engine.NewClient(engine.Config{Dial: newKeepAliveDialer().DialContext, IdlePerEndpoint: idlePerEndpoint, Dialect: platform.Endpoints})
+	n.control = engine.NewClient(engine.Config{Dial: newKeepAliveDialer().DialContext, Dialect: platform.Endpoints, IdlePerEndpoint: 1})
 	n.quarantine = quarantine.NewManager(quarantine.Config{
 		Limits: cfg.Quarantine.limits(), Now: n.now, Log: log, Wake: func() { n.mesh.sendSoon() },
 		Persist: func(w quarantine.Report) { _ = n.unsavedReports.Put(n.runCtx, w) },
@@ -189,12 +191,13 @@
 	return n, nil
 }
 
-// assumedInstances is among how many the common slack of retries is divided
-// while their number is not known.
+// assumedInstances is the number of instances among which the common slack of retries is
+// divided while their real number is not known.
 const assumedInstances = 16
 
-// limits is this instance's share of what all may make. A little stays unused,
-// as an instance that is restarted begins anew.
+// instanceLimits returns one instance's share of the retries that all instances may make. A
+// part stays unused, as a restarted instance starts a new budget, whatever retries it made
+// before.
 func (r NodeRetry) instanceLimits(instances int) pipeline.RetryLimits {
 	const used = 0.8
 	if instances == 0 {
@@ -203,12 +206,12 @@
 	return pipeline.RetryLimits{Ratio: r.Ratio * used, Burst: max(1, r.Slack*used/float64(instances))}
 }
 
-// shareRetries divides the retries that all may make among so many instances.
+// updateRetryLimits sets this instance's share of the common retries for a number of instances.
 func (n *Node) updateRetryLimits(instances int) {
 	n.retries.SetLimits(n.retrySettings.Load().instanceLimits(instances))
 }
 
-// counted is told how many instances are listed.
+// setInstanceCount takes the number of listed instances.
 func (n *Node) setInstanceCount(instances int) {
 	n.updateRetryLimits(instances)
 	n.allowances.local.SetInstanceCount(instances)
@@ -218,7 +221,7 @@
 func (n *Node) newMesh() *mesh {
 	host, _, err := net.SplitHostPort(n.cfg.Callers)
 	if err != nil {
-		// The configuration was checked where it was read.
+		// The configuration was validated when it was read.
 		host = ""
 	}
 	address, process := net.JoinHostPort(host, strconv.Itoa(n.cfg.PeerPorts[0])), rand.Text()
@@ -255,7 +258,8 @@
 	return m
 }
 
-// open opens the links to the others, once their key is known, or goes on with another key.
+// openLinks opens the links to the other instances with key, or changes their key if they are
+// open.
 func (n *Node) openLinks(key []byte) error {
 	if err := n.mesh.open(key); err != nil {
 		return err
@@ -263,8 +267,8 @@
 	return n.relays.open(key)
 }
 
-// streamsAddress is where this node answers questions of others: at the port behind that of
-// the datagrams; empty if the range has none.
+// streamsAddress returns the address at which this node serves streams of other instances: the
+// port after that for datagrams; empty if the port range ends there.
 func (n *Node) streamsAddress(host string) string {
 	port := n.cfg.PeerPorts[0] + 1
 	if port > n.cfg.PeerPorts[1] {
@@ -273,8 +277,8 @@
 	return net.JoinHostPort(host, strconv.Itoa(port))
 }
 
-// newEvacuations returns what is known of evacuated failure domains; nil where the platform
-// evacuates none.
+// newEvacuations returns the record of evacuated failure domains; nil if the platform evacuates
+// none.
 func (n *Node) newEvacuations() *evacuations {
 	if n.cfg.Fresh.EvacuateMS == 0 {
 		return nil
@@ -285,7 +289,8 @@
 	}}
 }
 
-// endpointCold is told that an endpoint is cold.
+// endpointCold records that an endpoint stays cold for the remaining time, in which it accepts
+// perSecond requests per second from all instances together.
 func (n *Node) endpointCold(e *routing.Endpoint, perSecond float64, remaining time.Duration) {
 	if n.permits.local.RecordCold(n.now(), e.ColdPermitKey(), perSecond, remaining) {
 		n.log.Info("endpoint cold", "endpoint", e.Name, "remaining_ms", remaining.Milliseconds(), "per_second", perSecond)
@@ -293,17 +298,17 @@
 	n.permits.wanted()
 }
 
-// endpointsGone stops to route to endpoints whose addresses others have, and to
-// place units there.
+// endpointsReplaced stops routing requests to, and placing units at, endpoints whose addresses
+// are in use by other incarnations.
 func (n *Node) endpointsReplaced(starts []endpointStart) {
-	gone := make(map[string]endpointStart, len(starts))
+	replaced := make(map[string]endpointStart, len(starts))
 	for _, s := range starts {
-		gone[s.name] = s
+		replaced[s.name] = s
 	}
 	for _, pool := range n.router.View().Pools {
 		for _, e := range pool {
-			s, told := gone[e.Name]
-			if told && s.concerns(e.StartedAtMS) && !e.Replaced() {
+			s, reported := replaced[e.Name]
+			if reported && s.concerns(e.StartedAtMS) && !e.Replaced() {
 				e.SetReplaced()
 				n.log.Info("endpoint replaced", "endpoint", e.Name, "address", e.Address)
 			}
@@ -312,7 +317,7 @@
 	n.placers.gone(starts)
 }
 
-// holder names this process among all that ever run.
+// holderID returns the identity of this process as a lease holder, unique among all processes.
 func (n *Node) holderID() string { return n.cfg.Instance + "/" + n.mesh.process }
 
 func (n *Node) listen() error {
@@ -340,15 +345,15 @@
 		read := milliseconds(n.cfg.Limits.ReadMS)
 		*s.into = &nodeServer{listener: listener, server: &http.Server{
 			Handler: s.handler, MaxHeaderBytes: n.cfg.Limits.HeaderBytes, ReadHeaderTimeout: read, ReadTimeout: read,
-			// Callers' connections rest for as long as the settings in force
-			// allow, which idleConns sees to.
+			// idleConns enforces the shorter limit of the settings in force on callers'
+			// connections.
 			IdleTimeout: maxConnIdle,
 		}}
 	}
 	return nil
 }
 
-// longestRest is how long a connection may rest whatever the settings say.
+// maxConnIdle is how long a connection may be idle whatever the settings say.
 const maxConnIdle = time.Hour
 
 func (n *Node) idleLimit() time.Duration {
@@ -359,17 +364,17 @@
 	return time.Duration(c.Tree.Edge.Limits.IdleMS) * time.Millisecond
 }
 
-// Ready tells whether the node takes callers.
+// Ready reports whether the node accepts requests of callers.
 func (n *Node) Ready() bool {
 	c := n.catalog.Load()
 	if c == nil || len(n.router.View().Pools) == 0 || n.stopping.Load() != nil {
 		return false
 	}
-	// Callers with keys are refused here while the keys cannot be gone by.
+	// While the account keys may not be used, the node would reject callers with keys.
 	return !c.Tree.Edge.RequiresToken || n.rights.current(c.Revision)
 }
 
-// CallersAddr, ReadinessAddr and OperatorsAddr are where the node listens.
+// CallersAddr, ReadinessAddr and OperatorsAddr return the addresses that the node listens on.
 func (n *Node) CallersAddr() string   { return n.callerServer.listener.Addr().String() }
 func (n *Node) ReadinessAddr() string { return n.readinessServer.listener.Addr().String() }
 func (n *Node) OperatorsAddr() string { return n.operatorServer.listener.Addr().String() }
@@ -384,7 +389,7 @@
 	return mux
 }
 
-// Publish adds a metric to those that the node serves.
+// Publish adds a metric to those that the operators' listener serves.
 func (n *Node) Publish(name string, v expvar.Var) { n.vars.Set(name, v) }
 
 func (n *Node) metrics() http.Handler {
@@ -396,7 +401,8 @@
 	return mux
 }
 
-// duties starts what follows the store and builds the view.
+// startTasks starts the goroutines that follow the store, exchange data with other instances and
+// build the view.
 func (n *Node) startTasks() {
 	calls := new(expvar.Map).Init()
 	n.vars.Set("store_calls", calls)
@@ -458,7 +464,7 @@
 	}
 }
 
-// kick offers waiting requests to the router now and then.
+// wakeWaiters periodically offers waiting requests to the router.
 func (n *Node) wakeWaiters(ctx context.Context) { kickLoop(ctx, n.gates) }
 
 func (n *Node) revision() int64 {
@@ -468,14 +474,14 @@
 	return 0
 }
 
-// revisions are those of the settings in force, and of the newest that any instance is known
-// to have.
+// revisions returns the revision of the settings in force and the newest that any instance is
+// known to have.
 func (n *Node) revisions() pipeline.Revisions {
 	inForce := n.revision()
 	return pipeline.Revisions{InForce: inForce, Newest: max(inForce, n.mesh.newestRevision.Load())}
 }
 
-// adopt puts a configuration in force.
+// applySettings puts accepted settings in force.
 func (n *Node) applySettings(a *revision.Accepted) *settings.Catalog {
 	a.Tree.Regions = n.cfg.Regions
 	c := settings.NewCatalog(a.Tree)
@@ -486,12 +492,11 @@
 	return c
 }
 
-// Reload takes a configuration that was read again. What can change while the
-// node runs is in force at once; addresses need a restart. A configuration that
-// could not be read changes nothing.
+// Reload applies a configuration that was read again. The retry and quarantine limits take
+// effect at once; other changes need a restart. A configuration with an error changes nothing.
 func (n *Node) Reload(cfg NodeConfig, err error) {
 	if err != nil {
-		n.log.Error(err, "configuration refused, the old one stays")
+		n.log.Error(err, "configuration rejected; the previous one stays in force")
 		return
 	}
 	n.retrySettings.Store(&cfg.Retries)
@@ -500,7 +505,7 @@
 	n.log.Info("reload", "retry_ratio", cfg.Retries.Ratio, "retry_slack", cfg.Retries.Slack)
 }
 
-// Run serves until ctx ends, then makes a planned stop.
+// Run serves until ctx ends and then makes a planned stop.
 func (n *Node) Run(ctx context.Context) error {
 	n.startTasks()
 	failed := make(chan error, 3)
@@ -526,7 +531,7 @@
 	return trace.Wrap(err)
 }
 
-// Kill stops at once, as a crash would: connections are cut.
+// Kill stops at once and closes all connections, as a crash would.
 func (n *Node) Kill() {
 	n.stop()
 	for _, s := range []*nodeServer{n.callerServer, n.readinessServer, n.operatorServer} {
--- a/daemon/nodecallers.go
+++ b/daemon/nodecallers.go
@@ -9,8 +9,8 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// guard lets callers in while there are settings to serve them by and the node
-// has not stopped taking work.
+// admit passes requests to next while settings are in force and the node still accepts
+// requests, and rejects them otherwise.
 func (n *Node) admit(d pipeline.Dialect, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w = &closingWriter{ResponseWriter: w, stopping: func() bool { return n.stopping.Load() != nil }}
@@ -28,8 +28,8 @@
 	})
 }
 
-// closingWriter ends a connection with its answer once the node stops, also if
-// the request came before.
+// closingWriter closes the connection after the response once the node is stopping, also for
+// requests that arrived before.
 type closingWriter struct {
 	http.ResponseWriter
 	stopping func() bool
@@ -43,10 +43,10 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap supports http.ResponseController.
 func (w *closingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// headerBytes is the size of a request's head as it was sent, but for blanks.
+// headerBytes returns the size of a request's header as sent, without separators.
 func headerBytes(r *http.Request) int {
 	total := len(r.Method) + len(r.RequestURI) + len(r.Proto) + len(r.Host)
 	for name, values := range r.Header {
@@ -57,25 +57,25 @@
 	return total
 }
 
-// Times of a planned stop, as shares of the grace that the platform gives.
+// Times of a planned stop, within the grace period that the platform gives.
 const (
-	// stopTaking is when new requests are refused: by then the platform has
-	// asked for readiness twice and sends none.
+	// refuseAfter is how long after its start new requests are refused: by then the platform
+	// has probed readiness twice and sends none.
 	refuseAfter = 3 * time.Second
-	// stopEarly is how long before the end of the grace the process ends.
+	// exitMargin is how long before the end of the grace period the process exits.
 	exitMargin = 300 * time.Millisecond
 )
 
-// takesNoMore tells whether a planned stop has gone so far that a new request
-// might not be finished in it.
+// refusesRequests reports whether a planned stop has progressed so far that a new request
+// might not be completed.
 func (n *Node) refusesRequests() bool {
 	since := n.stopping.Load()
 	return since != nil && n.now().Sub(*since) >= refuseAfter
 }
 
-// drain makes a planned stop: not ready at once, while callers that are still
-// sent here are served on connections that end with their answer; then nothing
-// new, and what is in progress is finished.
+// drain makes a planned stop. The node is not ready at once. For refuseAfter it still serves
+// requests, on connections that are closed after their response; then it refuses new ones and
+// completes those in progress.
 func (n *Node) drain() {
 	began := n.now()
 	n.stopping.Store(&began)
@@ -88,7 +88,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), left)
 	defer cancel()
 	if err := n.idle.drain(ctx); err != nil {
-		n.log.Info("requests cut by the end of the grace", "error", err.Error())
+		n.log.Info("requests cut off at the end of the grace period", "error", err.Error())
 		return
 	}
 	n.log.Info("drained", "took_ms", n.now().Sub(began).Milliseconds())
--- a/daemon/nodeconfig.go
+++ b/daemon/nodeconfig.go
@@ -4,10 +4,10 @@
 	"github.com/eiderspring/eiderspring/routing"
 )
 
-// NodeConfig is the settings of one instance on the users' platform, as its
-// file gives them.
+// NodeConfig is the configuration of one instance on a user's platform, as read from its
+// file.
 type NodeConfig struct {
-	// Instance names the instance; it is the same after a restart.
+	// Instance is the instance's name, which stays the same after a restart.
 	Instance      string `json:"instance"`
 	FailureDomain string `json:"failureDomain"`
 	// Regions maps each failure domain to its region.
@@ -18,8 +18,7 @@
 	Operators string `json:"operators"`
 	// ObjectStore is the URL of the platform's object store.
 	ObjectStore string `json:"objectStore"`
-	// PeerPorts are the first and the last port that instances may use among
-	// themselves.
+	// PeerPorts are the first and last port of the range for traffic among instances.
 	PeerPorts []int `json:"peerPorts"`
 	// RoutingPolicy names one of routing.Policies.
 	RoutingPolicy string `json:"routingPolicy"`
@@ -28,33 +27,33 @@
 	Retries  NodeRetry     `json:"retries"`
 	Orders   NodeOrders    `json:"orders"`
 	Fresh    NodeFreshness `json:"fresh"`
-	// Allowances bounds by how much accounts may exceed their allowances for moments.
+	// Allowances bounds by how much accounts may briefly exceed their allowances.
 	Allowances AllowanceConfig `json:"allowances"`
 	Limits     NodeLimits      `json:"limits"`
-	// Quarantine bounds what requests that end endpoints may do.
+	// Quarantine limits requests that terminate endpoints.
 	Quarantine QuarantineConfig `json:"quarantine"`
 }
 
-// NodeRetry bounds the second attempts of all instances together.
+// NodeRetry bounds the retries of all instances together.
 type NodeRetry struct {
-	// Ratio is how many second attempts each request earns.
+	// Ratio is the number of retries that each request adds to the budget.
 	Ratio float64 `json:"ratio"`
-	// Slack is how many more all instances may make in a window.
+	// Slack is how many more retries all instances may make in a window.
 	Slack float64 `json:"slack"`
 }
 
-// NodeOrders bounds the orders to engines.
+// NodeOrders bounds the orders sent to engines.
 type NodeOrders struct {
-	// LeaseMS is how long an engine must have had no order from one holder
+	// LeaseMS is how long an engine must have received no order from one lease holder
 	// before another may send it one, in milliseconds.
 	LeaseMS int `json:"leaseMS"`
-	// RateWindowS and RateOver bound the loads from the weight store: RateOver
-	// times its rate in any window of so many seconds.
+	// RateWindowS and RateOver bound the loads from the weight store: at most RateOver
+	// times its rate in any window of RateWindowS seconds.
 	RateWindowS float64 `json:"rateWindowS"`
 	RateOver    float64 `json:"rateOver"`
 }
 
-// NodeLimits bound what one instance takes on.
+// NodeLimits bounds the work that one instance accepts.
 type NodeLimits struct {
 	HeaderBytes int `json:"headerBytes"`
 	// ReadMS bounds the time to read a request, in milliseconds.
@@ -62,18 +61,17 @@
 	// QueueRequests and QueueBytes bound the queue of each pool.
 	QueueRequests int `json:"queueRequests"`
 	QueueBytes    int `json:"queueBytes"`
-	// CPUShare is the share of a core that the instance gets, CoreSpeed how fast
-	// that core is; instances with more place units rather than others.
+	// CPUShare is the share of a core that the instance gets, CoreSpeed the relative speed
+	// of that core. Instances with more of both are preferred for placing units.
 	CPUShare  float64 `json:"cpuShare"`
 	CoreSpeed float64 `json:"coreSpeed"`
-	// LinkMbps is the bandwidth of the instance's link, in Mbit/s.
+	// LinkMbps is the bandwidth of the instance's network link, in Mbit/s.
 	LinkMbps float64 `json:"linkMbps"`
-	// GraceMS is how long the platform waits after SIGTERM before it kills, in
-	// milliseconds.
+	// GraceMS is how long after SIGTERM the platform kills the process, in milliseconds.
 	GraceMS int `json:"graceMS"`
 }
 
-// DefaultNodeConfig returns the values of fields that a file leaves out.
+// DefaultNodeConfig returns the values of fields that a file omits.
 func DefaultNodeConfig() NodeConfig {
 	return NodeConfig{
 		RoutingPolicy: routing.PolicyTimely, LogLevel: "info",
@@ -89,7 +87,8 @@
 	}
 }
 
-// LoadNodeConfig reads a node's file. Faults come in one *jsonc.Error.
+// LoadNodeConfig reads a node's configuration file. All faults are reported in one
+// *jsonc.Error.
 func LoadNodeConfig(path string) (NodeConfig, error) { return loadFile(path, ParseNodeConfig) }
 
 // ParseNodeConfig reads and checks a node's configuration text.
--- a/daemon/nodefreshness.go
+++ b/daemon/nodefreshness.go
@@ -7,16 +7,16 @@
 	"github.com/eiderspring/eiderspring/relay"
 )
 
-// Phases of a node's life, by which calls to the store are counted.
+// Phases of a node, by which its calls to the store are counted.
 const (
-	// phaseStart is until a holder of the lease has first vouched.
+	// phaseStart lasts until a lease holder has first attested that its data is current.
 	phaseStart = "start"
-	// phaseHolder is while this instance holds the lease, phaseTold while another tells
-	// it what is new, phaseUntold while none does.
+	// phaseHolder is while this instance holds the lease, phaseAnnounced while the holder
+	// announces changes to it, phaseUnannounced while none does.
 	phaseHolder      = "holder"
 	phaseAnnounced   = "told"
 	phaseUnannounced = "untold"
-	// phaseAway is while the store does not answer.
+	// phaseStoreLost is while the store does not answer.
 	phaseStoreLost = "away"
 )
 
@@ -35,27 +35,27 @@
 	}
 }
 
-// vouchFor adds to news of members what this instance knows besides, and whether all of it is
-// current.
-func (n *Node) addAttestation(news *relay.Delta) {
-	news.Revision = n.revision()
+// addAttestation adds to a delta of the member list what else this instance knows, and whether
+// all of it is current.
+func (n *Node) addAttestation(delta *relay.Delta) {
+	delta.Revision = n.revision()
 	var p peer.Packet
-	told := !n.mesh.isHolder() && n.mesh.totals.attestationAge(n.now()) < n.cfg.Fresh.relayAttestationLifetime()
-	news.Current = (told || n.current()) && n.mesh.evacuations.tell(&p)
-	news.FollowsStore = told || n.followsStore()
-	news.Evacuated, news.EvacuatedEra, news.EvacuatedRevision = p.Evacuated, p.EvacuatedEra, p.EvacuatedRevision
+	attested := !n.mesh.isHolder() && n.mesh.totals.attestationAge(n.now()) < n.cfg.Fresh.relayAttestationLifetime()
+	delta.Current = (attested || n.current()) && n.mesh.evacuations.tell(&p)
+	delta.FollowsStore = attested || n.followsStore()
+	delta.Evacuated, delta.EvacuatedEra, delta.EvacuatedRevision = p.Evacuated, p.EvacuatedEra, p.EvacuatedRevision
 }
 
-// vouchedFor takes what another instance adds to its news.
-func (n *Node) applyAttestation(news relay.Delta) {
+// applyAttestation applies what another instance has added to its delta of the member list.
+func (n *Node) applyAttestation(delta relay.Delta) {
 	n.mesh.evacuations.heard(peer.Packet{
-		From: fromRelay, Evacuated: news.Evacuated, EvacuatedEra: news.EvacuatedEra, EvacuatedRevision: news.EvacuatedRevision,
+		From: fromRelay, Evacuated: delta.Evacuated, EvacuatedEra: delta.EvacuatedEra, EvacuatedRevision: delta.EvacuatedRevision,
 	})
-	n.mesh.receiveRevision(news.Revision)
+	n.mesh.receiveRevision(delta.Revision)
 }
 
-// relayHold is for how long an instance that tells the members may hold a question: longer while
-// the holder of the lease vouches, as its word is not needed then.
+// relayHold returns for how long a relay may hold a request: longer while the lease holder
+// attests that its data is current, as the relay's attestation is not needed then.
 func (n *Node) relayHold() time.Duration {
 	if n.mesh.holderAttests() {
 		return maxWatchHold
@@ -63,30 +63,31 @@
 	return n.cfg.Fresh.relayHold()
 }
 
-// byRelay names, in the log, an instance that tells the members.
+// fromRelay stands in the log for the name of a relay.
 const fromRelay = "the relay"
 
-// told tells whether another instance, the holder of the lease or one that tells the members,
-// vouches for telling what is new.
+// receivesAnnouncements reports whether another instance, the lease holder or a relay, attests
+// that it announces changes to this one.
 func (n *Node) receivesAnnouncements() bool {
 	return n.mesh.holderAttests() || !n.mesh.isHolder() && n.relays.attested()
 }
 
-// entriesMayBeBehind tells whether the watch on endpoints may be seconds behind: the
-// holder of the lease tells which of them leave, and no entry is on its way back
-// behind an outage, which an old answer would show as gone.
+// entriesMayLag reports whether the watch on endpoints may lag by seconds: the lease holder
+// announces which of them leave, and no entry is still due to be rewritten after an outage,
+// which a stale answer would show as removed.
 func (n *Node) entriesMayLag() bool {
 	return n.mesh.holderAttests() && n.link.settled() || n.starting()
 }
 
-// settingsMayBeBehind tells the same of the watch on settings.
+// settingsMayLag reports whether the watch on settings may lag by seconds.
 func (n *Node) settingsMayLag() bool { return n.receivesAnnouncements() || n.starting() }
 
-// evacuationsTold tells whether another instance tells in time which failure domains are
-// evacuated.
+// evacuationsAnnounced reports whether another instance announces in time which failure domains
+// are evacuated.
 func (n *Node) evacuationsAnnounced() bool { return n.receivesAnnouncements() || n.starting() }
 
-// settingsWait is how long the store may hold a close watch on settings.
+// settingsWait returns how long the store may hold a call of a watch on settings that must not
+// be stale.
 func (n *Node) settingsWait() time.Duration {
 	if n.mesh.isHolder() {
 		return n.cfg.Fresh.keysWatchHold()
@@ -94,14 +95,14 @@
 	return n.cfg.Fresh.settingsWatchHold()
 }
 
-// contactReserve is how long before an instance counts as in contact its watches are
-// close, if nobody tells it what is new.
+// contactMargin is how long before an instance counts as in contact its watches stop accepting
+// stale answers, if no other instance announces changes to it.
 const contactMargin = 1200 * time.Millisecond
 
-// starting tells whether this process began so lately that it does not count as in
-// contact yet: until then it waits for the word of a holder rather than look closely.
-// All instances start together at times, and would make some ten calls each. The few that the
-// others ask for the endpoints look closely from the beginning.
+// starting reports whether this process started so recently that it does not count as in
+// contact yet: until then it waits for announcements of a lease holder and accepts stale
+// answers. Otherwise, when all instances start together, each would make some ten calls. The
+// few relays that the others ask for the endpoints accept no stale answers from the start.
 func (n *Node) starting() bool {
 	if n.relays.servesFollowers() || n.mesh.isHolder() || n.mesh.totals.attestationAge(n.now()) != neverConfirmed {
 		return false
@@ -109,42 +110,42 @@
 	return n.now().Sub(n.startedAt) < milliseconds(n.cfg.Fresh.ContactMS)-contactMargin
 }
 
-// current tells whether this instance knows of newer settings and leaving endpoints
-// in time, which it vouches for if it holds the lease. Only answers to its watches on
-// them show that: one may hang while all other calls are answered.
+// current reports whether this instance learns of newer settings and leaving endpoints in time,
+// to which it attests if it holds the lease. Only answers to the watches on them prove that: one
+// of these may hang while all other calls are answered.
 func (n *Node) current() bool {
 	if !n.link.settled() {
-		// Entries that are kept now may have lapsed, or have left.
+		// Entries that are retained now may have expired or been removed.
 		return false
 	}
 	age := max(n.link.confirmedAge(n.platform.MembersKind), n.link.confirmedAge(n.platform.SettingsKind))
 	if n.mesh.evacuations != nil {
 		age = max(age, n.link.confirmedAge(n.platform.EvacuationsKind))
 	}
-	// An age that is unknown is the largest there is, to which nothing can be added.
+	// neverConfirmed is the largest duration; adding to it would overflow.
 	return age != neverConfirmed && age+n.lag() < n.cfg.Fresh.maxAttestedAge()
 }
 
-// followsStore tells whether this instance knows of endpoints in time, by its own watch, but for
-// entries that may be on their way back.
+// followsStore reports whether this instance learns of changed endpoints in time by its own
+// watch, except for entries that may still be due to be rewritten.
 func (n *Node) followsStore() bool {
 	age := n.link.confirmedAge(n.platform.MembersKind)
 	return age != neverConfirmed && age+n.lag() < n.cfg.Fresh.maxAttestedAge()
 }
 
-// storeAnswers tells whether the store answers the close watch on settings, which every instance
-// has while nobody vouches.
+// storeAnswers reports whether the store answers the watch on settings with answers that are not
+// stale, which every instance requests while no other attests.
 func (n *Node) storeAnswers() bool {
 	age := n.link.confirmedAge(n.platform.SettingsKind)
 	return age != neverConfirmed && age < n.cfg.Fresh.settingsWatchHold()+2*storeAnswerTime
 }
 
-// lag is for how long answers of the store have waited here to be in force.
+// lag returns for how long answers of the store have been waiting to be put in force.
 func (n *Node) lag() time.Duration { return n.entriesLag.lag() + n.eventsLag.lag() }
 
-// endpointsAgeMS is how long ago it was certain that this instance knew which
-// endpoints leave, by its own watch or by the word of the holder of the lease, whose
-// own knowledge may be vouchAge old, in milliseconds; -1 if it never was.
+// endpointsAgeMS returns how long ago this instance last knew for certain which endpoints leave,
+// in milliseconds; -1 if it never did. It knows by its own watch or by the attestation of the
+// lease holder, whose own data may be as old as the bound of current allows.
 func (n *Node) endpointsAgeMS() int64 {
 	return ageMS(min(n.link.confirmedAge(n.platform.MembersKind), n.mesh.totals.attestationAge(n.now()), n.relays.attestationAge()))
 }
--- a/daemon/pollers.go
+++ b/daemon/pollers.go
@@ -20,30 +20,31 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// membersDuty follows the platform's list.
+// membersPoller follows the platform's member list by long polls.
 type membersPoller struct {
 	source *membership.Source
 	events *ring.Ring[event]
 	log    logr.Logger
-	// held is told of each answer's version, and of the version on whose word it was
-	// asked for, 0 if on none; nil tells nobody.
+	// onListing, if not nil, is called with the version of each answer and with the
+	// announced version that prompted the call, 0 if none did.
 	onListing func(version, asked int64)
-	// told is a version that another instance has and that was not asked for yet.
+	// announcedVersion is a version that another instance has and that was not requested
+	// yet, or 0.
 	announcedVersion atomic.Int64
 }
 
-// membersPause is the pause after a failure to read the list.
+// membersRetryDelay is the mean delay before the next call after a failed one.
 const membersRetryDelay = 300 * time.Millisecond
 
 func (d *membersPoller) run(ctx context.Context) {
 	var version int64
 	for ctx.Err() == nil {
-		after, asked := version, d.announcedVersion.Swap(0)
-		if asked > version {
-			// Any list is asked for, so that it answers at once whichever it has.
+		after, requested := version, d.announcedVersion.Swap(0)
+		if requested > version {
+			// Version 0 makes the platform answer at once, whichever version it has.
 			after = 0
 		} else {
-			asked = 0
+			requested = 0
 		}
 		listing, err := d.source.Next(ctx, after)
 		if err != nil {
@@ -53,38 +54,39 @@
 		version = listing.Version
 		_ = d.events.Put(ctx, membersListed{listing})
 		if d.onListing != nil {
-			d.onListing(version, asked)
+			d.onListing(version, requested)
 		}
 	}
 }
 
-// failed tells of a call without an answer, and pauses unless it was given up to ask
-// at once.
+// handleFailure logs a call without an answer and delays the next one, unless the call was
+// cancelled in order to poll again at once.
 func (d *membersPoller) handleFailure(ctx context.Context, err error, version int64) {
 	if ctx.Err() != nil {
 		return
 	}
-	if givenUp := (*membership.PollCancelledError)(nil); errors.As(err, &givenUp) {
-		d.log.Info("poll given up", "version", version, "told", d.announcedVersion.Load(), "waited_ms", givenUp.Waited.Milliseconds())
+	if cancelled := (*membership.PollCancelledError)(nil); errors.As(err, &cancelled) {
+		d.log.Info("long poll of the member list cancelled", "version", version, "told", d.announcedVersion.Load(), "waited_ms", cancelled.Waited.Milliseconds())
 		return
 	}
-	d.log.Info("members not read", "error", err.Error())
+	d.log.Info("member list request failed", "error", err.Error())
 	wait.For(ctx, jitter(membersRetryDelay))
 }
 
-// ask gives up a call that waits and asks at once, as another instance has that version.
+// requestVersion cancels a pending long poll and polls again at once, as another instance
+// has that version of the list.
 func (d *membersPoller) requestVersion(version int64) {
 	d.announcedVersion.Store(version)
 	d.source.CancelPoll()
 }
 
-// loadDuty asks the engines for their load in turn. Its rate does not grow
-// with the number of endpoints; reports only become older. While no requests
-// come to this instance it asks less often, as nothing is routed by the answers.
+// loadPoller requests load reports from the engines in turn. Its rate does not grow
+// with the number of endpoints; reports only become older. It polls less often while
+// this instance gets no requests, as the reports are not used for routing then.
 type loadPoller struct {
-	// requests returns the number of requests so far.
+	// requestCount returns the number of requests received so far.
 	requestCount func() int64
-	// busy and idle are the reports a second with and without requests.
+	// activeRate and idleRate are the polls per second with and without requests.
 	activeRate, idleRate rate.Limit
 
 	router  *routing.Router
@@ -95,16 +97,16 @@
 	log     logr.Logger
 }
 
-// loadTimeout bounds one report.
+// loadTimeout bounds the request for one report.
 const loadTimeout = time.Second
 
-// idlePause is the pause while there is no endpoint to ask.
+// noEndpointsDelay is the delay before the next round while there is no endpoint to poll.
 const noEndpointsDelay = 100 * time.Millisecond
 
 func (d *loadPoller) run(ctx context.Context) {
 	var before int64
 	for ctx.Err() == nil {
-		asked := 0
+		polled := 0
 		now := d.requestCount()
 		d.limiter.SetLimit(d.idleRate)
 		if now != before {
@@ -119,11 +121,11 @@
 				if d.limiter.Wait(ctx) != nil {
 					return
 				}
-				asked++
+				polled++
 				go d.poll(ctx, e)
 			}
 		}
-		if asked == 0 {
+		if polled == 0 {
 			wait.For(ctx, noEndpointsDelay)
 		}
 	}
@@ -142,16 +144,16 @@
 	own := e.OwnInFlight()
 	report, err := d.client.Load(ctx, e.Name, e.Address)
 	if err != nil {
-		d.log.V(1).Info("load not reported", "endpoint", e.Name, "error", err.Error())
+		d.log.V(1).Info("load report request failed", "endpoint", e.Name, "error", err.Error())
 		return
 	}
 	_ = d.events.Put(ctx, loadReported{endpoint: e.Name, ownInFlight: own, report: report})
 }
 
-// jitter spreads d by half to either side.
+// jitter returns a uniformly random duration between half and one and a half of d.
 func jitter(d time.Duration) time.Duration { return time.Duration(float64(d) * (0.5 + rand.Float64())) }
 
-// objectNamePart makes a text fit for a part of an object's name.
+// hashedNamePart hashes s to a text that is valid as part of an object's name.
 func hashedNamePart(s string) string {
 	return strconv.FormatUint(xxhash.Sum64String(s), 16)
 }
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -14,22 +14,22 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// wanted is a revision that may be newer than the one in force.
+// settingsCandidate is a revision that may be newer than the one in force.
 type settingsCandidate struct {
-	// root is the store's, or nil.
+	// root is the root object read from the store, or nil.
 	root *revision.Root
-	// stream is the address of a peer that has the revision, or empty.
+	// peerAddress is the stream address of a peer that has the revision, or empty.
 	peerAddress string
 	revision    int64
 }
 
-// settingsDuty fetches each newer revision, from the store or from a peer. It
-// never goes back to a lower one.
+// settingsFetcher fetches each newer revision, from the store or from a peer. It never goes
+// back to a lower one.
 type settingsFetcher struct {
 	client  store.Client
 	streams *peer.StreamClient
 	fetcher *revision.Fetcher
-	// wanted joins the watch, the polls and the gossip to this duty.
+	// candidates are the revisions found by the watch, the polls and the gossip.
 	candidates *ring.Ring[settingsCandidate]
 	events     *ring.Ring[event]
 	contact    *freshness
@@ -37,8 +37,8 @@
 	newest     int64
 }
 
-// wantedCapacity bounds the revisions that wait to be fetched; an older one is
-// of no use once a newer one is known.
+// candidatesCapacity bounds the queue of revisions to fetch; an older one is of no use once a
+// newer one is known.
 const candidatesCapacity = 8
 
 func (d *settingsFetcher) run(ctx context.Context) {
@@ -51,7 +51,7 @@
 			continue
 		}
 		if err := d.fetch(ctx, w); err != nil {
-			d.log.Info("settings not fetched", "revision", w.revision, "from", w.peerAddress, "error", err.Error())
+			d.log.Info("fetching settings failed", "revision", w.revision, "from", w.peerAddress, "error", err.Error())
 		}
 	}
 }
@@ -93,7 +93,7 @@
 	})
 }
 
-// watch keeps the one watch of this instance on the settings' root.
+// watch maintains this instance's only watch on the root object of the settings.
 func (d *settingsFetcher) watch(ctx context.Context) {
 	r := watchLatest(d.client, store.KindSettings, store.WatchOptions{}, d.contact.storeAnswered,
 		func(o store.Object) { d.rootRead(ctx, o) },
@@ -107,13 +107,13 @@
 	}
 	root, err := revision.DecodeRoot(o)
 	if err != nil {
-		d.log.Error(err, "settings root unreadable")
+		d.log.Error(err, "settings root cannot be decoded")
 		return
 	}
 	_ = d.candidates.Put(ctx, settingsCandidate{root: &root, revision: root.Current.Revision})
 }
 
-// confirmTimeout bounds a read that confirms the revision in force.
+// confirmTimeout bounds a read of the root that confirms the revision in force.
 const confirmTimeout = time.Second
 
 // confirm reads the root from the store. It reports whether the store answered.
@@ -131,13 +131,13 @@
 	return true
 }
 
-// confirmShare is the time between polls of the root for each live instance:
-// all instances together poll once in this time, whatever their number. What
-// one of them finds, the gossip tells the others.
+// pollPeriodPerInstance, times the number of live instances, is the mean time between two
+// polls of the root by one instance: all instances together poll about once in this time,
+// whatever their number. The gossip spreads what one of them finds.
 const pollPeriodPerInstance = 250 * time.Millisecond
 
-// poll reads the root now and then, as a watch can be broken without notice.
-// An instance that hears no peer polls by itself, to stay fresh.
+// poll reads the root periodically, as a watch can break without notice. An instance without
+// contact to any peer polls once a second, so that its settings stay confirmed.
 func (d *settingsFetcher) poll(ctx context.Context, instances func() int) {
 	for ctx.Err() == nil {
 		every := max(time.Duration(instances())*pollPeriodPerInstance, time.Second)
--- a/daemon/storelink.go
+++ b/daemon/storelink.go
@@ -11,31 +11,32 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// storeLink logs when the object store is lost and when it is back, once each,
-// whatever the number of duties that use it. It also keeps how old what each
-// watch has brought may be.
+// storeLink tracks whether the object store answers. It logs once when the store is lost and
+// once when it is regained, however many tasks use it, and records for each watch how long ago
+// its data was last confirmed to be current.
 type storeLink struct {
 	log logr.Logger
 	now func() time.Time
 
 	mu     sync.Mutex
 	lostAt time.Time
-	// answeredAt is when the store last answered any call, askedAt when the first call
-	// since was made that it should have answered soon; zero for none. returnedAt is
-	// since when it has answered without a break of awayAfter.
+	// lastAnswerAt is when the store last answered any call, unansweredSince when the first
+	// call since then was made that should be answered promptly; both are zero for none.
+	// returnedAt is since when the store has answered without a gap of outageThreshold.
 	lastAnswerAt, unansweredSince, returnedAt time.Time
-	// failing is set from a watch that got no answer to the next answer.
+	// watchFailing is set from the failure of a watch until the next answer.
 	watchFailing bool
-	// confirmedAt is when the watch on a kind was last answered closely.
+	// confirmedAt is when the watch on a kind last got an answer that was not stale.
 	confirmedAt map[store.Kind]time.Time
 }
 
-// awayAfter is the time for which a call goes without an answer after which the store
-// was away. Entries of endpoints lapse only after several heartbeats of a second or
-// more. An instance that asks for nothing, as another tells it, does not find it away.
+// outageThreshold is how long a call must go unanswered for the store to count as having been
+// unavailable. Entries of endpoints expire only after several missed heartbeats of a second or
+// more. An instance that makes no calls, because another announces changes to it, sees no
+// outage.
 const outageThreshold = 2 * time.Second
 
-// asked notes that a call is made which the store may hold for so long.
+// callStarted records a call that the store may hold for the given time.
 func (l *storeLink) callStarted(hold time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,7 +45,8 @@
 	}
 }
 
-// listed notes that the store has answered with a whole list, and logs how long that took.
+// listReceived records that the store has answered with a complete list, and logs how long
+// that took.
 func (l *storeLink) listReceived(kind store.Kind, list store.List) {
 	l.markReachable()
 	if !list.RequestedAt.IsZero() {
@@ -52,14 +54,14 @@
 	}
 }
 
-// answered notes that the store has answered a call.
+// callAnswered records that the store has answered a call.
 func (l *storeLink) callAnswered() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
 	unanswered := !l.unansweredSince.IsZero() && now.Sub(l.unansweredSince) >= outageThreshold
-	// Whoever asks seldom meets an outage late: it may have begun right behind the last
-	// answer.
+	// An instance that makes few calls notices an outage late: it may have begun right after
+	// the last answer.
 	missed := l.watchFailing && now.Sub(l.lastAnswerAt) >= outageThreshold
 	if l.lastAnswerAt.IsZero() || unanswered || missed {
 		l.returnedAt = now
@@ -67,8 +69,8 @@
 	l.lastAnswerAt, l.unansweredSince, l.watchFailing = now, time.Time{}, false
 }
 
-// copied notes that the store has come back from a copy: what it shows is settled only
-// behind the time that members take to write their entries again.
+// restoredFromCopy records that the store was restored from a copy: its contents are settled
+// only after the time that members take to write their entries again.
 func (l *storeLink) restoredFromCopy() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,23 +78,23 @@
 	clear(l.confirmedAt)
 }
 
-// returned is since when the store has answered without a break, whatever the
-// call: a watch that began while it was away may hang long after its return.
+// availableSince returns since when the store has answered without a gap, whatever the call: a
+// watch that began while it was unavailable may hang long after its return.
 func (l *storeLink) availableSince() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.returnedAt
 }
 
-// settleTime is for how long behind the store's return entries may be on their way
-// back, and be missing in answers that are a moment old.
+// settleTime is for how long after the store's return entries may still be due to be rewritten
+// and be missing in slightly stale answers.
 const settleTime = membership.StoreReturnGrace + time.Second
 
-// settled tells whether the store has answered for so long that each entry which
-// lapsed while it was away is back.
+// settled reports whether the store has answered for so long that every entry which expired
+// while it was unavailable has been rewritten.
 func (l *storeLink) settled() bool { return l.now().Sub(l.availableSince()) >= settleTime }
 
-// confirmed notes that the watch on a kind was answered closely.
+// watchConfirmed records that the watch on a kind got an answer that was not stale.
 func (l *storeLink) watchConfirmed(kind store.Kind) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,10 +104,10 @@
 	l.confirmedAt[kind] = l.now()
 }
 
-// neverConfirmed is the age of what was not confirmed yet.
+// neverConfirmed is the age of data that has never been confirmed.
 const neverConfirmed = time.Duration(math.MaxInt64)
 
-// age is how long ago the watch on a kind was last answered closely.
+// confirmedAge returns how long ago the watch on a kind last got an answer that was not stale.
 func (l *storeLink) confirmedAge(kind store.Kind) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,7 +118,7 @@
 	return l.now().Sub(at)
 }
 
-// lost tells whether the store gives no answers now.
+// isLost reports whether the store currently does not answer.
 func (l *storeLink) isLost() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,11 +135,11 @@
 	l.lostAt = time.Time{}
 }
 
-// failed logs why a watch has ended, and that the store is lost if it is.
+// watchFailed logs why a watch has ended, and that the store is lost unless it answered.
 func (l *storeLink) watchFailed(kind store.Kind, err error) {
 	l.log.Info("watch ended", "kind", kind, "confirmed_ms", ageMS(l.confirmedAge(kind)), "error", err.Error())
 	if store.IsExpired(err) {
-		// The store answers; only the changes meanwhile are gone.
+		// The store answers; only its history of the changes since then is gone.
 		return
 	}
 	l.mu.Lock()
@@ -150,7 +152,7 @@
 	l.log.Info("store lost", "kind", kind, "error", err.Error())
 }
 
-// ageMS is an age for the log, in milliseconds; -1 for what was never confirmed.
+// ageMS returns an age in milliseconds for logs and metrics; -1 for neverConfirmed.
 func ageMS(age time.Duration) int64 {
 	if age == neverConfirmed {
 		return -1
--- a/daemon/suspension.go
+++ b/daemon/suspension.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// wakesCapacity bounds the suspensions that wait; each is acted on at once.
+// suspensionsCapacity bounds the queue of suspensions; each is handled at once.
 const suspensionsCapacity = 4
 
-// wake acts on suspensions that the clock notices. The lease's duty reads the clock ten
-// times a second, so that none goes unnoticed for long.
+// handleSuspensions handles the suspensions of the machine that the clock detects. The lease is
+// checked ten times a second, which reads the clock, so that none stays undetected for long.
 func (n *Node) handleSuspensions(ctx context.Context) {
 	for {
 		slept, err := n.suspensions.Take(ctx)
@@ -23,12 +23,12 @@
 	}
 }
 
-// woke is told that the machine was suspended. What was known is judged by its true age
-// from then on, as all times come from one clock. What remains are waits on timers, which
-// would end late by as long: they are ended here.
+// resume is called after a suspension of the given length. All ages come from one clock that
+// includes suspension, so they are right already. What remains are waits on timers, which
+// would expire late by the same length: resume ends them.
 func (n *Node) resume(slept time.Duration) {
 	n.log.Info("woke from suspension", "slept_ms", slept.Milliseconds(), "times", n.clock.Suspensions())
-	// Connections may have ended meanwhile, or be silent for good.
+	// Connections may have been closed meanwhile, or may never be answered again.
 	n.storeTransport.interrupt()
 	n.engine.Close()
 	n.control.Close()
@@ -37,8 +37,8 @@
 	n.gates.Wake()
 }
 
-// wake acts on suspensions that the clock notices, as Node.wake does. Calls to the
-// platform are bounded by seconds, and the settings are confirmed before a request is
+// handleSuspensions handles suspensions as Node.handleSuspensions does. It leaves calls to the
+// platform alone, which end within seconds; the settings are confirmed before a request is
 // served by them.
 func (i *Instance) handleSuspensions(ctx context.Context) {
 	for {
@@ -55,12 +55,12 @@
 	}
 }
 
-// interruptible is a transport whose calls in progress can be given up, all at once.
+// interruptibleTransport is a transport whose calls in progress can be cancelled all at once.
 type interruptibleTransport struct {
 	next *http.Transport
 
 	mu sync.Mutex
-	// calls ends with the next interruption.
+	// callsCtx is cancelled, by cancelCalls, at the next interruption.
 	callsCtx    context.Context
 	cancelCalls context.CancelFunc
 }
@@ -71,7 +71,7 @@
 	return t
 }
 
-// interrupt gives up all calls in progress, and the connections at rest.
+// interrupt cancels all calls in progress and closes idle connections.
 func (t *interruptibleTransport) interrupt() {
 	t.mu.Lock()
 	end := t.cancelCalls
@@ -81,7 +81,7 @@
 	t.next.CloseIdleConnections()
 }
 
-// CloseIdleConnections is for http.Client.
+// CloseIdleConnections supports http.Client.CloseIdleConnections.
 func (t *interruptibleTransport) CloseIdleConnections() { t.next.CloseIdleConnections() }
 
 // RoundTrip implements http.RoundTripper.
@@ -101,7 +101,7 @@
 	return resp, nil
 }
 
-// interruptibleBody ends the call once its answer is closed.
+// interruptibleBody releases the resources of a call once its response body is closed.
 type interruptibleBody struct {
 	io.ReadCloser
 	done func()
