--- a/daemon/arrivedrequest_test.go
+++ b/daemon/arrivedrequest_test.go
@@ -19,11 +19,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// hook runs at a read of a whole request; read counts those of its connection.
+// readHook is called with the number of a connection's read; reads of single bytes do not count.
 type readHook func(read int)
 
-// hookedConn is a TCP connection that runs hooks before its reads and, where bytes
-// came, behind them.
+// hookedConn is a TCP connection that calls hooks before its reads and after those that return
+// bytes.
 type hookedConn struct {
 	*net.TCPConn
 	harness *callerHarness
@@ -33,7 +33,7 @@
 // Read implements net.Conn.
 func (c *hookedConn) Read(p []byte) (int, error) {
 	if len(p) == 1 {
-		// So net/http watches a connection while its request is served.
+		// net/http reads single bytes to watch a connection while its request is served.
 		return c.TCPConn.Read(p)
 	}
 	c.reads++
@@ -45,7 +45,7 @@
 	return n, err
 }
 
-// hookedListener hooks the one connection that it accepts.
+// hookedListener wraps the one connection that it accepts in a hookedConn.
 type hookedListener struct {
 	net.Listener
 	harness *callerHarness
@@ -62,8 +62,8 @@
 	return hooked, nil
 }
 
-// arrivals is a server on loopback with one caller. Hooks run in the server's
-// reads, so that what happens there comes between two steps of the server.
+// callerHarness is a server on loopback with one caller. Hooks run in the server's reads, so that
+// their actions happen between two steps of the server.
 type callerHarness struct {
 	t         *testing.T
 	idle      *idleConns
@@ -78,13 +78,14 @@
 	beforeRead, afterRead atomic.Pointer[readHook]
 }
 
-// patience bounds waiting for what must come; no test asserts how soon.
+// waitLimit bounds the wait for events that must happen; no test asserts how soon they do.
 const waitLimit = 30 * time.Second
 
-// restLimit is how long connections may rest.
+// connIdleLimit is how long connections may be idle.
 const connIdleLimit = 3 * time.Second
 
-// noArrivals has no server and no caller yet, and hooks that do nothing.
+// newCallerHarnessWithoutServer returns a harness without server and caller, whose hooks do
+// nothing.
 func newCallerHarnessWithoutServer(t *testing.T) *callerHarness {
 	a := &callerHarness{t: t}
 	none := readHook(func(int) {})
@@ -118,7 +119,7 @@
 	a.reader = bufio.NewReader(a.caller)
 }
 
-// now stands still but for one step beyond the limit.
+// now returns a fixed time, or one past the idle limit once pastLimit is set.
 func (a *callerHarness) now() time.Time {
 	start := time.Unix(1000, 0)
 	if a.pastLimit.Load() {
@@ -127,14 +128,14 @@
 	return start
 }
 
-// send sends a request.
+// send sends a request for path.
 func (a *callerHarness) send(path string) {
 	a.t.Helper()
 	_, err := fmt.Fprintf(a.caller, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", path)
 	require.NoError(a.t, err)
 }
 
-// requireAnswer reads an answer, which has to be the one to the request.
+// requireAnswer reads a response and requires that it is the one to the request for path.
 func (a *callerHarness) requireAnswer(path string) {
 	a.t.Helper()
 	resp, err := http.ReadResponse(a.reader, nil)
@@ -144,7 +145,7 @@
 	require.Equal(a.t, "answer to "+path, string(body))
 }
 
-// rest waits until the server counts the connection as idle.
+// waitIdle waits until the server counts the connection as idle.
 func (a *callerHarness) waitIdle() {
 	a.t.Helper()
 	require.Eventually(a.t, func() bool {
@@ -154,13 +155,13 @@
 	}, waitLimit, time.Millisecond)
 }
 
-// sweepLate sweeps when the connection has rested for longer than the limit.
+// sweepPastLimit sweeps after the connection has been idle for longer than the limit.
 func (a *callerHarness) sweepPastLimit() {
 	a.pastLimit.Store(true)
 	a.idle.sweep()
 }
 
-// waitUnread waits until bytes wait unread at the server.
+// waitUnread waits until the server has unread bytes.
 func (a *callerHarness) waitUnread() {
 	a.t.Helper()
 	raw, err := a.accepted.Load().SyscallConn()
@@ -172,18 +173,18 @@
 	}, waitLimit, time.Millisecond)
 }
 
-// endNow ends the server with no time left to wait for anything.
+// drainNow drains the server without waiting.
 func (a *callerHarness) drainNow() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = a.idle.drain(ctx)
 }
 
-// A sweep of idle connections came between the read of a request and the moment
-// at which net/http counts its connection as active, which it does only once it has
-// read the whole head. The instance had stood still for seconds, so that the
-// connection seemed to have rested for longer than the limit. It was closed, the
-// request went on to an endpoint all the same, and its caller got no answer.
+// Guards against a sweep of idle connections that closes the connection of a request that is
+// being read. net/http counts a connection as active only once it has read the whole header, and
+// after the process has been stalled for seconds the connection seems to have been idle for
+// longer than the limit. The request would still be sent to an endpoint, and its caller would get
+// no response.
 func TestSweepSparesRequestBeingRead(t *testing.T) {
 	a := newCallerHarness(t)
 	a.send("/first")
@@ -196,9 +197,9 @@
 	a.requireAnswer("/second")
 }
 
-// Requests pile up unread while an instance stands still. The sweep that came
-// first afterwards judged by the time alone and closed their connections, also of
-// callers that had kept to the limit when they sent.
+// Guards against a sweep that judges by the idle time alone. While an instance is stalled,
+// requests queue up unread; the first sweep afterwards would close their connections, although
+// the callers kept to the limit when they sent.
 func TestSweepSparesUnreadRequest(t *testing.T) {
 	a := newCallerHarness(t)
 	still := make(chan struct{})
@@ -218,10 +219,9 @@
 	a.requireAnswer("/second")
 }
 
-// A planned stop closed the connections that net/http counted as idle, and net/http
-// drops whatever it reads from then on: a request that was being read when the stop
-// came this far got neither an answer nor a refusal. So did the first request of a
-// connection.
+// Guards against a planned stop that closes the connections that net/http counts as idle.
+// net/http drops all that it reads from then on: a request that is being read at that time, also
+// the first one of a connection, would get neither a response nor a rejection.
 func TestStopAnswersRequestBeingRead(t *testing.T) {
 	for name, before := range map[string][]string{"first request": nil, "on a kept connection": {"/first"}} {
 		t.Run(name, func(t *testing.T) {
@@ -239,8 +239,8 @@
 	}
 }
 
-// The product's own interface made its planned stop by net/http alone, which closes
-// what it counts as idle and drops what it reads from then on.
+// Guards against the same fault in a planned stop of an Instance by net/http's Shutdown alone,
+// which closes the connections that it counts as idle and drops all that it reads from then on.
 func TestPlannedStopOfAnInstanceAnswersRequestBeingRead(t *testing.T) {
 	a := newCallerHarnessWithoutServer(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -249,7 +249,7 @@
 	a.dial(l.Addr().String())
 	a.send("/v1/models")
 	a.requireSomeAnswer()
-	// The server counts the connection as idle a moment later.
+	// The server counts the connection as idle only shortly after its response.
 	time.Sleep(100 * time.Millisecond)
 	ends := readHook(func(int) {
 		f.stop()
@@ -266,7 +266,7 @@
 	a.requireSomeAnswer()
 }
 
-// requireSomeAnswer reads an answer or a refusal.
+// requireSomeAnswer reads a response of any status.
 func (a *callerHarness) requireSomeAnswer() {
 	a.t.Helper()
 	resp, err := http.ReadResponse(a.reader, nil)
@@ -275,8 +275,8 @@
 	require.NoError(a.t, err)
 }
 
-// What a connection that rests shows of its caller decides whether it may be closed:
-// nothing may be closed under a byte that has arrived, and all that rests may.
+// Whether an idle connection may be closed depends on its unread bytes: it must stay open if a
+// byte has arrived, and may be closed otherwise.
 func TestIdleConnectionWithNothingUnreadIsClosed(t *testing.T) {
 	a := newCallerHarness(t)
 	a.send("/first")
@@ -288,14 +288,13 @@
 	require.Len(t, conns, 1)
 	conn := conns[0].(*callerConn)
 	conn.mu.Lock()
-	require.True(t, conn.idle, "it rests behind its answer")
+	require.True(t, conn.idle, "it is idle after its response")
 	require.False(t, conn.hasUnread())
 	conn.mu.Unlock()
 	require.True(t, a.idle.closeIfIdle(conn))
 }
 
-// A byte that waits unread keeps a connection open that has not been read since its
-// last answer.
+// An unread byte keeps a connection open that has not been read from since its last response.
 func TestConnectionWithAnUnreadByteStays(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -312,5 +311,5 @@
 	require.Eventually(t, conn.hasUnread, waitLimit, time.Millisecond)
 	require.False(t, conn.closeIfIdle())
 	_, half := accepted.(interface{ CloseWrite() error })
-	require.True(t, half, "net/http ends its side first where a caller still sends")
+	require.True(t, half, "net/http closes its direction first if a caller still sends")
 }
--- a/daemon/followercalls_test.go
+++ b/daemon/followercalls_test.go
@@ -14,12 +14,13 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// 295 instances made 13,900 calls to the store in the 17 s around a common start, most of
-// them close watches while nobody told what was new, and went on to make two each a second
-// that were behind. Whoever is told by the holder of the lease now asks only when its list
-// differs from the holder's.
+// These tests guard against overload of the store: at a common start, 295 instances made 13,900
+// calls in 17 s, most of them by watches that accepted no stale answers while no lease holder
+// announced changes, and then two stale calls each per second. An instance that receives
+// announcements calls the store only when its list differs from the holder's.
 
-// restingCalls is how many calls a follower makes in a span that begins when it is told.
+// followerCalls returns how many calls a follower makes in a span in which it receives
+// announcements, and how many of them do not accept stale answers.
 func followerCalls(t *testing.T, span time.Duration, meanwhile func(s *staleStore)) (all, closely int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -40,7 +41,7 @@
 		after, closeAfter := follower.client.callCounts()
 		all, closely = after-before, closeAfter-closeBefore
 		require.NotZero(t, holder.mesh.endpointsDigest.Load())
-		require.Equal(t, holder.mesh.endpointsDigest.Load(), follower.mesh.endpointsDigest.Load(), "it lists the same in the end")
+		require.Equal(t, holder.mesh.endpointsDigest.Load(), follower.mesh.endpointsDigest.Load(), "both list the same endpoints in the end")
 		stop()
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -55,7 +56,7 @@
 	require.LessOrEqual(t, all, int(span/maxStalePause)+1)
 }
 
-// Units come and go at endpoints all the time, which the holder tells otherwise.
+// Units are loaded and unloaded all the time, which the holder announces by other means.
 func TestFollowerMakesNoFreshCallsWhileUnitsChange(t *testing.T) {
 	const span = 60 * time.Second
 	all, closely := followerCalls(t, span, func(s *staleStore) {
@@ -68,7 +69,8 @@
 	require.LessOrEqual(t, all, int(span/maxStalePause)+1)
 }
 
-// Endpoints that come, leave and go cost some calls each, none of them close.
+// Endpoints that join, leave and are removed cost some calls each, all of which accept stale
+// answers.
 func TestFollowerMakesOnlyStaleCallsWhenEndpointsChange(t *testing.T) {
 	const changes = 4
 	all, closely := followerCalls(t, 60*time.Second, func(s *staleStore) {
@@ -81,11 +83,11 @@
 		s.put("e2", membership.Leaving)
 	})
 	require.Zero(t, closely)
-	// Each may be asked for until answers that are behind have it.
+	// Each change may cause calls until stale answers contain it.
 	require.LessOrEqual(t, all, changes*(int(staleAnswers/staleBatchDelay)+3)+5)
 }
 
-// holding enters an endpoint with a unit that it holds.
+// putResident writes an endpoint on which a unit is resident.
 func (s *staleStore) putResident(name, unit string) {
 	s.putMember(membership.Member{Name: name, Incarnation: name, Pool: "pool", State: membership.Live, Slots: 1, Resident: []string{unit}})
 }
@@ -103,7 +105,7 @@
 	require.NotZero(t, both)
 	loaded := b
 	loaded.Resident = []string{"m"}
-	require.Equal(t, both, list(7, loaded, a), "order, version and units do not count")
+	require.Equal(t, both, list(7, loaded, a), "order, version and resident units are not included")
 	for what, change := range map[string]func(*membership.Member){
 		"start":   func(m *membership.Member) { m.Incarnation = "b@2" },
 		"address": func(m *membership.Member) { m.Address = "3" },
@@ -118,8 +120,8 @@
 	require.NotEqual(t, both, list(1, a))
 }
 
-// An instance that asks seldom finds an outage late; it counts the time that entries have
-// to come back from the store's return all the same.
+// An instance that makes few calls notices an outage late. The time that entries have to be
+// rewritten must count from the store's return all the same.
 func TestOutageNoticedLateCountsFromTheReturn(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := &storeLink{log: logr.Discard(), now: func() time.Time { return now }}
@@ -130,22 +132,22 @@
 	l.callStarted(0)
 	now = now.Add(50 * time.Millisecond)
 	l.callAnswered()
-	require.Equal(t, began, l.availableSince(), "it had asked for nothing")
+	require.Equal(t, began, l.availableSince(), "no call was pending")
 	now = now.Add(10 * time.Second)
 	l.callStarted(0)
 	l.watchFailed("servers", store.ErrOlder)
 	now = now.Add(800 * time.Millisecond)
 	l.callStarted(0)
 	l.callAnswered()
-	require.Equal(t, now, l.availableSince(), "the outage may have begun right behind the last answer")
+	require.Equal(t, now, l.availableSince(), "the outage may have begun right after the last answer")
 	l.callStarted(20 * time.Second)
 	now = now.Add(20 * time.Second)
 	l.callAnswered()
-	require.NotEqual(t, now, l.availableSince(), "a call that is held for long shows nothing")
+	require.NotEqual(t, now, l.availableSince(), "a call that the store may hold for long proves no outage")
 }
 
-// All instances start at once: those who do not rank first leave the lease to those who
-// do, who have taken it and told before the others' patience ends.
+// All instances start at once. Those that do not rank first leave the lease to those that do,
+// which acquire it and announce themselves before the others campaign too.
 func TestFewInstancesCampaignWhenAllStartTogether(t *testing.T) {
 	const instances = 295
 	start := time.Unix(1000, 0)
@@ -171,7 +173,7 @@
 		case after < patience:
 			require.Equal(t, nodeCampaigners, campaign)
 		default:
-			require.Equal(t, nodeCampaigners+1, campaign, "the next one, if nobody was heard")
+			require.Equal(t, nodeCampaigners+1, campaign, "one more, if no packet of a holder was received")
 		}
 	}
 }
--- a/daemon/hungpoll_test.go
+++ b/daemon/hungpoll_test.go
@@ -26,22 +26,23 @@
 	"github.com/eiderspring/eiderspring/standin"
 )
 
-// An instance routed to an endpoint for up to half a minute after the platform's list
-// had said that it leaves. Its poll of the list had begun while the list was silent,
-// and nobody answers such a call. The other instances had the newer list.
+// These tests guard against hung polls of the platform's member list. A poll that begins while
+// the list does not answer is never answered: an instance routed requests to an endpoint for up
+// to half a minute after the list had said that it leaves, although the other instances had the
+// newer list.
 
-// silences answers no call that begins while it is silent, however long the caller
-// waits.
+// hangingHandler never answers a call that begins while hanging is set, however long the
+// caller waits.
 type hangingHandler struct {
-	next   http.Handler
-	silent atomic.Bool
-	// hung and calls count the calls that nobody answers, and all.
+	next    http.Handler
+	hanging atomic.Bool
+	// hung counts the calls that are never answered, calls all of them.
 	hung, calls atomic.Int64
 }
 
 func (s *hangingHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.calls.Add(1)
-	if s.silent.Load() {
+	if s.hanging.Load() {
 		s.hung.Add(1)
 		<-r.Context().Done()
 		return
@@ -49,12 +50,11 @@
 	s.next.ServeHTTP(w, r)
 }
 
-// inMemory carries calls to a handler without a network. As net/http's transport does,
-// it gives a call up when its context ends, and it counts how often the resting
-// connections are closed.
+// memoryTransport passes calls to a handler without a network. Like net/http's transport it
+// abandons a call when its context ends. It counts the calls of CloseIdleConnections.
 type memoryTransport struct {
-	handler http.Handler
-	closed  atomic.Int64
+	handler    http.Handler
+	idleCloses atomic.Int64
 }
 
 func (m *memoryTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -72,7 +72,7 @@
 	return &http.Response{StatusCode: answer.status, Header: answer.header, Body: io.NopCloser(&answer.body), Request: r}, nil
 }
 
-func (m *memoryTransport) CloseIdleConnections() { m.closed.Add(1) }
+func (m *memoryTransport) CloseIdleConnections() { m.idleCloses.Add(1) }
 
 type recordedResponse struct {
 	header http.Header
@@ -84,7 +84,7 @@
 func (a *recordedResponse) WriteHeader(status int)      { a.status = status }
 func (a *recordedResponse) Write(b []byte) (int, error) { return a.body.Write(b) }
 
-// listOf returns a platform's list that holds an endpoint.
+// membersWith returns a platform's member list that holds one endpoint.
 func membersWith(endpoint standin.Member) *standin.Members {
 	members := standin.NewMembers(0)
 	members.Set(endpoint)
@@ -93,8 +93,8 @@
 
 var deskMember = standin.Member{Name: "desk-0", Pool: "desk", Address: "127.0.0.1:1", FailureDomain: "a", Incarnation: "1", State: standin.MemberLive}
 
-// leavesBy tells whether the events bring, by a moment of virtual time, a list on which
-// the endpoint leaves.
+// listedLeaving reports whether the events contain, within a span of virtual time, a list on
+// which the endpoint leaves.
 func listedLeaving(events *ring.Ring[event], within time.Duration) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
@@ -114,7 +114,8 @@
 // platformHold is how long the platform holds an unchanged list.
 const platformHold = 10 * time.Second
 
-// TestHungPollIsCancelledAfterThePlatformsHold has nobody who could tell of the newer list.
+// TestHungPollIsCancelledAfterThePlatformsHold has no other instance that could
+// report the newer list.
 func TestHungPollIsCancelledAfterThePlatformsHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -122,10 +123,10 @@
 		list := &hangingHandler{next: members}
 		d := &membersPoller{source: membership.NewSource("http://platform", &memoryTransport{handler: list}), events: ring.New[event](eventsCapacity, ring.Block), log: logr.Discard()}
 		var running sync.WaitGroup
-		list.silent.Store(true)
+		list.hanging.Store(true)
 		running.Go(func() { d.run(ctx) })
 		synctest.Wait()
-		list.silent.Store(false)
+		list.hanging.Store(false)
 		leaves := deskMember
 		leaves.State = standin.MemberLeaving
 		members.Set(leaves)
@@ -135,23 +136,23 @@
 	})
 }
 
-// twoInstances is two instances with one list and one store; the second one's calls to
+// twoInstances is two instances with a common member list and store; the second one's calls to
 // the list may hang.
 type twoInstances struct {
 	first, second *Instance
 	members       *standin.Members
-	list          *hangingHandler
+	secondList    *hangingHandler
 }
 
 func startTwo(t *testing.T) *twoInstances {
 	t.Helper()
 	two := &twoInstances{members: standin.NewMembers(0)}
-	two.list = &hangingHandler{next: two.members}
-	platform, beside := http.NewServeMux(), http.NewServeMux()
+	two.secondList = &hangingHandler{next: two.members}
+	platform, secondPlatform := http.NewServeMux(), http.NewServeMux()
 	platform.Handle("/apis/", standin.NewObjectAPI())
 	platform.Handle("/members", two.members)
-	beside.Handle("/members", two.list)
-	objects, list := serve(t, platform), serve(t, beside)
+	secondPlatform.Handle("/members", two.secondList)
+	objects, list := serve(t, platform), serve(t, secondPlatform)
 	publishSettings(t, objects)
 	two.members.Set(deskMember)
 	two.first = startListed(t, two.members, "entry-0", Platform{ObjectAPI: objects, Members: objects})
@@ -164,14 +165,14 @@
 	return two
 }
 
-// eventually waits for less than the platform holds an unchanged list, so that nothing
-// is found by a poll that is over by itself.
+// eventually waits for less than the time for which the platform holds an unchanged list, so
+// that no poll that ends by itself makes found succeed.
 func (two *twoInstances) eventually(t *testing.T, found func() bool) {
 	t.Helper()
 	require.Eventually(t, found, platformHold-2*time.Second, 5*time.Millisecond)
 }
 
-// startBeside starts an instance and puts it on the list.
+// startListed starts an instance and adds it to the member list.
 func startListed(t *testing.T, members *standin.Members, name string, platform Platform) *Instance {
 	t.Helper()
 	cfg := DefaultConfig()
@@ -199,7 +200,7 @@
 	return int(at.Port())
 }
 
-// takesNothing tells whether an instance routes nothing to the endpoint.
+// routesNothing reports whether an instance routes no requests to the endpoint.
 func routesNothing(i *Instance) bool {
 	for _, e := range i.router.View().Pools[deskMember.Pool] {
 		if !e.Leaving() {
@@ -209,14 +210,14 @@
 	return true
 }
 
-// TestInstanceWithAHungPollLearnsThatAnEndpointLeaves lets the second instance's poll
-// begin while its list is silent.
+// TestInstanceWithAHungPollLearnsThatAnEndpointLeaves lets the second instance's poll hang; the
+// first instance reports the newer version of the list.
 func TestInstanceWithAHungPollLearnsThatAnEndpointLeaves(t *testing.T) {
 	two := startTwo(t)
-	two.list.silent.Store(true)
+	two.secondList.hanging.Store(true)
 	two.members.Set(standin.Member{Name: "desk-1", Pool: "other", Address: "127.0.0.1:1", Incarnation: "1", State: standin.MemberLive})
-	two.eventually(t, func() bool { return two.list.hung.Load() > 0 })
-	two.list.silent.Store(false)
+	two.eventually(t, func() bool { return two.secondList.hung.Load() > 0 })
+	two.secondList.hanging.Store(false)
 	leaves := deskMember
 	leaves.State = standin.MemberLeaving
 	two.members.Set(leaves)
@@ -224,23 +225,23 @@
 	two.eventually(t, func() bool { return routesNothing(two.second) })
 }
 
-// following is a duty that follows a list of the stand-ins without a network.
+// followedList is a membersPoller that follows a stand-in's member list without a network.
 type followedList struct {
 	*membersPoller
-	members *standin.Members
-	list    *hangingHandler
-	carrier *memoryTransport
-	answers chan peer.ListReceived
+	members   *standin.Members
+	list      *hangingHandler
+	transport *memoryTransport
+	answers   chan peer.ListReceived
 }
 
-// follow runs the duty until the returned function is called.
+// followList runs the poller until the returned function is called.
 func followList(t *testing.T) (*followedList, func()) {
 	t.Helper()
 	f := &followedList{members: membersWith(deskMember), answers: make(chan peer.ListReceived, eventsCapacity)}
 	f.list = &hangingHandler{next: f.members}
-	f.carrier = &memoryTransport{handler: f.list}
+	f.transport = &memoryTransport{handler: f.list}
 	f.membersPoller = &membersPoller{
-		source: membership.NewSource("http://platform", f.carrier), events: ring.New[event](eventsCapacity, ring.Block), log: logr.Discard(),
+		source: membership.NewSource("http://platform", f.transport), events: ring.New[event](eventsCapacity, ring.Block), log: logr.Discard(),
 		onListing: func(version, asked int64) { f.answers <- peer.ListReceived{Version: version, Asked: asked} },
 	}
 	ctx, stop := context.WithCancel(t.Context())
@@ -250,7 +251,7 @@
 	return f, func() { stop(); running.Wait(); synctest.Wait() }
 }
 
-// version returns the list's version.
+// version returns the current version of the list.
 func (f *followedList) version() int64 {
 	answer := httptest.NewRecorder()
 	f.members.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/members?after=0", nil))
@@ -259,15 +260,14 @@
 	return l.Version
 }
 
-// hang lets the duty's next call begin while the list is silent, and lets the endpoint
-// leave behind the silence.
+// hang lets the poller's next call hang, and lets the endpoint leave after that.
 func (f *followedList) hang(t *testing.T) {
 	t.Helper()
-	f.list.silent.Store(true)
+	f.list.hanging.Store(true)
 	f.members.Set(deskMember)
 	synctest.Wait()
 	require.EqualValues(t, 1, f.list.hung.Load())
-	f.list.silent.Store(false)
+	f.list.hanging.Store(false)
 	leaves := deskMember
 	leaves.State = standin.MemberLeaving
 	f.members.Set(leaves)
@@ -279,12 +279,12 @@
 		f, stop := followList(t)
 		defer stop()
 		f.hang(t)
-		calls, closed := f.list.calls.Load(), f.carrier.closed.Load()
+		calls, closed := f.list.calls.Load(), f.transport.idleCloses.Load()
 		f.requestVersion(f.version())
 		require.True(t, listedLeaving(f.events, time.Millisecond))
 		synctest.Wait()
-		require.EqualValues(t, 2, f.list.calls.Load()-calls, "one that asks, and one that waits for the next change")
-		require.EqualValues(t, 1, f.carrier.closed.Load()-closed, "resting connections may be as silent")
+		require.EqualValues(t, 2, f.list.calls.Load()-calls, "one that is answered at once, and one that waits for the next change")
+		require.EqualValues(t, 1, f.transport.idleCloses.Load()-closed, "idle connections may hang too")
 		for len(f.answers) > 1 {
 			<-f.answers
 		}
@@ -292,8 +292,8 @@
 	})
 }
 
-// TestReportOfAnUnknownListVersionIsAnswered has a list that began anew, so that another
-// instance tells of a version that will not come for long.
+// TestReportOfAnUnknownListVersionIsAnswered has a list whose versions were reset, so that
+// another instance reports a version that the list will not reach for long.
 func TestReportOfAnUnknownListVersionIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, stop := followList(t)
@@ -306,18 +306,18 @@
 	})
 }
 
-// TestUnchangedListCostsACallForEachHold counts the calls of a healthy duty.
+// TestUnchangedListCostsOneCallPerHold counts the calls of a poller without failures.
 func TestUnchangedListCostsOneCallPerHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, stop := followList(t)
 		defer stop()
 		time.Sleep(time.Minute - time.Second)
 		require.EqualValues(t, 1+6, f.list.calls.Load())
-		require.Zero(t, f.carrier.closed.Load(), "nothing was given up")
+		require.Zero(t, f.transport.idleCloses.Load(), "no call was cancelled")
 	})
 }
 
-// datagramWire carries datagrams between duties in memory, each to its address.
+// memoryDatagrams delivers datagrams in memory to the receiver at each address.
 type memoryDatagrams struct {
 	mu        sync.Mutex
 	receivers map[string]*peersDuty
@@ -334,8 +334,8 @@
 
 func (w *memoryDatagrams) Close() {}
 
-// slowly answers each call a little later, by less than a bound. One caller at a time
-// uses it.
+// slowHandler delays each answer by a random time below a bound. It is not safe for concurrent
+// use.
 type slowHandler struct {
 	next  http.Handler
 	bound time.Duration
@@ -347,8 +347,8 @@
 	time.Sleep(time.Duration(s.rand.Int64N(int64(s.bound))))
 }
 
-// TestWordsCostNoCallsWhileAllAreWell has instances that tell each other how new their
-// list is, and a list whose answers reach them at different times.
+// TestVersionReportsCostNoCallsWhileAllPollsWork has instances that report the versions of their
+// lists to each other, and a list whose answers reach them at different times.
 func TestVersionReportsCostNoCallsWhileAllPollsWork(t *testing.T) {
 	const instances, changes, latest = 6, 50, 200 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
@@ -374,7 +374,7 @@
 				log: logr.Discard(), onListing: peers.listReceived,
 			}
 			peers.refreshList = duty.requestVersion
-			// Their looks are spread.
+			// The ticks of the instances are spread over time.
 			time.Sleep(peerTickInterval / instances)
 			go peers.run(ctx)
 			go duty.run(ctx)
@@ -405,11 +405,11 @@
 	})
 }
 
-// TestNewerListIsInTimeAcrossTwoInstances adds up what may pass until an instance whose
-// poll hangs has the list by way of another one that had to hear of it too.
+// TestNewerListIsInTimeAcrossTwoInstances adds up the longest delays until an instance with a hung
+// poll has the list, if the instance that reports it had to receive a report too.
 func TestNewerListIsInTimeAcrossTwoInstances(t *testing.T) {
 	const inTime = 2 * time.Second
-	told := peerTickInterval
-	asked := peer.DefaultListGrace + peerTickInterval
-	require.LessOrEqual(t, 2*(told+asked+storeAnswerTime), inTime)
+	reported := peerTickInterval
+	requested := peer.DefaultListGrace + peerTickInterval
+	require.LessOrEqual(t, 2*(reported+requested+storeAnswerTime), inTime)
 }
--- a/daemon/idleconns_test.go
+++ b/daemon/idleconns_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// idleHarness is a connection that rests, and a clock.
+// idleHarness is an idle connection with a manual clock.
 type idleHarness struct {
 	*idleConns
 	clock time.Time
@@ -35,8 +35,8 @@
 	return h
 }
 
-// after lets time pass, sweeping each second, and tells whether the connection
-// is still open.
+// openAfter lets time pass, with a sweep each second, and reports whether the connection is still
+// open.
 func (h *idleHarness) openAfter(d time.Duration) bool {
 	for range int(d / time.Second) {
 		h.clock = h.clock.Add(time.Second)
@@ -48,19 +48,19 @@
 	return open
 }
 
-// TestLoweredLimitSparesConnections lowers the limit while a connection rests: its
-// caller may not know yet and may use it for as long as the old limit said.
+// TestLoweredLimitSparesConnections lowers the limit while a connection is idle: its caller may
+// not know yet and may use it for as long as the previous limit allowed.
 func TestLoweredLimitSparesConnections(t *testing.T) {
 	h := newIdleHarness(t, 15*time.Second)
 	require.True(t, h.openAfter(5*time.Second))
 	h.bound = 3 * time.Second
-	require.True(t, h.openAfter(8*time.Second), "13 s of the 15 that it was promised")
+	require.True(t, h.openAfter(8*time.Second), "13 s of the 15 s that the previous limit allowed")
 	require.False(t, h.openAfter(20*time.Second))
 }
 
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	h := newIdleHarness(t, 3*time.Second)
-	require.True(t, h.openAfter(3*time.Second), "a request may just be on its way")
+	require.True(t, h.openAfter(3*time.Second), "a request may be in transit")
 	require.False(t, h.openAfter(3*time.Second))
 }
 
--- a/daemon/leavedelay_test.go
+++ b/daemon/leavedelay_test.go
@@ -14,20 +14,20 @@
 	"github.com/eiderspring/eiderspring/membership"
 )
 
-// staleAnswers is how old an answer may be that may be behind.
+// staleAnswers is how old a stale answer of the store may be.
 const staleAnswers = 3 * time.Second
 
-// lateCase is when things happen in one run: how long after the holder began to follow
-// the store it begins to speak, how long after that the follower starts, when the
-// endpoint leaves, and how long after that the holder runs into trouble.
-// A calm store has nothing else that changes, so that the follower's watch rests.
+// leaveCase is the timing of one run: how long after the lease holder began to follow the
+// store it starts to announce, how long after that the follower starts, when the endpoint
+// leaves, and how long after that the holder fails. In a calm store nothing else changes, so
+// that the follower's watch gets no answers.
 type leaveCase struct {
-	announceAt, start, leave, trouble time.Duration
+	announceAt, start, leave, failure time.Duration
 	calm                              bool
 }
 
-// lateRun has an endpoint leave before a follower and a holder that runs into trouble,
-// and returns how late the follower knows.
+// runLeaveCase lets an endpoint leave and then applies strike to the holder. It returns how
+// long after the endpoint began to leave the follower knows it.
 func runLeaveCase(t *testing.T, c leaveCase, strike func(holder *entriesInstance, kill func())) time.Duration {
 	t.Helper()
 	var late time.Duration
@@ -49,7 +49,7 @@
 		time.Sleep(staleAnswers + 2*time.Second + c.leave - c.start - c.announceAt)
 		began := time.Now()
 		s.put("e", membership.Leaving)
-		time.Sleep(c.trouble)
+		time.Sleep(c.failure)
 		strike(holder, kill)
 		time.Sleep(5 * time.Second)
 		late = follower.lateness(t, "e", began)
@@ -61,20 +61,20 @@
 	return late
 }
 
-// lateRuns is how many cases latest tries, lateSeed what they are drawn from.
+// leaveCases is the number of cases that worstLateness runs, leaveCaseSeed their random seed.
 const (
 	leaveCases    = 400
 	leaveCaseSeed = 1
 )
 
-// latest is the worst of many cases.
+// worstLateness returns the greatest lateness of many random cases, and its case.
 func worstLateness(t *testing.T, strike func(holder *entriesInstance, kill func())) (worst time.Duration, at leaveCase) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(leaveCaseSeed, 0))
 	upTo := func(d time.Duration) time.Duration { return time.Duration(random.Int64N(int64(d))) }
 	for range leaveCases {
 		c := leaveCase{
-			announceAt: upTo(minAnnounceInterval), start: upTo(staleBatchDelay), leave: upTo(staleBatchDelay), trouble: upTo(entriesBatchDelay + minAnnounceInterval),
+			announceAt: upTo(minAnnounceInterval), start: upTo(staleBatchDelay), leave: upTo(staleBatchDelay), failure: upTo(entriesBatchDelay + minAnnounceInterval),
 		}
 		// The same moments with and without other changes.
 		for _, c.calm = range []bool{false, true} {
@@ -86,8 +86,8 @@
 	return worst, at
 }
 
-// lookAfterSilence is how long after the last word of the holder, which comes at that
-// offset, a follower has looked closely at what changed right after it.
+// latenessAfterSilence returns how long after the holder's last packet, sent at the offset last,
+// a follower has learned from the store of a change made right after that packet.
 func latenessAfterSilence(t *testing.T, fresh NodeFreshness, last time.Duration) time.Duration {
 	t.Helper()
 	var late time.Duration
@@ -115,31 +115,33 @@
 	return late
 }
 
-// The holder of the lease ends, or the store turns it away, in the pause before its own
-// next look. The others go by its last word until that is too old, and then finish the
-// pause or the call that they had begun. All these waits follow each other.
+// Guards against late changes when the lease holder stops, or the store rejects it, in the pause
+// before its next call. The others rely on its last attestation until that is too old, and then
+// complete the pause or call that they have begun. The sum of these waits must fit the bound.
 func TestChangesAreKnownInTimeWhateverTheOthersDoWhenTheHolderIsLost(t *testing.T) {
 	fresh := DefaultNodeConfig().Fresh
 	wider := NodeFreshness{LeavingMS: 3000, SettingsMS: 3000, ContactMS: 4000}
 	for _, f := range []NodeFreshness{fresh, wider} {
-		var look time.Duration
+		var lateness time.Duration
 		for last := time.Duration(0); last < 2*staleBatchDelay+f.staleWatchHold(); last += 5 * time.Millisecond {
-			look = max(look, latenessAfterSilence(t, f, last))
+			lateness = max(lateness, latenessAfterSilence(t, f, last))
 		}
-		t.Logf("leaving within %d ms: others look %v after the last word", f.LeavingMS, look)
-		assert.Less(t, f.maxAttestedAge()+look, milliseconds(f.LeavingMS))
+		t.Logf("leaving within %d ms: others know %v after the last packet", f.LeavingMS, lateness)
+		assert.Less(t, f.maxAttestedAge()+lateness, milliseconds(f.LeavingMS))
 	}
 }
 
-// The store turns the holder of the lease away while an endpoint leaves. The holder
-// vouches on for a while, then the others sleep on in the pause that they had begun.
+// Guards against late changes when the store rejects the lease holder while an endpoint leaves.
+// The holder still attests for a while, and then the others complete the pause that they have
+// begun.
 func TestLeavingEndpointIsKnownInTimeWhenTheStoreRejectsTheHolder(t *testing.T) {
 	worst, at := worstLateness(t, func(holder *entriesInstance, _ func()) { holder.client.set(true, false, true) })
 	require.Less(t, worst, milliseconds(DefaultNodeConfig().Fresh.LeavingMS), "%+v", at)
 }
 
-// The store has forgotten the holder's watch in silence while it answers the renewals
-// of its lease. These make the holder vouch for entries that it does not follow.
+// Guards against attestations that rest on the wrong calls. The store has dropped the holder's
+// watch without an error while it answers the renewals of its lease. These must not make the
+// holder attest to entries that it does not follow.
 func TestHolderDoesNotAttestWhileItsWatchIsSilent(t *testing.T) {
 	var late time.Duration
 	synctest.Test(t, func(t *testing.T) {
@@ -166,9 +168,10 @@
 	require.Less(t, late, milliseconds(DefaultNodeConfig().Fresh.LeavingMS))
 }
 
-// A watch is cut once, as the store may do at any time, and the next one hears nothing
-// for a while as nothing changes. The first that it hears is that an endpoint has gone.
-// As if the store were back only now, the endpoint is kept for entries that lapsed.
+// Guards against taking a cut watch for an outage. The store may cut a watch at any time, and the
+// next one gets no answer while nothing changes. If its first answer, that an endpoint was
+// removed, counts as the store's return, the endpoint is retained like one whose entry expired
+// during an outage.
 func TestRemovalLongAfterACutWatchIsKnownInTime(t *testing.T) {
 	const step = 50 * time.Millisecond
 	var worst time.Duration
@@ -179,8 +182,8 @@
 	require.Less(t, worst, milliseconds(DefaultNodeConfig().Fresh.LeavingMS))
 }
 
-// goneAfterACut is how late the holder of the lease knows that an endpoint has gone, so
-// long after its watch was cut.
+// latenessAfterCutWatch returns how late the lease holder knows of the removal of an endpoint
+// that happens quiet after its watch was cut.
 func latenessAfterCutWatch(t *testing.T, quiet time.Duration) time.Duration {
 	t.Helper()
 	var late time.Duration
@@ -205,14 +208,15 @@
 	return late
 }
 
-// The holder stops as planned and hands its lease over in the pause before its own next
-// look, so it never tells that an endpoint leaves. Its successor has just begun a pause
-// too, one as long as those who are told in time may make. It tells at once that what it
-// knows is current, as the store has answered its call for the lease.
+// Guards against a new lease holder that attests too early. The old holder makes a planned stop
+// and hands the lease over in the pause before its next call, so it never announces that an
+// endpoint leaves. Its successor has just begun a pause too, as long as followers may make, and
+// would attest at once that its data is current, as the store has answered its call for the
+// lease.
 func TestSuccessorReadsTheStoreBeforeItAttests(t *testing.T) {
 	const step, startStep = 15 * time.Millisecond, 150 * time.Millisecond
-	// takes is how long the successor may need to see that the lease is free, and less
-	// than what makes the others look closely.
+	// takes is how long the successor may need to see that the lease is free; it is shorter
+	// than the time after which the others stop accepting stale answers.
 	const takes = min(leaseRenewal+leaseLook, minHolderTimeout) - step
 	var worst time.Duration
 	for last := time.Duration(0); last < staleBatchDelay+step; last += step {
@@ -224,8 +228,8 @@
 	require.Less(t, worst, milliseconds(DefaultNodeConfig().Fresh.LeavingMS))
 }
 
-// handOver has an endpoint leave before the lease is handed over, and returns how late
-// another instance knows, which starts a while after the successor.
+// latenessAfterHandover lets an endpoint leave before the lease is handed over, and returns how
+// late another instance knows, which starts at the offset start after the successor.
 func latenessAfterHandover(t *testing.T, last, start, takes time.Duration) time.Duration {
 	t.Helper()
 	var late time.Duration
@@ -236,7 +240,7 @@
 		var holds atomic.Bool
 		successor := newEntriesInstance(s, "successor", holds.Load)
 		other := newEntriesInstance(s, "other", func() bool { return false })
-		hear := func() {
+		receiveAttestation := func() {
 			successor.mesh.totals.receive(time.Now(), holderAnnouncement(true))
 			other.mesh.totals.receive(time.Now(), holderAnnouncement(true))
 		}
@@ -246,17 +250,17 @@
 			time.Sleep(start)
 			other.follow(ctx)
 		}()
-		handed := time.Now().Add(5*time.Second + last)
-		began := handed.Add(-entriesBatchDelay)
+		handedOverAt := time.Now().Add(5*time.Second + last)
+		began := handedOverAt.Add(-entriesBatchDelay)
 		go func() {
 			time.Sleep(time.Until(began))
 			s.put("e", membership.Leaving)
 		}()
-		for time.Now().Before(handed) {
-			hear()
-			time.Sleep(min(minAnnounceInterval, time.Until(handed)))
+		for time.Now().Before(handedOverAt) {
+			receiveAttestation()
+			time.Sleep(min(minAnnounceInterval, time.Until(handedOverAt)))
 		}
-		hear()
+		receiveAttestation()
 		time.Sleep(takes)
 		holds.Store(true)
 		time.Sleep(staleAnswers + 5*time.Second)
@@ -268,10 +272,11 @@
 	return late
 }
 
-// The store was away for all and has been back for longer than instances may need to be
-// in contact, but nothing has changed since, so that no watch has had an answer yet. Its
-// first is that an endpoint has gone, which all of them then keep for entries that
-// lapsed, the holder of the lease too.
+// Guards against a removal that is ignored after an outage. The store was unavailable to all
+// instances and has been back for longer than they may need to be in contact, but nothing has
+// changed since, so that no watch has had an answer. If the first answer, that an endpoint was
+// removed, counted as the store's return, all instances, the lease holder too, would retain the
+// endpoint like one whose entry expired.
 func TestRemovalAfterAStoreOutageIsKnownInTime(t *testing.T) {
 	const phases, phase = 40, 37 * time.Millisecond
 	var worst time.Duration
@@ -282,8 +287,8 @@
 	require.Less(t, worst, milliseconds(DefaultNodeConfig().Fresh.LeavingMS))
 }
 
-// goneAfterAnOutage is how late a follower knows that an endpoint has gone, the instances
-// being in contact again after an outage of the store that began so long after them.
+// latenessAfterOutage returns how late a follower knows of the removal of an endpoint once the
+// instances are in contact again after an outage, whose start the offset began shifts.
 func latenessAfterOutage(t *testing.T, began time.Duration) time.Duration {
 	t.Helper()
 	const outage = 4 * time.Second
@@ -305,10 +310,10 @@
 		holder.client.set(false, false, false)
 		follower.client.set(false, false, false)
 		time.Sleep(milliseconds(holder.client.fresh.ContactMS))
-		gone := time.Now()
+		removedAt := time.Now()
 		s.remove("e")
 		time.Sleep(outage + 2*staleAnswers)
-		late = follower.lateness(t, "e", gone)
+		late = follower.lateness(t, "e", removedAt)
 		stop()
 		time.Sleep(time.Second)
 		synctest.Wait()
--- a/daemon/logwriter_test.go
+++ b/daemon/logwriter_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stuckWriter is a reader of logs that has stopped to read.
+// stuckWriter blocks until it is released, like a pipe that is not read.
 type stuckWriter struct{ release chan struct{} }
 
 func (w stuckWriter) Write(p []byte) (int, error) {
--- a/daemon/node_test.go
+++ b/daemon/node_test.go
@@ -12,8 +12,8 @@
 	"github.com/eiderspring/eiderspring/pipeline"
 )
 
-// TestHolderStaysWhenStrongerOnesCome lists stronger instances after this one has
-// taken the lease: it keeps it, but does not campaign for one that it lacks.
+// TestHolderKeepsTheLeaseWhenStrongerInstancesJoin lists stronger instances after this one has
+// acquired the lease: it keeps it, but does not campaign for one that it does not hold.
 func TestHolderKeepsTheLeaseWhenStrongerInstancesJoin(t *testing.T) {
 	n := &Node{now: time.Now}
 	n.cfg.Instance = "weak"
@@ -21,50 +21,51 @@
 		instance: "weak", now: time.Now, self: presence{Cores: 0.2}, listed: map[string]presence{},
 		onInstanceCount: func(int) {}, fleetView: peer.NewFleetView(),
 	}
-	n.mesh.totals.receive(time.Now(), peer.Packet{Address: "hub", Instances: 1})
-	require.True(t, n.campaigns("pool", false), "it knows nobody else")
+	n.mesh.totals.receive(time.Now(), peer.Packet{Address: "coordinator", Instances: 1})
+	require.True(t, n.campaigns("pool", false), "no other instance is known")
 	n.mesh.updateInstance("strong", &presence{Cores: 0.8})
 	n.mesh.updateInstance("stronger", &presence{Cores: 0.9})
 	require.False(t, n.campaigns("pool", false))
 	require.True(t, n.campaigns("pool", true))
 	now := time.Now()
 	n.stopping.Store(&now)
-	require.False(t, n.campaigns("pool", true), "a stop hands the lease over")
+	require.False(t, n.campaigns("pool", true), "a planned stop hands the lease over")
 }
 
-// TestNobodyCampaignsBeforeItKnowsTheOthers starts a weak instance that has not
-// read yet who the others are.
+// TestNobodyCampaignsBeforeItKnowsTheOthers starts a weak instance that has not read the list of
+// the other instances yet.
 func TestNobodyCampaignsBeforeItKnowsTheOthers(t *testing.T) {
 	now := time.Now()
 	n := &Node{now: func() time.Time { return now }, startedAt: now}
 	n.cfg.Instance = "weak"
 	n.mesh = &mesh{instance: "weak", now: n.now, self: presence{Cores: 0.2}, listed: map[string]presence{}, onInstanceCount: func(int) {}}
-	n.mesh.totals.receive(now, peer.Packet{Address: "hub", Instances: 1})
+	n.mesh.totals.receive(now, peer.Packet{Address: "coordinator", Instances: 1})
 	require.False(t, n.campaigns("pool", false))
 	now = now.Add(campaignDelay)
-	n.mesh.totals.receive(now, peer.Packet{Address: "hub", Instances: 1})
-	require.True(t, n.campaigns("pool", false), "it knows nobody else")
+	n.mesh.totals.receive(now, peer.Packet{Address: "coordinator", Instances: 1})
+	require.True(t, n.campaigns("pool", false), "no other instance is known")
 	n.mesh.updateInstance("strong", &presence{Cores: 0.8})
 	n.mesh.updateInstance("stronger", &presence{Cores: 0.9})
 	require.False(t, n.campaigns("pool", false))
 }
 
-// TestHubLeavesItsLinkToCallers compares what the hub's words take with its link.
+// TestCoordinatorLeavesItsLinkToCallers compares the bandwidth of the coordinator's packets with
+// its link.
 func TestCoordinatorLeavesItsLinkToCallers(t *testing.T) {
 	m := &mesh{now: time.Now, listed: map[string]presence{}, onInstanceCount: func(int) {}, fleetTotals: make([]peer.EndpointLoad, 140)}
 	for i := range 90 {
 		m.updateInstance(fmt.Sprint(i), &presence{})
 	}
-	const word = 6 * peer.MaxPacketBytes * 90
+	const bytesPerRound = 6 * peer.MaxPacketBytes * 90
 	m.linkBytesPerSecond = 200 * bytesPerMbit
-	require.LessOrEqual(t, word/m.announceInterval().Seconds(), announceLinkShare*m.linkBytesPerSecond*1.01)
+	require.LessOrEqual(t, bytesPerRound/m.announceInterval().Seconds(), announceLinkShare*m.linkBytesPerSecond*1.01)
 	require.GreaterOrEqual(t, m.announceInterval(), minAnnounceInterval)
 	m.linkBytesPerSecond = 10 * bytesPerMbit
 	require.Equal(t, maxAnnounceInterval, m.announceInterval())
-	require.Less(t, m.announceInterval()+meshTick, minHolderTimeout, "the others still hear it in time")
+	require.Less(t, m.announceInterval()+meshTick, minHolderTimeout, "the others still receive its packets in time")
 }
 
-// TestSilentHubIsReplaced lets entries of instances that are gone rank first.
+// TestSilentCoordinatorIsReplaced lets entries of stopped instances rank first.
 func TestSilentCoordinatorIsReplaced(t *testing.T) {
 	now := time.Now()
 	n := &Node{now: func() time.Time { return now }}
@@ -73,7 +74,7 @@
 		instance: "weak", now: n.now, self: presence{Cores: 0.2}, onInstanceCount: func(int) {},
 		listed: map[string]presence{"gone1": {Cores: 1}, "gone2": {Cores: 1}, "gone3": {Cores: 1}},
 	}
-	n.mesh.totals.receive(now, peer.Packet{Address: "hub", Instances: 1})
+	n.mesh.totals.receive(now, peer.Packet{Address: "coordinator", Instances: 1})
 	require.False(t, n.campaigns("pool", false))
 	now = now.Add(silentCampaign + 4*silentStep)
 	require.True(t, n.campaigns("pool", false))
@@ -93,7 +94,7 @@
 	n.Reload(cfg, nil)
 	require.LessOrEqual(t, n.retries.Limits().Burst*instances, 220.0)
 	n.mesh.updateInstance("one more", &presence{})
-	require.LessOrEqual(t, n.retries.Limits().Burst*(instances+1), 220.0, "what was reloaded stays in force")
+	require.LessOrEqual(t, n.retries.Limits().Burst*(instances+1), 220.0, "the reloaded configuration stays in force")
 	require.Positive(t, n.retries.Limits().Burst)
 }
 
--- a/daemon/nodeconfig_test.go
+++ b/daemon/nodeconfig_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// gap is a gap of the platform's template: a name, and whether JSON is wanted.
+// gap matches a placeholder of the platform's template: a name, and whether it is filled with JSON.
 var gap = regexp.MustCompile(`\{\{([a-zA-Z.]+)(\|json)?\}\}`)
 
-// section is a part of the template that stands if a value is true or given.
+// section matches a part of the template that is kept if its value is true or given.
 var section = regexp.MustCompile(`(?s)\{\{#([a-zA-Z.]+)\}\}(.*?)\{\{/[a-zA-Z.]+\}\}`)
 
-// TestTemplateGivesAValidConfiguration fills deploy/node.jsonc in as the platform
-// does, with values of its pages.
+// TestTemplateGivesAValidConfiguration fills in deploy/node.jsonc as the platform does, with
+// example values of the platform's documentation.
 func TestTemplateGivesAValidConfiguration(t *testing.T) {
 	cfg := fillTemplate(t, nil)
 	require.Equal(t, "edge-1", cfg.Instance)
@@ -30,7 +30,7 @@
 	require.Equal(t, DefaultNodeConfig().Allowances, cfg.Allowances)
 }
 
-// TestTemplateTakesTheBoundsOfAccounts fills it in for a deployment with accounts.
+// TestTemplateTakesTheAccountBounds fills in the template for a deployment with accounts.
 func TestTemplateTakesTheAccountBounds(t *testing.T) {
 	cfg := fillTemplate(t, map[string]string{
 		"bounds.strictRevoke": "true", "bounds.revokeMs": "5000",
@@ -40,7 +40,8 @@
 	require.Equal(t, AllowanceConfig{WindowS: 8, Over: 0.1, Slack: 17000}, cfg.Allowances)
 }
 
-// TestTemplateTakesTheBoundOfEvacuations fills it in for a deployment that evacuates domains.
+// TestTemplateTakesTheEvacuationBound fills in the template for a deployment that evacuates
+// failure domains.
 func TestTemplateTakesTheEvacuationBound(t *testing.T) {
 	require.Equal(t, 5000, fillTemplate(t, map[string]string{"bounds.evacuateMs": "5000"}).Fresh.EvacuateMS)
 }
@@ -67,7 +68,7 @@
 	text := gap.ReplaceAllStringFunc(given, func(g string) string {
 		name := gap.FindStringSubmatch(g)[1]
 		value, known := values[name]
-		require.True(t, known, "a gap that this test does not fill: %s", name)
+		require.True(t, known, "placeholder without a value: %s", name)
 		return value
 	})
 	cfg, err := ParseNodeConfig("node.jsonc", []byte(text))
--- a/daemon/settingsdelay_test.go
+++ b/daemon/settingsdelay_test.go
@@ -24,7 +24,7 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// sharedLink is a link in virtual time: what is sent waits for what was sent before.
+// sharedLink is a network link in virtual time, which sends one message after the other.
 type sharedLink struct {
 	bytesPerSecond float64
 
@@ -32,7 +32,7 @@
 	free time.Time
 }
 
-// send returns when so many bytes have been sent.
+// send queues a message of the given size and returns the time until it has been sent.
 func (l *sharedLink) send(bytes int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,10 +43,10 @@
 	return time.Until(l.free)
 }
 
-// settingsBytes is what settings with some hundred routes take in an answer of the store.
+// settingsBytes is the size of a store's answer with settings of some hundred routes.
 const settingsBytes = 45_000
 
-// settingsClient is an instance's way to the settings in a store whose link all share.
+// settingsClient is an instance's client for settings in a store whose link all instances share.
 type settingsClient struct {
 	*staleStoreClient
 	link *sharedLink
@@ -58,10 +58,10 @@
 	return c.store.list().Items[0], nil
 }
 
-// answerLatency is how long the store takes for an answer.
+// answerLatency is the time that the store takes to answer.
 const answerLatency = 4 * time.Millisecond
 
-// settingsInstance is what of an instance learns of settings and puts them in force.
+// settingsInstance is the part of an instance that receives settings and puts them in force.
 type settingsInstance struct {
 	name   string
 	link   *storeLink
@@ -71,7 +71,7 @@
 
 	mu      sync.Mutex
 	inForce int64
-	// since is when each revision came into force.
+	// inForceAt is when each revision came into force.
 	inForceAt map[int64]time.Time
 }
 
@@ -81,7 +81,7 @@
 	return i.inForce
 }
 
-// inForceSince is when a revision came into force.
+// inForceSince returns when a revision came into force.
 func (i *settingsInstance) inForceSince(revision int64) (at time.Time, known bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -104,7 +104,7 @@
 	return &revision.Accepted{Entry: revision.Entry{Revision: n}, Tree: tree}, err
 }
 
-// settingsFleet is instances that share a store; the first one holds the lease.
+// settingsFleet is a set of instances that share a store; the first one holds the lease.
 type settingsFleet struct {
 	store     *staleStore
 	storeLink *sharedLink
@@ -113,7 +113,7 @@
 	busy      *placer
 }
 
-// fleetSize is how large a fleet is, and what its instances have.
+// fleetSize is the size of a fleet, with the bandwidth and processor cores of each instance.
 type fleetSize struct {
 	instances, endpoints int
 	mbits, cores         float64
@@ -143,8 +143,8 @@
 	return f
 }
 
-// busyStep is what the placer takes for one report: with thousands of endpoints its processor
-// bears fewer reports than come.
+// busyStep is the time that the placer takes for one report: with thousands of endpoints, reports
+// arrive faster than it can process them.
 const busyStep = 5 * time.Millisecond
 
 // reportEvery is the time between two reports of an endpoint.
@@ -210,7 +210,7 @@
 	}()
 }
 
-// changeEndpoints lets an endpoint start again and again, of which the holder's view tells the
+// changeEndpoints restarts an endpoint again and again, which the holder's view reports to the
 // placer.
 func (f *settingsFleet) changeEndpoints(ctx context.Context) {
 	for n := int64(1); ctx.Err() == nil; n++ {
@@ -220,7 +220,7 @@
 	}
 }
 
-// fleetWire carries the holder's packets to all others over its link.
+// fleetWire delivers the holder's packets to all other instances over its link.
 type fleetWire struct {
 	fleet *settingsFleet
 	link  *sharedLink
@@ -244,7 +244,7 @@
 	})
 }
 
-// open opens a packet once for all who get it.
+// open decrypts a packet once for all recipients.
 func (w *fleetWire) open(sealed []byte) peer.Packet {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -265,10 +265,10 @@
 // Close implements peer.Datagrams.
 func (*fleetWire) Close() {}
 
-// TestSettingsAreInForceAtTheLastInstanceInTime guards against settings that are late at the
-// holder of the lease itself, or at those who rest on its word: it follows settings from their
-// acknowledgement through watch, word, read, ring and view, while the placer gets more reports
-// than it bears.
+// TestSettingsAreInForceEverywhereInTime guards against settings that are late at the lease holder
+// or at the instances that rely on its announcements. It follows settings from their
+// acknowledgement by the store through watch, announcement, read, ring and view, while the placer
+// gets more reports than it can process.
 func TestSettingsAreInForceEverywhereInTime(t *testing.T) {
 	for _, size := range []fleetSize{{6, 15, 1000, 0.4}, {90, 140, 200, 0.8}, {301, 3000, 1000, 0.4}, {301, 3000, 200, 0.8}, {984, 4000, 1000, 0.8}} {
 		t.Run(fmt.Sprintf("%d instances, %d endpoints, %v Mbit/s", size.instances, size.endpoints, size.mbits), func(t *testing.T) {
@@ -290,8 +290,8 @@
 	}
 }
 
-// requireInTime requires that all instances have the second revision in force as soon as the
-// users ask.
+// requireInTime requires that all instances have the second revision in force within the bound
+// that the configuration sets.
 func (f *settingsFleet) requireInTime(t *testing.T, began time.Time) {
 	t.Helper()
 	bound := milliseconds(DefaultNodeConfig().Fresh.SettingsMS)
--- a/daemon/stalestore_test.go
+++ b/daemon/stalestore_test.go
@@ -19,8 +19,8 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// lateStore keeps entries of endpoints and serves watches by calls that wait, as the
-// platform's store does. Watches that may be behind see what is staleBy old.
+// staleStore holds entries of endpoints and serves watches by long polls, as the platform's
+// store does. Watches that accept stale answers see the state of staleBy ago.
 type staleStore struct {
 	staleBy time.Duration
 
@@ -88,14 +88,14 @@
 	return l
 }
 
-// since returns what a watch sees behind a revision, and what to wait for if that is
-// nothing.
-func (s *staleStore) changesAfter(revision int64, behind bool) (events []store.Event, at int64, changed <-chan struct{}) {
+// changesAfter returns the changes after a revision that a watch sees, and a channel that is
+// closed at the next change.
+func (s *staleStore) changesAfter(revision int64, stale bool) (events []store.Event, at int64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at = revision
 	for _, c := range s.history {
-		if c.revision <= revision || behind && time.Since(c.at) < s.staleBy {
+		if c.revision <= revision || stale && time.Since(c.at) < s.staleBy {
 			continue
 		}
 		events, at = append(events, c.event), c.revision
@@ -103,7 +103,7 @@
 	return events, at, s.changed
 }
 
-// lateClient is one instance's way to the store.
+// staleStoreClient is one instance's client of a staleStore.
 type staleStoreClient struct {
 	store.Client
 	store *staleStore
@@ -111,17 +111,16 @@
 	fresh NodeFreshness
 
 	mu sync.Mutex
-	// calls are those that were made, closeCalls those of them that are not behind.
+	// calls counts the calls made, freshCalls those that do not accept stale answers.
 	calls, freshCalls int
-	// away makes calls fail, silent makes watches that begin now wait in vain; both
-	// end a watch that waits when they change.
+	// away makes calls fail; silent makes watches that start now get no answer.
 	away, silent bool
 	cut          chan struct{}
 }
 
 var errStoreAway = errors.New("the store does not answer")
 
-// set changes how the store behaves to this instance; cut breaks the watch that waits.
+// set changes how the store behaves towards this instance; cut ends its pending watch.
 func (c *staleStoreClient) set(away, silent, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,28 +150,28 @@
 	revision, err := strconv.ParseInt(version, 10, 64)
 	for err == nil {
 		var events []store.Event
-		behind := o.StaleAllowed()
-		if events, revision, err = c.wait(ctx, revision, behind); err != nil {
+		stale := o.StaleAllowed()
+		if events, revision, err = c.wait(ctx, revision, stale); err != nil {
 			return err
 		}
 		at := strconv.FormatInt(revision, 10)
 		for _, e := range append(events, bookmark(at)) {
-			e.Object.Metadata.ResourceVersion, e.Stale = at, behind
+			e.Object.Metadata.ResourceVersion, e.Stale = at, stale
 			handle(e)
 		}
 	}
 	return err
 }
 
-// wait is one call of a watch.
-func (c *staleStoreClient) wait(ctx context.Context, revision int64, behind bool) ([]store.Event, int64, error) {
+// wait makes one call of a watch.
+func (c *staleStoreClient) wait(ctx context.Context, revision int64, stale bool) ([]store.Event, int64, error) {
 	hold := c.fresh.entriesWatchHold()
-	if behind {
+	if stale {
 		hold = c.fresh.staleWatchHold()
 	}
 	away, silent, cut := c.state()
 	c.link.callStarted(hold)
-	c.count(behind)
+	c.count(stale)
 	if away {
 		return nil, 0, errStoreAway
 	}
@@ -183,14 +182,14 @@
 		var changed <-chan struct{}
 		var look <-chan time.Time
 		if !silent {
-			events, at, more := c.store.changesAfter(revision, behind)
+			events, at, more := c.store.changesAfter(revision, stale)
 			if len(events) > 0 {
 				c.link.callAnswered()
 				return events, at, nil
 			}
 			changed = more
-			if behind {
-				// What is old enough now becomes visible.
+			if stale {
+				// Changes become visible once they are old enough.
 				look = time.After(10 * time.Millisecond)
 			}
 		}
@@ -212,23 +211,24 @@
 	}
 }
 
-func (c *staleStoreClient) count(behind bool) {
+func (c *staleStoreClient) count(stale bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
-	if !behind {
+	if !stale {
 		c.freshCalls++
 	}
 }
 
-// counted returns how many calls were made, and how many of them were close.
+// callCounts returns the number of calls made, and how many of them did not accept stale
+// answers.
 func (c *staleStoreClient) callCounts() (all, closely int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls, c.freshCalls
 }
 
-// lateInstance is what of an instance learns of endpoints that leave.
+// entriesInstance is the part of an instance that learns which endpoints leave.
 type entriesInstance struct {
 	client *staleStoreClient
 	link   *storeLink
@@ -237,7 +237,7 @@
 	list   *membership.List
 
 	mu sync.Mutex
-	// left is when each endpoint was known to take no more work.
+	// left is when the instance learned that an endpoint accepts no more requests.
 	left map[string]time.Time
 }
 
@@ -269,14 +269,14 @@
 	return i
 }
 
-// follow runs what follows the store.
+// follow starts the tasks that follow the store.
 func (i *entriesInstance) follow(ctx context.Context) {
 	go i.duty.watch(ctx)
 	go i.duty.run(ctx)
 	go i.applyListings(ctx)
 }
 
-// learn takes the list as the view does.
+// applyListings applies member lists as the view does.
 func (i *entriesInstance) applyListings(ctx context.Context) {
 	for {
 		e, err := i.duty.events.Take(ctx)
@@ -304,17 +304,17 @@
 	}
 }
 
-// lateness is how long after began the instance knew that the endpoint leaves.
+// lateness returns how long after began the instance learned that the endpoint leaves.
 func (i *entriesInstance) lateness(t *testing.T, name string, began time.Time) time.Duration {
 	t.Helper()
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	at, known := i.left[name]
-	require.True(t, known, "%s is not known to leave", name)
+	require.True(t, known, "the instance has not learned that %s leaves", name)
 	return at.Sub(began)
 }
 
-// wire carries the packets of one instance to the only other one.
+// wire delivers the packets of one instance to the only other one.
 type wire struct {
 	from, to *entriesInstance
 }
@@ -336,7 +336,7 @@
 
 func (wire) Close() {}
 
-// speak lets a holder of the lease renew it and tell the other instance what it knows.
+// announceTo lets a lease holder renew its lease and announce what it knows to the other instance.
 func (i *entriesInstance) announceTo(ctx context.Context, to *entriesInstance) {
 	i.mesh.datagrams = wire{from: i, to: to}
 	i.mesh.listed[to.mesh.instance] = presence{Datagrams: "10.0.0.2:1"}
@@ -359,7 +359,7 @@
 	}()
 }
 
-// busy lets other endpoints change all the time, as units come and go.
+// churn keeps changing another endpoint, as units are loaded and unloaded.
 func (s *staleStore) churn(ctx context.Context) {
 	for n := 1; ctx.Err() == nil; n++ {
 		s.putSlots("busy", membership.Live, n)
--- a/daemon/suspension_test.go
+++ b/daemon/suspension_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestInterruptGivesUpCallsThatWait makes calls that are never answered, as on connections
-// that went silent while the machine was suspended: an interruption ends all of them, and
+// TestInterruptCancelsPendingCalls makes calls that are never answered, as on connections that
+// have failed silently while the machine was suspended: an interruption cancels all of them, and
 // later calls are served.
 func TestInterruptCancelsPendingCalls(t *testing.T) {
 	asked := make(chan struct{}, 3)
