--- a/daemon/arrivedrequest_test.go
+++ b/daemon/arrivedrequest_test.go
@@ -87,97 +87,97 @@
 // newCallerHarnessWithoutServer returns a harness without server and caller, whose hooks do
 // nothing.
 func newCallerHarnessWithoutServer(t *testing.T) *callerHarness {
-	a := &callerHarness{t: t}
+	h := &callerHarness{t: t}
 	none := readHook(func(int) {})
-	a.beforeRead.Store(&none)
-	a.afterRead.Store(&none)
-	return a
+	h.beforeRead.Store(&none)
+	h.afterRead.Store(&none)
+	return h
 }
 
 func newCallerHarness(t *testing.T) *callerHarness {
-	a := newCallerHarnessWithoutServer(t)
-	a.idle = newIdleConns(logr.Discard(), a.now, func() time.Duration { return connIdleLimit })
-	a.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		a.served.Add(1)
+	h := newCallerHarnessWithoutServer(t)
+	h.idle = newIdleConns(logr.Discard(), h.now, func() time.Duration { return connIdleLimit })
+	h.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		h.served.Add(1)
 		_, _ = io.WriteString(w, "answer to "+r.URL.Path)
 	})}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	go func() { _ = a.idle.serve(a.server, &hookedListener{l, a}) }()
-	t.Cleanup(func() { a.server.Close() })
-	a.dial(l.Addr().String())
-	return a
+	go func() { _ = h.idle.serve(h.server, &hookedListener{l, h}) }()
+	t.Cleanup(func() { h.server.Close() })
+	h.dial(l.Addr().String())
+	return h
 }
 
 // dial opens the caller's connection.
-func (a *callerHarness) dial(address string) {
-	a.t.Helper()
+func (h *callerHarness) dial(address string) {
+	h.t.Helper()
 	var err error
-	a.caller, err = net.Dial("tcp", address)
-	require.NoError(a.t, err)
-	a.t.Cleanup(func() { a.caller.Close() })
-	a.reader = bufio.NewReader(a.caller)
+	h.caller, err = net.Dial("tcp", address)
+	require.NoError(h.t, err)
+	h.t.Cleanup(func() { h.caller.Close() })
+	h.reader = bufio.NewReader(h.caller)
 }
 
 // now returns a fixed time, or one past the idle limit once pastLimit is set.
-func (a *callerHarness) now() time.Time {
+func (h *callerHarness) now() time.Time {
 	start := time.Unix(1000, 0)
-	if a.pastLimit.Load() {
+	if h.pastLimit.Load() {
 		return start.Add(3 * connIdleLimit)
 	}
 	return start
 }
 
 // send sends a request for path.
-func (a *callerHarness) send(path string) {
-	a.t.Helper()
-	_, err := fmt.Fprintf(a.caller, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", path)
-	require.NoError(a.t, err)
+func (h *callerHarness) send(path string) {
+	h.t.Helper()
+	_, err := fmt.Fprintf(h.caller, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", path)
+	require.NoError(h.t, err)
 }
 
 // requireAnswer reads a response and requires that it is the one to the request for path.
-func (a *callerHarness) requireAnswer(path string) {
-	a.t.Helper()
-	resp, err := http.ReadResponse(a.reader, nil)
-	require.NoError(a.t, err, "no answer to %s; %d requests were served", path, a.served.Load())
+func (h *callerHarness) requireAnswer(path string) {
+	h.t.Helper()
+	resp, err := http.ReadResponse(h.reader, nil)
+	require.NoError(h.t, err, "no answer to %s; %d requests were served", path, h.served.Load())
 	body, err := io.ReadAll(resp.Body)
-	require.NoError(a.t, err)
-	require.Equal(a.t, "answer to "+path, string(body))
+	require.NoError(h.t, err)
+	require.Equal(h.t, "answer to "+path, string(body))
 }
 
 // waitIdle waits until the server counts the connection as idle.
-func (a *callerHarness) waitIdle() {
-	a.t.Helper()
-	require.Eventually(a.t, func() bool {
-		a.idle.mu.Lock()
-		defer a.idle.mu.Unlock()
-		return len(a.idle.idle) == 1
+func (h *callerHarness) waitIdle() {
+	h.t.Helper()
+	require.Eventually(h.t, func() bool {
+		h.idle.mu.Lock()
+		defer h.idle.mu.Unlock()
+		return len(h.idle.idle) == 1
 	}, waitLimit, time.Millisecond)
 }
 
 // sweepPastLimit sweeps after the connection has been idle for longer than the limit.
-func (a *callerHarness) sweepPastLimit() {
-	a.pastLimit.Store(true)
-	a.idle.sweep()
+func (h *callerHarness) sweepPastLimit() {
+	h.pastLimit.Store(true)
+	h.idle.sweep()
 }
 
 // waitUnread waits until the server has unread bytes.
-func (a *callerHarness) waitUnread() {
-	a.t.Helper()
-	raw, err := a.accepted.Load().SyscallConn()
-	require.NoError(a.t, err)
-	require.Eventually(a.t, func() bool {
+func (h *callerHarness) waitUnread() {
+	h.t.Helper()
+	raw, err := h.accepted.Load().SyscallConn()
+	require.NoError(h.t, err)
+	require.Eventually(h.t, func() bool {
 		var unread int
-		require.NoError(a.t, raw.Control(func(fd uintptr) { unread, _ = unix.IoctlGetInt(int(fd), unix.SIOCINQ) }))
+		require.NoError(h.t, raw.Control(func(fd uintptr) { unread, _ = unix.IoctlGetInt(int(fd), unix.SIOCINQ) }))
 		return unread > 0
 	}, waitLimit, time.Millisecond)
 }
 
 // drainNow drains the server without waiting.
-func (a *callerHarness) drainNow() {
+func (h *callerHarness) drainNow() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = a.idle.drain(ctx)
+	_ = h.idle.drain(ctx)
 }
 
 // Guards against a sweep of idle connections that closes the connection of a request that is
@@ -186,37 +186,37 @@
 // longer than the limit. The request would still be sent to an endpoint, and its caller would get
 // no response.
 func TestSweepSparesRequestBeingRead(t *testing.T) {
-	a := newCallerHarness(t)
-	a.send("/first")
-	a.requireAnswer("/first")
-	a.waitIdle()
-	sweep := readHook(func(int) { a.sweepPastLimit() })
-	a.afterRead.Store(&sweep)
-	a.send("/second")
-	require.Eventually(t, func() bool { return a.served.Load() == 2 }, waitLimit, time.Millisecond, "the request is served")
-	a.requireAnswer("/second")
+	h := newCallerHarness(t)
+	h.send("/first")
+	h.requireAnswer("/first")
+	h.waitIdle()
+	sweep := readHook(func(int) { h.sweepPastLimit() })
+	h.afterRead.Store(&sweep)
+	h.send("/second")
+	require.Eventually(t, func() bool { return h.served.Load() == 2 }, waitLimit, time.Millisecond, "the request is served")
+	h.requireAnswer("/second")
 }
 
 // Guards against a sweep that judges by the idle time alone. While an instance is stalled,
 // requests queue up unread; the first sweep afterwards would close their connections, although
 // the callers kept to the limit when they sent.
 func TestSweepSparesUnreadRequest(t *testing.T) {
-	a := newCallerHarness(t)
+	h := newCallerHarness(t)
 	still := make(chan struct{})
 	hold := readHook(func(read int) {
 		if read == 2 {
 			<-still
 		}
 	})
-	a.beforeRead.Store(&hold)
-	a.send("/first")
-	a.requireAnswer("/first")
-	a.waitIdle()
-	a.send("/second")
-	a.waitUnread()
-	a.sweepPastLimit()
+	h.beforeRead.Store(&hold)
+	h.send("/first")
+	h.requireAnswer("/first")
+	h.waitIdle()
+	h.send("/second")
+	h.waitUnread()
+	h.sweepPastLimit()
 	close(still)
-	a.requireAnswer("/second")
+	h.requireAnswer("/second")
 }
 
 // Guards against a planned stop that closes the connections that net/http counts as idle.
@@ -225,16 +225,16 @@
 func TestStopAnswersRequestBeingRead(t *testing.T) {
 	for name, before := range map[string][]string{"first request": nil, "on a kept connection": {"/first"}} {
 		t.Run(name, func(t *testing.T) {
-			a := newCallerHarness(t)
+			h := newCallerHarness(t)
 			for _, path := range before {
-				a.send(path)
-				a.requireAnswer(path)
-				a.waitIdle()
+				h.send(path)
+				h.requireAnswer(path)
+				h.waitIdle()
 			}
-			end := readHook(func(int) { a.drainNow() })
-			a.afterRead.Store(&end)
-			a.send("/last")
-			a.requireAnswer("/last")
+			end := readHook(func(int) { h.drainNow() })
+			h.afterRead.Store(&end)
+			h.send("/last")
+			h.requireAnswer("/last")
 		})
 	}
 }
@@ -242,13 +242,13 @@
 // Guards against the same fault in a planned stop of an Instance by net/http's Shutdown alone,
 // which closes the connections that it counts as idle and drops all that it reads from then on.
 func TestPlannedStopOfAnInstanceAnswersRequestBeingRead(t *testing.T) {
-	a := newCallerHarnessWithoutServer(t)
+	h := newCallerHarnessWithoutServer(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	f := startFleetOn(t, &hookedListener{l, a})
-	a.dial(l.Addr().String())
-	a.send("/v1/models")
-	a.requireSomeAnswer()
+	f := startFleetOn(t, &hookedListener{l, h})
+	h.dial(l.Addr().String())
+	h.send("/v1/models")
+	h.requireSomeAnswer()
 	// The server counts the connection as idle only shortly after its response.
 	time.Sleep(100 * time.Millisecond)
 	ends := readHook(func(int) {
@@ -261,37 +261,37 @@
 			return err != nil
 		}, waitLimit, time.Millisecond, "the listener is closed")
 	})
-	a.afterRead.Store(&ends)
-	a.send("/v1/models")
-	a.requireSomeAnswer()
+	h.afterRead.Store(&ends)
+	h.send("/v1/models")
+	h.requireSomeAnswer()
 }
 
 // requireSomeAnswer reads a response of any status.
-func (a *callerHarness) requireSomeAnswer() {
-	a.t.Helper()
-	resp, err := http.ReadResponse(a.reader, nil)
-	require.NoError(a.t, err)
+func (h *callerHarness) requireSomeAnswer() {
+	h.t.Helper()
+	resp, err := http.ReadResponse(h.reader, nil)
+	require.NoError(h.t, err)
 	_, err = io.Copy(io.Discard, resp.Body)
-	require.NoError(a.t, err)
+	require.NoError(h.t, err)
 }
 
 // Whether an idle connection may be closed depends on its unread bytes: it must stay open if a
 // byte has arrived, and may be closed otherwise.
 func TestIdleConnectionWithNothingUnreadIsClosed(t *testing.T) {
-	a := newCallerHarness(t)
-	a.send("/first")
-	a.requireAnswer("/first")
-	a.waitIdle()
-	a.idle.mu.Lock()
-	defer a.idle.mu.Unlock()
-	conns := slices.Collect(maps.Keys(a.idle.open))
+	h := newCallerHarness(t)
+	h.send("/first")
+	h.requireAnswer("/first")
+	h.waitIdle()
+	h.idle.mu.Lock()
+	defer h.idle.mu.Unlock()
+	conns := slices.Collect(maps.Keys(h.idle.open))
 	require.Len(t, conns, 1)
 	conn := conns[0].(*callerConn)
 	conn.mu.Lock()
 	require.True(t, conn.idle, "it is idle after its response")
 	require.False(t, conn.hasUnread())
 	conn.mu.Unlock()
-	require.True(t, a.idle.closeIfIdle(conn))
+	require.True(t, h.idle.closeIfIdle(conn))
 }
 
 // An unread byte keeps a connection open that has not been read from since its last response.
--- a/daemon/hungpoll_test.go
+++ b/daemon/hungpoll_test.go
@@ -40,14 +40,14 @@
 	hung, calls atomic.Int64
 }
 
-func (s *hangingHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.calls.Add(1)
-	if s.hanging.Load() {
-		s.hung.Add(1)
+func (h *hangingHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	h.calls.Add(1)
+	if h.hanging.Load() {
+		h.hung.Add(1)
 		<-r.Context().Done()
 		return
 	}
-	s.next.ServeHTTP(w, r)
+	h.next.ServeHTTP(w, r)
 }
 
 // memoryTransport passes calls to a handler without a network. Like net/http's transport it
@@ -57,12 +57,12 @@
 	idleCloses atomic.Int64
 }
 
-func (m *memoryTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t *memoryTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	answer := &recordedResponse{header: http.Header{}, status: http.StatusOK}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		m.handler.ServeHTTP(answer, r)
+		t.handler.ServeHTTP(answer, r)
 	}()
 	select {
 	case <-r.Context().Done():
@@ -72,7 +72,7 @@
 	return &http.Response{StatusCode: answer.status, Header: answer.header, Body: io.NopCloser(&answer.body), Request: r}, nil
 }
 
-func (m *memoryTransport) CloseIdleConnections() { m.idleCloses.Add(1) }
+func (t *memoryTransport) CloseIdleConnections() { t.idleCloses.Add(1) }
 
 type recordedResponse struct {
 	header http.Header
@@ -80,9 +80,9 @@
 	body   bytes.Buffer
 }
 
-func (a *recordedResponse) Header() http.Header         { return a.header }
-func (a *recordedResponse) WriteHeader(status int)      { a.status = status }
-func (a *recordedResponse) Write(b []byte) (int, error) { return a.body.Write(b) }
+func (r *recordedResponse) Header() http.Header         { return r.header }
+func (r *recordedResponse) WriteHeader(status int)      { r.status = status }
+func (r *recordedResponse) Write(b []byte) (int, error) { return r.body.Write(b) }
 
 // membersWith returns a platform's member list that holds one endpoint.
 func membersWith(endpoint standin.Member) *standin.Members {
@@ -323,16 +323,16 @@
 	receivers map[string]*peersDuty
 }
 
-func (w *memoryDatagrams) Send(address string, data []byte) {
-	w.mu.Lock()
-	to := w.receivers[address]
-	w.mu.Unlock()
+func (d *memoryDatagrams) Send(address string, data []byte) {
+	d.mu.Lock()
+	to := d.receivers[address]
+	d.mu.Unlock()
 	if to != nil {
 		to.receive(data)
 	}
 }
 
-func (w *memoryDatagrams) Close() {}
+func (d *memoryDatagrams) Close() {}
 
 // slowHandler delays each answer by a random time below a bound. It is not safe for concurrent
 // use.
@@ -342,9 +342,9 @@
 	rand  *rand.Rand
 }
 
-func (s slowHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.next.ServeHTTP(w, r)
-	time.Sleep(time.Duration(s.rand.Int64N(int64(s.bound))))
+func (h slowHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	h.next.ServeHTTP(w, r)
+	time.Sleep(time.Duration(h.rand.Int64N(int64(h.bound))))
 }
 
 // TestVersionReportsCostNoCallsWhileAllPollsWork has instances that report the versions of their
--- a/daemon/lag.go
+++ b/daemon/lag.go
@@ -24,30 +24,30 @@
 }
 
 // markProcessed adds to the number of events that have been applied.
-func (a *lagTracker) markProcessed(events int64) {
-	if a == nil {
+func (t *lagTracker) markProcessed(events int64) {
+	if t == nil {
 		return
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.processed += events
-	a.updateCaughtUp()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.processed += events
+	t.updateCaughtUp()
 }
 
 // updateCaughtUp records the time if all events have been applied; mu must be held.
-func (a *lagTracker) updateCaughtUp() {
-	if a.processed >= a.enqueued() {
-		a.caughtUpAt = a.now()
+func (t *lagTracker) updateCaughtUp() {
+	if t.processed >= t.enqueued() {
+		t.caughtUpAt = t.now()
 	}
 }
 
 // lag returns for how long events have been waiting, 0 if none are.
-func (a *lagTracker) lag() time.Duration {
-	if a == nil {
+func (t *lagTracker) lag() time.Duration {
+	if t == nil {
 		return 0
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.updateCaughtUp()
-	return a.now().Sub(a.caughtUpAt)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.updateCaughtUp()
+	return t.now().Sub(t.caughtUpAt)
 }
--- a/daemon/pollers.go
+++ b/daemon/pollers.go
@@ -27,7 +27,7 @@
 	log    logr.Logger
 	// onListing, if not nil, is called with the version of each answer and with the
 	// announced version that prompted the call, 0 if none did.
-	onListing func(version, asked int64)
+	onListing func(version, requested int64)
 	// announcedVersion is a version that another instance has and that was not requested
 	// yet, or 0.
 	announcedVersion atomic.Int64
@@ -36,48 +36,48 @@
 // membersRetryDelay is the mean delay before the next call after a failed one.
 const membersRetryDelay = 300 * time.Millisecond
 
-func (d *membersPoller) run(ctx context.Context) {
+func (p *membersPoller) run(ctx context.Context) {
 	var version int64
 	for ctx.Err() == nil {
-		after, requested := version, d.announcedVersion.Swap(0)
+		after, requested := version, p.announcedVersion.Swap(0)
 		if requested > version {
 			// Version 0 makes the platform answer at once, whichever version it has.
 			after = 0
 		} else {
 			requested = 0
 		}
-		listing, err := d.source.Next(ctx, after)
+		listing, err := p.source.Next(ctx, after)
 		if err != nil {
-			d.handleFailure(ctx, err, version)
+			p.handleFailure(ctx, err, version)
 			continue
 		}
 		version = listing.Version
-		_ = d.events.Put(ctx, membersListed{listing})
-		if d.onListing != nil {
-			d.onListing(version, requested)
+		_ = p.events.Put(ctx, membersListed{listing})
+		if p.onListing != nil {
+			p.onListing(version, requested)
 		}
 	}
 }
 
 // handleFailure logs a call without an answer and delays the next one, unless the call was
 // cancelled in order to poll again at once.
-func (d *membersPoller) handleFailure(ctx context.Context, err error, version int64) {
+func (p *membersPoller) handleFailure(ctx context.Context, err error, version int64) {
 	if ctx.Err() != nil {
 		return
 	}
 	if cancelled := (*membership.PollCancelledError)(nil); errors.As(err, &cancelled) {
-		d.log.Info("long poll of the member list cancelled", "version", version, "told", d.announcedVersion.Load(), "waited_ms", cancelled.Waited.Milliseconds())
+		p.log.Info("long poll of the member list cancelled", "version", version, "told", p.announcedVersion.Load(), "waited_ms", cancelled.Waited.Milliseconds())
 		return
 	}
-	d.log.Info("member list request failed", "error", err.Error())
+	p.log.Info("member list request failed", "error", err.Error())
 	wait.For(ctx, jitter(membersRetryDelay))
 }
 
 // requestVersion cancels a pending long poll and polls again at once, as another instance
 // has that version of the list.
-func (d *membersPoller) requestVersion(version int64) {
-	d.announcedVersion.Store(version)
-	d.source.CancelPoll()
+func (p *membersPoller) requestVersion(version int64) {
+	p.announcedVersion.Store(version)
+	p.source.CancelPoll()
 }
 
 // loadPoller requests load reports from the engines in turn. Its rate does not grow
@@ -103,26 +103,26 @@
 // noEndpointsDelay is the delay before the next round while there is no endpoint to poll.
 const noEndpointsDelay = 100 * time.Millisecond
 
-func (d *loadPoller) run(ctx context.Context) {
+func (p *loadPoller) run(ctx context.Context) {
 	var before int64
 	for ctx.Err() == nil {
 		polled := 0
-		now := d.requestCount()
-		d.limiter.SetLimit(d.idleRate)
+		now := p.requestCount()
+		p.limiter.SetLimit(p.idleRate)
 		if now != before {
-			d.limiter.SetLimit(d.activeRate)
+			p.limiter.SetLimit(p.activeRate)
 		}
 		before = now
-		for name, pool := range d.pools() {
+		for name, pool := range p.pools() {
 			if pool.Kind != settings.KindEngine {
 				continue
 			}
-			for _, e := range d.router.View().Pools[name] {
-				if d.limiter.Wait(ctx) != nil {
+			for _, e := range p.router.View().Pools[name] {
+				if p.limiter.Wait(ctx) != nil {
 					return
 				}
 				polled++
-				go d.poll(ctx, e)
+				go p.poll(ctx, e)
 			}
 		}
 		if polled == 0 {
@@ -131,23 +131,23 @@
 	}
 }
 
-func (d *loadPoller) pools() map[string]*settings.Pool {
-	if c := d.catalog(); c != nil {
+func (p *loadPoller) pools() map[string]*settings.Pool {
+	if c := p.catalog(); c != nil {
 		return c.Tree.Pools
 	}
 	return nil
 }
 
-func (d *loadPoller) poll(ctx context.Context, e *routing.Endpoint) {
+func (p *loadPoller) poll(ctx context.Context, e *routing.Endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	own := e.OwnInFlight()
-	report, err := d.client.Load(ctx, e.Name, e.Address)
+	report, err := p.client.Load(ctx, e.Name, e.Address)
 	if err != nil {
-		d.log.V(1).Info("load report request failed", "endpoint", e.Name, "error", err.Error())
+		p.log.V(1).Info("load report request failed", "endpoint", e.Name, "error", err.Error())
 		return
 	}
-	_ = d.events.Put(ctx, loadReported{endpoint: e.Name, ownInFlight: own, report: report})
+	_ = p.events.Put(ctx, loadReported{endpoint: e.Name, ownInFlight: own, report: report})
 }
 
 // jitter returns a uniformly random duration between half and one and a half of d.
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -41,41 +41,41 @@
 // newer one is known.
 const candidatesCapacity = 8
 
-func (d *settingsFetcher) run(ctx context.Context) {
+func (f *settingsFetcher) run(ctx context.Context) {
 	for {
-		w, err := d.candidates.Take(ctx)
+		w, err := f.candidates.Take(ctx)
 		if err != nil {
 			return
 		}
-		if w.revision <= d.newest {
+		if w.revision <= f.newest {
 			continue
 		}
-		if err := d.fetch(ctx, w); err != nil {
-			d.log.Info("fetching settings failed", "revision", w.revision, "from", w.peerAddress, "error", err.Error())
+		if err := f.fetch(ctx, w); err != nil {
+			f.log.Info("fetching settings failed", "revision", w.revision, "from", w.peerAddress, "error", err.Error())
 		}
 	}
 }
 
-func (d *settingsFetcher) fetch(ctx context.Context, w settingsCandidate) error {
+func (f *settingsFetcher) fetch(ctx context.Context, w settingsCandidate) error {
 	var accepted *revision.Accepted
 	var err error
 	if w.root != nil {
-		accepted, err = d.fetcher.Fetch(ctx, w.root.Current, w.root.InlineSource(revision.StoreSource(d.client)))
+		accepted, err = f.fetcher.Fetch(ctx, w.root.Current, w.root.InlineSource(revision.StoreSource(f.client)))
 	} else {
-		accepted, err = d.fetchFromPeer(ctx, w.peerAddress)
+		accepted, err = f.fetchFromPeer(ctx, w.peerAddress)
 	}
 	if err != nil {
 		return err
 	}
-	if accepted.Entry.Revision <= d.newest {
+	if accepted.Entry.Revision <= f.newest {
 		return nil
 	}
-	d.newest = accepted.Entry.Revision
-	return d.events.Put(ctx, settingsAccepted{accepted: accepted})
+	f.newest = accepted.Entry.Revision
+	return f.events.Put(ctx, settingsAccepted{accepted: accepted})
 }
 
-func (d *settingsFetcher) fetchFromPeer(ctx context.Context, address string) (*revision.Accepted, error) {
-	session, err := d.streams.Dial(ctx, address)
+func (f *settingsFetcher) fetchFromPeer(ctx context.Context, address string) (*revision.Accepted, error) {
+	session, err := f.streams.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -88,45 +88,45 @@
 	if err := cbor.Unmarshal(data, &entry); err != nil {
 		return nil, err
 	}
-	return d.fetcher.Fetch(ctx, entry, func(ctx context.Context, hash string) ([]byte, error) {
+	return f.fetcher.Fetch(ctx, entry, func(ctx context.Context, hash string) ([]byte, error) {
 		return session.Call(ctx, peer.Request{Chunk: hash})
 	})
 }
 
 // watch maintains this instance's only watch on the root object of the settings.
-func (d *settingsFetcher) watch(ctx context.Context) {
-	r := watchLatest(d.client, store.KindSettings, store.WatchOptions{}, d.contact.storeAnswered,
-		func(o store.Object) { d.rootRead(ctx, o) },
-		func(err error) { d.log.Info("settings watch interrupted", "error", err.Error()) })
+func (f *settingsFetcher) watch(ctx context.Context) {
+	r := watchLatest(f.client, store.KindSettings, store.WatchOptions{}, f.contact.storeAnswered,
+		func(o store.Object) { f.rootRead(ctx, o) },
+		func(err error) { f.log.Info("settings watch interrupted", "error", err.Error()) })
 	r.Run(ctx)
 }
 
-func (d *settingsFetcher) rootRead(ctx context.Context, o store.Object) {
+func (f *settingsFetcher) rootRead(ctx context.Context, o store.Object) {
 	if o.Metadata.Name != revision.RootName {
 		return
 	}
 	root, err := revision.DecodeRoot(o)
 	if err != nil {
-		d.log.Error(err, "settings root cannot be decoded")
+		f.log.Error(err, "settings root cannot be decoded")
 		return
 	}
-	_ = d.candidates.Put(ctx, settingsCandidate{root: &root, revision: root.Current.Revision})
+	_ = f.candidates.Put(ctx, settingsCandidate{root: &root, revision: root.Current.Revision})
 }
 
 // confirmTimeout bounds a read of the root that confirms the revision in force.
 const confirmTimeout = time.Second
 
 // confirm reads the root from the store. It reports whether the store answered.
-func (d *settingsFetcher) confirm(ctx context.Context) bool {
+func (f *settingsFetcher) confirm(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	o, err := d.client.Get(ctx, store.KindSettings, revision.RootName)
+	o, err := f.client.Get(ctx, store.KindSettings, revision.RootName)
 	if err != nil && !store.IsNotFound(err) {
 		return false
 	}
-	d.contact.storeAnswered()
+	f.contact.storeAnswered()
 	if err == nil {
-		d.rootRead(ctx, o)
+		f.rootRead(ctx, o)
 	}
 	return true
 }
@@ -138,13 +138,13 @@
 
 // poll reads the root periodically, as a watch can break without notice. An instance without
 // contact to any peer polls once a second, so that its settings stay confirmed.
-func (d *settingsFetcher) poll(ctx context.Context, instances func() int) {
+func (f *settingsFetcher) poll(ctx context.Context, instances func() int) {
 	for ctx.Err() == nil {
 		every := max(time.Duration(instances())*pollPeriodPerInstance, time.Second)
-		if d.contact.peersSilent() {
+		if f.contact.peersSilent() {
 			every = time.Second
 		}
 		wait.For(ctx, jitter(every))
-		d.confirm(ctx)
+		f.confirm(ctx)
 	}
 }
