--- a/daemon/leavedelay_test.go
+++ b/daemon/leavedelay_test.go
@@ -272,7 +272,7 @@
 	return late
 }
 
-// Guards against a removal that is ignored after an outage. The store was unavailable to all
+// Guards against a removal that is noticed late after an outage. The store was unavailable to all
 // instances and has been back for longer than they may need to be in contact, but nothing has
 // changed since, so that no watch has had an answer. If the first answer, that an endpoint was
 // removed, counted as the store's return, all instances, the lease holder too, would retain the
