--- a/daemon/hungpoll_test.go
+++ b/daemon/hungpoll_test.go
@@ -121,16 +121,16 @@
 		ctx, stop := context.WithCancel(t.Context())
 		members := membersWith(deskMember)
 		list := &hangingHandler{next: members}
-		d := &membersPoller{source: membership.NewSource("http://platform", &memoryTransport{handler: list}), events: ring.New[event](eventsCapacity, ring.Block), log: logr.Discard()}
+		p := &membersPoller{source: membership.NewSource("http://platform", &memoryTransport{handler: list}), events: ring.New[event](eventsCapacity, ring.Block), log: logr.Discard()}
 		var running sync.WaitGroup
 		list.hanging.Store(true)
-		running.Go(func() { d.run(ctx) })
+		running.Go(func() { p.run(ctx) })
 		synctest.Wait()
 		list.hanging.Store(false)
 		leaves := deskMember
 		leaves.State = standin.MemberLeaving
 		members.Set(leaves)
-		require.True(t, listedLeaving(d.events, platformHold+3*time.Second))
+		require.True(t, listedLeaving(p.events, platformHold+3*time.Second))
 		stop()
 		running.Wait()
 	})
@@ -369,19 +369,19 @@
 			w.receivers[fmt.Sprintf("10.0.0.1:%d", at+1)] = peers
 			list := &hangingHandler{next: slowHandler{members, latest, rand.New(rand.NewPCG(uint64(at), 0))}}
 			lists = append(lists, list)
-			duty := &membersPoller{
+			poller := &membersPoller{
 				source: membership.NewSource("http://platform", &memoryTransport{handler: list}), events: ring.New[event](eventsCapacity, ring.Block),
 				log: logr.Discard(), onListing: peers.listReceived,
 			}
-			peers.refreshList = duty.requestVersion
+			peers.refreshList = poller.requestVersion
 			// The ticks of the instances are spread over time.
 			time.Sleep(peerTickInterval / instances)
 			go peers.run(ctx)
-			go duty.run(ctx)
+			go poller.run(ctx)
 			go func() {
 				known := membership.NewList()
 				for {
-					e, err := duty.events.Take(ctx)
+					e, err := poller.events.Take(ctx)
 					if err != nil {
 						return
 					}
--- a/daemon/leavedelay_test.go
+++ b/daemon/leavedelay_test.go
@@ -26,9 +26,9 @@
 	calm                              bool
 }
 
-// runLeaveCase lets an endpoint leave and then applies strike to the holder. It returns how
+// runLeaveCase lets an endpoint leave and then applies injectFault to the holder. It returns how
 // long after the endpoint began to leave the follower knows it.
-func runLeaveCase(t *testing.T, c leaveCase, strike func(holder *entriesInstance, kill func())) time.Duration {
+func runLeaveCase(t *testing.T, c leaveCase, injectFault func(holder *entriesInstance, kill func())) time.Duration {
 	t.Helper()
 	var late time.Duration
 	synctest.Test(t, func(t *testing.T) {
@@ -50,7 +50,7 @@
 		began := time.Now()
 		s.put("e", membership.Leaving)
 		time.Sleep(c.failure)
-		strike(holder, kill)
+		injectFault(holder, kill)
 		time.Sleep(5 * time.Second)
 		late = follower.lateness(t, "e", began)
 		kill()
@@ -68,7 +68,7 @@
 )
 
 // worstLateness returns the greatest lateness of many random cases, and its case.
-func worstLateness(t *testing.T, strike func(holder *entriesInstance, kill func())) (worst time.Duration, at leaveCase) {
+func worstLateness(t *testing.T, injectFault func(holder *entriesInstance, kill func())) (worst time.Duration, at leaveCase) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(leaveCaseSeed, 0))
 	upTo := func(d time.Duration) time.Duration { return time.Duration(random.Int64N(int64(d))) }
@@ -78,7 +78,7 @@
 		}
 		// The same moments with and without other changes.
 		for _, c.calm = range []bool{false, true} {
-			if late := runLeaveCase(t, c, strike); late > worst {
+			if late := runLeaveCase(t, c, injectFault); late > worst {
 				worst, at = late, c
 			}
 		}
@@ -215,13 +215,13 @@
 // lease.
 func TestSuccessorReadsTheStoreBeforeItAttests(t *testing.T) {
 	const step, startStep = 15 * time.Millisecond, 150 * time.Millisecond
-	// takes is how long the successor may need to see that the lease is free; it is shorter
+	// detectionTime is how long the successor may need to see that the lease is free; it is shorter
 	// than the time after which the others stop accepting stale answers.
-	const takes = min(leaseRenewal+leaseLook, minHolderTimeout) - step
+	const detectionTime = min(leaseRenewal+leaseLook, minHolderTimeout) - step
 	var worst time.Duration
 	for last := time.Duration(0); last < staleBatchDelay+step; last += step {
 		for start := time.Duration(0); start < staleBatchDelay; start += startStep {
-			worst = max(worst, latenessAfterHandover(t, last, start, takes))
+			worst = max(worst, latenessAfterHandover(t, last, start, detectionTime))
 		}
 	}
 	t.Logf("worst %v", worst)
@@ -230,7 +230,7 @@
 
 // latenessAfterHandover lets an endpoint leave before the lease is handed over, and returns how
 // late another instance knows, which starts at the offset start after the successor.
-func latenessAfterHandover(t *testing.T, last, start, takes time.Duration) time.Duration {
+func latenessAfterHandover(t *testing.T, last, start, detectionTime time.Duration) time.Duration {
 	t.Helper()
 	var late time.Duration
 	synctest.Test(t, func(t *testing.T) {
@@ -261,7 +261,7 @@
 			time.Sleep(min(minAnnounceInterval, time.Until(handedOverAt)))
 		}
 		receiveAttestation()
-		time.Sleep(takes)
+		time.Sleep(detectionTime)
 		holds.Store(true)
 		time.Sleep(staleAnswers + 5*time.Second)
 		late = other.lateness(t, "e", began)
--- a/daemon/settingsdelay_test.go
+++ b/daemon/settingsdelay_test.go
@@ -106,11 +106,11 @@
 
 // settingsFleet is a set of instances that share a store; the first one holds the lease.
 type settingsFleet struct {
-	store     *staleStore
-	storeLink *sharedLink
-	instances []*settingsInstance
-	placers   *placers
-	busy      *placer
+	store      *staleStore
+	storeLink  *sharedLink
+	instances  []*settingsInstance
+	placers    *placers
+	busyPlacer *placer
 }
 
 // fleetSize is the size of a fleet, with the bandwidth and processor cores of each instance.
@@ -122,7 +122,7 @@
 func newSettingsFleet(t *testing.T, size fleetSize) *settingsFleet {
 	f := &settingsFleet{store: newStaleStore(staleAnswers), storeLink: &sharedLink{bytesPerSecond: 1000 * bytesPerMbit}}
 	f.store.record(store.EventModified, store.Object{Kind: "settings", Metadata: store.Metadata{Name: "main"}, Spec: json.RawMessage(`{}`)})
-	f.busy = &placer{
+	f.busyPlacer = &placer{
 		events: ring.New[counted.Event](placerEvents, ring.Block), runner: lease.NewRunner(lease.RunnerConfig{}), log: logr.Discard(),
 		controller: counted.NewController(counted.Config{}), place: func([]outgoingPlacement) {},
 		now: func() time.Time {
@@ -130,7 +130,7 @@
 			return time.Now()
 		},
 	}
-	f.placers = &placers{running: map[string]*placer{"pool": f.busy}, log: logr.Discard()}
+	f.placers = &placers{running: map[string]*placer{"pool": f.busyPlacer}, log: logr.Discard()}
 	for n := range size.instances {
 		f.instances = append(f.instances, f.newInstance(t, fmt.Sprintf("i%d", n), n == 0, size))
 	}
@@ -190,13 +190,13 @@
 		go i.config.run(ctx)
 		go i.config.readNewer(ctx)
 	}
-	go f.busy.run(ctx)
+	go f.busyPlacer.run(ctx)
 	go f.changeEndpoints(ctx)
 	for n := range endpoints {
 		go func() {
 			time.Sleep(reportEvery * time.Duration(n) / time.Duration(endpoints))
 			for ctx.Err() == nil {
-				_ = f.busy.events.Put(ctx, counted.Tick{})
+				_ = f.busyPlacer.events.Put(ctx, counted.Tick{})
 				time.Sleep(reportEvery)
 			}
 		}()
