--- a/bench/summary.go
+++ b/bench/summary.go
@@ -25,6 +25,6 @@
 		return fmt.Errorf("%s: nothing to sum up", name)
 	}
 	fmt.Printf("%s: requests=%d complete=%d cpu_us_per_request=%d requests_per_core_second=%.0f p50_us=%d p95_us=%d\n",
-		name, r.Requests, complete, cpu.Microseconds()/complete, float64(complete)/cpu.Seconds(), r.Whole.P50, r.Whole.P95)
+		name, r.Requests, complete, cpu.Microseconds()/complete, float64(complete)/cpu.Seconds(), r.Total.P50, r.Total.P95)
 	return nil
 }
--- a/cmd/eiderspring/load.go
+++ b/cmd/eiderspring/load.go
@@ -53,7 +53,7 @@
 	}
 	random := rand.New(rand.NewPCG(c.Uint64("seed"), 0))
 	run := random.Uint64()
-	arrivals := load.Arrivals{Rate: load.Constant(c.Float("rate")), Duration: c.Duration("duration"), Random: random}
+	arrivals := load.Arrivals{Rate: load.ConstantRate(c.Float("rate")), Duration: c.Duration("duration"), Random: random}
 	start := time.Now()
 	arrivals.Run(ctx, func(ctx context.Context, due time.Time) {
 		r := load.Request{Name: c.String("name"), Plain: c.Bool("plain"), Stream: c.Bool("stream"), MaxTokens: c.Int("max-tokens"), Prompt: prompt}
--- a/demo/added.go
+++ b/demo/added.go
@@ -52,7 +52,7 @@
 
 func measure(ctx context.Context, c *load.Client, r load.Request, h *hdrhistogram.Histogram) {
 	if result := c.Do(ctx, time.Now(), r); result.Outcome == load.Complete {
-		_ = h.RecordValue(result.Whole.Microseconds())
+		_ = h.RecordValue(result.Total.Microseconds())
 	}
 }
 
--- a/demo/workload.go
+++ b/demo/workload.go
@@ -164,7 +164,7 @@
 // meets tells whether an answer met the targets of its service.
 func (w *workload) meets(r load.Request, result load.Result) bool {
 	p := w.fleet.catalog.Targets[r.Name].Policy
-	return result.Outcome == load.Complete && result.FirstToken <= p.FirstToken && result.Whole <= p.Deadline &&
+	return result.Outcome == load.Complete && result.FirstToken <= p.FirstToken && result.Total <= p.Deadline &&
 		(result.Tokens < 2 || result.MaxGap <= p.BetweenTokens)
 }
 
--- a/load/client.go
+++ b/load/client.go
@@ -55,7 +55,7 @@
 	Tokens   int
 	Replayed bool
 	// FirstToken, Whole and MaxGap count from when the request was due.
-	FirstToken, Whole time.Duration
+	FirstToken, Total time.Duration
 	// MaxGap is the longest time between two tokens.
 	MaxGap     time.Duration
 	RetryAfter time.Duration
@@ -90,7 +90,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return Result{Outcome: Unknown, Err: err, Whole: time.Since(due)}
+		return Result{Outcome: Unknown, Err: err, Total: time.Since(due)}
 	}
 	defer resp.Body.Close()
 	result := Result{Status: resp.StatusCode, Replayed: resp.Header.Get("Eiderspring-Replayed") != ""}
@@ -102,7 +102,7 @@
 	default:
 		readWhole(resp, due, r.Plain, &result)
 	}
-	result.Whole = time.Since(due)
+	result.Total = time.Since(due)
 	return result
 }
 
--- a/load/generator.go
+++ b/load/generator.go
@@ -20,7 +20,7 @@
 }
 
 // Constant is a rate that does not change.
-func Constant(rate float64) func(time.Duration) float64 {
+func ConstantRate(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
--- a/load/report.go
+++ b/load/report.go
@@ -38,7 +38,7 @@
 		return
 	}
 	_ = r.first.RecordValue(result.FirstToken.Microseconds())
-	_ = r.whole.RecordValue(result.Whole.Microseconds())
+	_ = r.whole.RecordValue(result.Total.Microseconds())
 	if result.Tokens > 1 {
 		_ = r.gap.RecordValue(result.MaxGap.Microseconds())
 	}
@@ -60,7 +60,7 @@
 	CompletePerSecond float64           `json:"complete_per_s"`
 	FirstToken        Quantiles         `json:"first_token"`
 	LongestGap        Quantiles         `json:"longest_gap"`
-	Whole             Quantiles         `json:"whole"`
+	Total             Quantiles         `json:"whole"`
 }
 
 // Report sums up what was recorded over the given time.
@@ -73,7 +73,7 @@
 		out.Requests += n
 	}
 	out.CompletePerSecond = float64(r.counts[Complete]) / took.Seconds()
-	out.FirstToken, out.LongestGap, out.Whole = quantiles(r.first), quantiles(r.gap), quantiles(r.whole)
+	out.FirstToken, out.LongestGap, out.Total = quantiles(r.first), quantiles(r.gap), quantiles(r.whole)
 	return out
 }
 
@@ -95,7 +95,7 @@
 	for _, row := range []struct {
 		name string
 		q    Quantiles
-	}{{"first token", r.FirstToken}, {"longest gap", r.LongestGap}, {"whole answer", r.Whole}} {
+	}{{"first token", r.FirstToken}, {"longest gap", r.LongestGap}, {"whole answer", r.Total}} {
 		fmt.Fprintf(w, "%-14s %10.2f %10.2f %10.2f %10.2f\n", row.name,
 			milliseconds(row.q.P50), milliseconds(row.q.P95), milliseconds(row.q.P99), milliseconds(row.q.Max))
 	}
