--- a/cmd/eiderspring/demo.go
+++ b/cmd/eiderspring/demo.go
@@ -82,7 +82,7 @@
 	if c.Bool("errors") {
 		printErrors(summary)
 	}
-	if summary.Broken() {
+	if summary.ViolatesGuarantee() {
 		return cli.Exit("a promise was broken: see cut, doubled, mixed and over_memory", exitFailed)
 	}
 	return nil
--- a/demo/deployment.go
+++ b/demo/deployment.go
@@ -13,11 +13,11 @@
 	Token    string
 	// Rate is the mean number of requests a second.
 	Rate float64
-	Mix  []Part
+	Mix  []RequestKind
 }
 
 // Part is one kind of request in a deployment's mix.
-type Part struct {
+type RequestKind struct {
 	// Name is the service; empty means any model or adapter, skewed.
 	Name   string
 	Weight float64
@@ -46,7 +46,7 @@
 	return map[string]Deployment{
 		"tideline": {
 			Name: "tideline", Settings: examples.Tideline, Token: "tideline-demo-token", Rate: 60,
-			Mix: []Part{
+			Mix: []RequestKind{
 				{Weight: 0.35, MinTokens: 16, MaxTokens: 64, PromptBytes: 800},
 				{Name: "day-ahead-summary", Weight: 0.1, MinTokens: 32, MaxTokens: 64, PromptBytes: 1200},
 				{Name: "offer-confirmation", Weight: 0.2, Plain: true, Keyed: true, PromptBytes: 200},
@@ -57,7 +57,7 @@
 		},
 		"liege": {
 			Name: "liege", Settings: examples.Liege, Token: "liege-demo-token", Rate: 50,
-			Mix: []Part{
+			Mix: []RequestKind{
 				{Weight: 0.4, MinTokens: 16, MaxTokens: 64, PromptBytes: 800},
 				{Name: "fingering", Weight: 0.1, MinTokens: 24, MaxTokens: 64, PromptBytes: 1000},
 				{Name: "page-preview", Weight: 0.3, Plain: true, PromptBytes: 128},
--- a/demo/run.go
+++ b/demo/run.go
@@ -90,7 +90,7 @@
 	s := t.summary(f.catalog.Tree.Services)
 	s.StoreReadsPerS, s.StoreWritesPerS = float64(readsAfter-reads)/took, float64(writesAfter-writes)/took
 	s.AddedP50Us, s.AddedP95Us = added.at(50), added.at(95)
-	s.UnreachableMost, s.UnreachableSeconds = missing.most, missing.lasted().Seconds()
+	s.MaxUnreachable, s.UnreachableSeconds = missing.most, missing.lasted().Seconds()
 	s.UnreachableModels = w.unreachable(ctx)
 	f.judge(&s)
 	return s
@@ -118,7 +118,7 @@
 		}
 	}
 	for _, n := range runs {
-		s.Doubled += n - 1
+		s.Duplicated += n - 1
 	}
 }
 
--- a/demo/tally.go
+++ b/demo/tally.go
@@ -69,12 +69,12 @@
 // Summary is the result of a run, as the stand-ins and the callers counted it.
 type Summary struct {
 	Requests, Complete, NotRun, Unknown, Refused int
-	Cut, Doubled, Mixed                          int
+	Truncated, Duplicated, Corrupted             int
 	OverMemory                                   int64
 	UnreachableModels                            []string
 	// UnreachableMost is the most units that no engine held ready at one time,
 	// UnreachableSeconds how long it was until all were held again.
-	UnreachableMost                 int
+	MaxUnreachable                  int
 	UnreachableSeconds              float64
 	LeavingLate                     int64
 	Attainment                      float64
@@ -89,8 +89,8 @@
 }
 
 // Broken tells whether the run broke a promise.
-func (s Summary) Broken() bool {
-	return s.Cut != 0 || s.Doubled != 0 || s.Mixed != 0 || s.OverMemory != 0
+func (s Summary) ViolatesGuarantee() bool {
+	return s.Truncated != 0 || s.Duplicated != 0 || s.Corrupted != 0 || s.OverMemory != 0
 }
 
 // String is the summary as one line of key=value pairs.
@@ -98,9 +98,9 @@
 	return fmt.Sprintf("requests=%d complete=%d not_run=%d unknown=%d refused=%d cut=%d doubled=%d mixed=%d over_memory=%d "+
 		"unreachable_models=%d leaving_late=%d attainment=%.4f devices=%d attainment_per_device=%.5f moves=%d "+
 		"store_writes_per_s=%.1f store_reads_per_s=%.1f added_p50_us=%d added_p95_us=%d unreachable_most=%d unreachable_s=%.1f",
-		s.Requests, s.Complete, s.NotRun, s.Unknown, s.Refused, s.Cut, s.Doubled, s.Mixed, s.OverMemory,
+		s.Requests, s.Complete, s.NotRun, s.Unknown, s.Refused, s.Truncated, s.Duplicated, s.Corrupted, s.OverMemory,
 		len(s.UnreachableModels), s.LeavingLate, s.Attainment, s.Devices, s.Attainment/float64(max(1, s.Devices)), s.Moves,
-		s.StoreWritesPerS, s.StoreReadsPerS, s.AddedP50Us, s.AddedP95Us, s.UnreachableMost, s.UnreachableSeconds)
+		s.StoreWritesPerS, s.StoreReadsPerS, s.AddedP50Us, s.AddedP95Us, s.MaxUnreachable, s.UnreachableSeconds)
 }
 
 func (t *tally) summary(services map[string]*settings.Service) Summary {
@@ -108,7 +108,7 @@
 	defer t.mu.Unlock()
 	s := Summary{
 		Requests: t.requests, Complete: t.outcomes[load.Complete], NotRun: t.outcomes[load.NotRun],
-		Unknown: t.outcomes[load.Unknown], Refused: t.outcomes[load.Refused], Cut: t.cut, Mixed: t.mixed,
+		Unknown: t.outcomes[load.Unknown], Refused: t.outcomes[load.Refused], Truncated: t.cut, Corrupted: t.mixed,
 		Attainment: float64(t.met) / float64(max(1, t.requests)), ByService: map[string]float64{}, Errors: maps.Clone(t.errors),
 	}
 	for name := range services {
--- a/demo/workload.go
+++ b/demo/workload.go
@@ -85,7 +85,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.serial++
-	part := w.deployment.Mix[pick(w.random, w.deployment.Mix, func(p Part) float64 { return p.Weight })]
+	part := w.deployment.Mix[pick(w.random, w.deployment.Mix, func(p RequestKind) float64 { return p.Weight })]
 	r = load.Request{Name: part.Name, Plain: part.Plain, Stream: !part.Plain}
 	if r.Name == "" {
 		r.Name = w.units[pick(w.random, w.weight, func(f float64) float64 { return f })]
