--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -1,5 +1,5 @@
-// Command eiderspring-soak runs the randomized soak, and the stand-ins that it
-// starts as processes. It is for tests only.
+// Command eiderspring-soak runs the randomized soak test, and the stand-ins that
+// the test starts as processes. It is for tests only.
 package main
 
 import (
@@ -49,7 +49,7 @@
 }
 
 func runSeeds(c *cli.Command) error {
-	stand, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -65,7 +65,7 @@
 			return trace.Wrap(err)
 		}
 		report, err := soak.Run(soak.Options{
-			Programs: soak.Programs{Node: program, Stand: stand}, Seed: seed, Callers: c.Int("callers"), Dir: dir,
+			Programs: soak.Programs{Node: program, Stand: executable}, Seed: seed, Callers: c.Int("callers"), Dir: dir,
 			Size: soak.Size{Nodes: c.Int("nodes"), Engines: c.Int("engines"), Plain: c.Int("plain"), Faults: c.Duration("faults")},
 		})
 		if err != nil {
@@ -80,7 +80,7 @@
 		}
 	}
 	if failed > 0 {
-		return trace.Errorf("%d of %d seeds broke a promise", failed, c.Int("seeds"))
+		return trace.Errorf("%d of %d seeds violated a guarantee", failed, c.Int("seeds"))
 	}
 	return nil
 }
@@ -129,43 +129,45 @@
 	}
 }
 
-// runWorker serves until SIGTERM, then leaves as planned, or until soak.Gone, then
-// without a word; either way what still comes is served for soak.DrainTime.
+// runWorker serves until it receives SIGTERM or soak.Gone. On SIGTERM it announces
+// that it is draining; on soak.Gone it removes its entry at once, without notice.
+// Either way it serves the requests that still arrive for soak.DrainTime.
 func runWorker(_ context.Context, c *cli.Command) error {
-	told := make(chan os.Signal, 1)
-	signal.Notify(told, syscall.SIGTERM, soak.Gone)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, soak.Gone)
 	w := fake.NewWorkerHandler(fake.RemoteRegistry{URL: c.String("store")}, c.String("id"), c.String("service"), "z1")
 	w.Address = c.String("advertise")
 	recorder := soak.NewRecorder(os.Stdout)
 	w.Observe(c.Float("capacity-mb"), c.Float("model-mb"), func(h fake.Happening) { recorder.Record(w, h) })
-	w.Answer(endedBy(fake.Serve(w, soak.LockedRandom(uint64(time.Now().UnixNano())))))
+	w.Answer(crashOnRequest(fake.Serve(w, soak.LockedRandom(uint64(time.Now().UnixNano())))))
 	listener, err := net.Listen("tcp", c.String("listen"))
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	go func() { _ = http.Serve(listener, w) }()
-	go nameLimits(w, recorder)
-	how := renew(w, told)
-	end := time.After(soak.DrainTime)
-	left := fake.Happening{What: soak.HappenedLeft}
-	if how == soak.Gone {
+	go reportLimits(w, recorder)
+	received := renewEntry(w, signals)
+	drained := time.After(soak.DrainTime)
+	leaveEvent := fake.Happening{What: soak.HappenedLeft}
+	if received == soak.Gone {
 		w.Leave()
-		recorder.Record(w, left)
-		<-end
+		recorder.Record(w, leaveEvent)
+		<-drained
 		return nil
 	}
 	w.Enter("draining")
-	recorder.Record(w, left)
-	drain(w, end)
+	recorder.Record(w, leaveEvent)
+	renewWhileDraining(w, drained)
 	w.Leave()
 	return nil
 }
 
-// nameLimits names a limit for a while at each soak.NameLimit.
-func nameLimits(w *fake.Worker, recorder *soak.Recorder) {
-	told := make(chan os.Signal, 1)
-	signal.Notify(told, soak.NameLimit)
-	for range told {
+// reportLimits reports a rate limit for soak.LimitTime on each soak.NameLimit
+// signal.
+func reportLimits(w *fake.Worker, recorder *soak.Recorder) {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, soak.NameLimit)
+	for range signals {
 		recorder.Record(w, fake.Happening{What: soak.HappenedLimited})
 		w.NameLimit(strconv.Itoa(soak.LimitPerSecond))
 		time.Sleep(soak.LimitTime)
@@ -174,8 +176,9 @@
 	}
 }
 
-// endedBy ends the process where a request is one that ends endpoints; others are served.
-func endedBy(serve http.HandlerFunc) http.HandlerFunc {
+// crashOnRequest exits the process on a request for which soak.EndsEndpoint is
+// true, and serves all others.
+func crashOnRequest(serve http.HandlerFunc) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		if soak.EndsEndpoint(r.URL.Path) {
 			os.Exit(exitCrashed)
@@ -184,30 +187,31 @@
 	}
 }
 
-// exitCrashed is the exit status of a worker that a request has ended.
+// exitCrashed is the exit status of a worker that a request has crashed.
 const exitCrashed = 3
 
-// renew writes the worker's entry until a signal comes, and returns it.
-func renew(w *fake.Worker, told <-chan os.Signal) os.Signal {
+// renewEntry renews the worker's entry until a signal arrives, and returns the
+// signal.
+func renewEntry(w *fake.Worker, signals <-chan os.Signal) os.Signal {
 	ticker := time.NewTicker(soak.EntryEvery)
 	defer ticker.Stop()
 	for {
 		w.Enter("ready")
 		select {
-		case how := <-told:
-			return how
+		case received := <-signals:
+			return received
 		case <-ticker.C:
 		}
 	}
 }
 
-// drain writes the entry of a worker that leaves until the end.
-func drain(w *fake.Worker, end <-chan time.Time) {
+// renewWhileDraining renews the entry of a draining worker until drained fires.
+func renewWhileDraining(w *fake.Worker, drained <-chan time.Time) {
 	ticker := time.NewTicker(soak.EntryEvery)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-end:
+		case <-drained:
 			return
 		case <-ticker.C:
 			w.Enter("draining")
--- a/cmd/eiderspring-standin/main.go
+++ b/cmd/eiderspring-standin/main.go
@@ -1,5 +1,5 @@
 // Command eiderspring-standin runs the stand-ins of the platform and of the
-// endpoints as processes, for trying instances by hand. It is for tests only.
+// endpoints as processes, to test instances by hand. It is for tests only.
 package main
 
 import (
@@ -101,7 +101,7 @@
 			listenFlag(),
 			&cli.StringSliceFlag{Name: "instance", Usage: "CALLERS,OPERATORS addresses of an instance"},
 		},
-		// The instance addresses have a comma inside.
+		// The values of --instance contain a comma.
 		DisableSliceFlagSeparator: true,
 		Action: func(ctx context.Context, c *cli.Command) error {
 			l, err := net.Listen("tcp", c.String("listen"))
@@ -135,19 +135,19 @@
 			&cli.StringFlag{Name: "state", Value: standin.MemberLive, Usage: "live or leaving"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			return register(c.String("platform"), memberOf(c, c.String("address"), c.String("state")))
+			return registerMember(c.String("platform"), newMember(c, c.String("address"), c.String("state")))
 		},
 	}
 }
 
-func memberOf(c *cli.Command, address, state string) standin.Member {
+func newMember(c *cli.Command, address, state string) standin.Member {
 	return standin.Member{
 		Name: c.String("name"), Pool: c.String("pool"), Address: address, FailureDomain: c.String("failure-domain"),
 		Incarnation: c.String("incarnation"), State: state, PeerPort: c.Int("peer-port"), StreamPort: c.Int("stream-port"),
 	}
 }
 
-func register(platform string, m standin.Member) error {
+func registerMember(platform string, m standin.Member) error {
 	body, err := json.Marshal(m)
 	if err != nil {
 		return trace.Wrap(err)
@@ -158,14 +158,14 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return trace.BadParameter("the platform answered %s", resp.Status)
+		return trace.BadParameter("the platform rejected the member: %s", resp.Status)
 	}
 	return nil
 }
 
-// serveMember serves an endpoint that puts itself on the platform's list.
+// serveMember registers an endpoint on the platform's list and serves it.
 func serveMember(ctx context.Context, c *cli.Command, h http.Handler) error {
-	if err := register(c.String("platform"), memberOf(c, c.String("listen"), standin.MemberLive)); err != nil {
+	if err := registerMember(c.String("platform"), newMember(c, c.String("listen"), standin.MemberLive)); err != nil {
 		return err
 	}
 	return serve(ctx, c.String("listen"), h)
@@ -173,12 +173,12 @@
 
 func serve(ctx context.Context, address string, h http.Handler) error {
 	s := &http.Server{Addr: address, Handler: h}
-	failed := make(chan error, 1)
-	go func() { failed <- s.ListenAndServe() }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- s.ListenAndServe() }()
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return trace.Wrap(err)
 	case <-ctx.Done():
 		return trace.Wrap(s.Close())
--- a/cmd/eiderspring/demo.go
+++ b/cmd/eiderspring/demo.go
@@ -83,7 +83,7 @@
 		printErrors(summary)
 	}
 	if summary.ViolatesGuarantee() {
-		return cli.Exit("a promise was broken: see cut, doubled, mixed and over_memory", exitFailed)
+		return cli.Exit("a guarantee was violated: see cut, doubled, mixed and over_memory", exitFailed)
 	}
 	return nil
 }
--- a/cmd/eiderspring/load.go
+++ b/cmd/eiderspring/load.go
@@ -52,15 +52,15 @@
 		prompt += "measure "
 	}
 	random := rand.New(rand.NewPCG(c.Uint64("seed"), 0))
-	run := random.Uint64()
+	runID := random.Uint64()
 	arrivals := load.Arrivals{Rate: load.ConstantRate(c.Float("rate")), Duration: c.Duration("duration"), Random: random}
 	start := time.Now()
 	arrivals.Run(ctx, func(ctx context.Context, due time.Time) {
-		r := load.Request{Name: c.String("name"), Plain: c.Bool("plain"), Stream: c.Bool("stream"), MaxTokens: c.Int("max-tokens"), Prompt: prompt}
+		request := load.Request{Name: c.String("name"), Plain: c.Bool("plain"), Stream: c.Bool("stream"), MaxTokens: c.Int("max-tokens"), Prompt: prompt}
 		if c.Bool("keyed") {
-			r.Key = fmt.Sprintf("load-%x-%d-%d", run, start.UnixNano(), due.UnixNano())
+			request.Key = fmt.Sprintf("load-%x-%d-%d", runID, start.UnixNano(), due.UnixNano())
 		}
-		recorder.Add(client.Do(ctx, due, r))
+		recorder.Add(client.Do(ctx, due, request))
 	})
 	report := recorder.Report(time.Since(start))
 	if c.String("output") == "json" {
--- a/cmd/eiderspring/losses.go
+++ b/cmd/eiderspring/losses.go
@@ -11,7 +11,7 @@
 	"github.com/eiderspring/eiderspring/losses"
 )
 
-// defaultLossWindow is the length of a row of the table.
+// defaultLossWindow is the time that one row of the table covers.
 const defaultLossWindow = 2 * time.Second
 
 func lossesCommand() *cli.Command {
--- a/cmd/eiderspring/main.go
+++ b/cmd/eiderspring/main.go
@@ -16,12 +16,11 @@
 // Exit codes.
 const (
 	exitFailed = 1
-	// exitInvalid is for arguments, configuration or settings that are refused.
+	// exitInvalid is for invalid arguments, configuration or settings.
 	exitInvalid = 2
-	// exitConflict is for an edit that lost against another.
+	// exitConflict is for an edit that conflicts with another one.
 	exitConflict = 3
-	// exitUnknown is for an edit of which it is not known whether it was
-	// accepted.
+	// exitUnknown is for an edit that may or may not have been accepted.
 	exitUnknown = 4
 )
 
@@ -41,8 +40,8 @@
 }
 
 func exitCode(err error) int {
-	var refused *jsonc.Error
-	if errors.As(err, &refused) {
+	var invalid *jsonc.Error
+	if errors.As(err, &invalid) {
 		return exitInvalid
 	}
 	var coder cli.ExitCoder
--- a/cmd/eiderspring/node.go
+++ b/cmd/eiderspring/node.go
@@ -14,8 +14,9 @@
 	"github.com/eiderspring/eiderspring/platform"
 )
 
-// settingsVariable names the file of a node's configuration.
-const settingsVariable = "EIDERSPRING_SETTINGS"
+// configVariable is the environment variable with the path of a node's
+// configuration file.
+const configVariable = "EIDERSPRING_SETTINGS"
 
 func nodeCommand() *cli.Command {
 	return &cli.Command{
@@ -23,7 +24,7 @@
 		Usage: "run one instance on the users' platform until SIGTERM, then drain",
 		Flags: []cli.Flag{
 			&cli.StringFlag{
-				Name: "config", Usage: "the node's configuration `FILE`", Required: true, Sources: cli.EnvVars(settingsVariable),
+				Name: "config", Usage: "the node's configuration `FILE`", Required: true, Sources: cli.EnvVars(configVariable),
 			},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -46,8 +47,8 @@
 	}
 }
 
-// reloadOnHangup reads the configuration again on each SIGHUP. One that is not
-// valid changes nothing.
+// reloadOnHangup reloads the configuration on each SIGHUP. An invalid
+// configuration changes nothing.
 func reloadOnHangup(ctx context.Context, path string, node *daemon.Node) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
--- a/cmd/eiderspring/settings.go
+++ b/cmd/eiderspring/settings.go
@@ -75,7 +75,7 @@
 	return store.NewHTTPClient(store.Config{URL: c.String("object-api")})
 }
 
-// readRevision returns the revision that the flags name.
+// readRevision returns the revision given by --revision, or else the one in force.
 func readRevision(ctx context.Context, c *cli.Command) (*revision.Accepted, error) {
 	if n := c.Int64("revision"); n != 0 {
 		accepted, err := revision.ReadRevision(ctx, newClient(c), n)
@@ -87,7 +87,7 @@
 
 func readFileArgument(c *cli.Command) (string, []byte, error) {
 	if c.Args().Len() != 1 {
-		return "", nil, cli.Exit("exactly one FILE is needed", exitInvalid)
+		return "", nil, cli.Exit("exactly one FILE argument is required", exitInvalid)
 	}
 	file := c.Args().First()
 	text, err := os.ReadFile(file)
@@ -106,23 +106,24 @@
 	return nil
 }
 
-// basePrefix begins the line by which a text tells the revision it was
-// derived from.
-const basePrefix = "// revision "
+// baseLinePrefix starts the first line of a settings text that names its base, the
+// revision that it was derived from.
+const baseLinePrefix = "// revision "
 
 func settingsGet(ctx context.Context, c *cli.Command) error {
 	accepted, err := readRevision(ctx, c)
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Printf("%s%d\n%s", basePrefix, accepted.Entry.Revision, withoutBase(accepted.Text))
+	_, err = fmt.Printf("%s%d\n%s", baseLinePrefix, accepted.Entry.Revision, withoutBaseLine(accepted.Text))
 	return trace.Wrap(err)
 }
 
-// baseOf returns the revision that a text's first line names, 0 for none.
-func baseOf(text []byte) int64 {
+// baseRevision returns the revision that the first line of a text names, or 0 if
+// it names none.
+func baseRevision(text []byte) int64 {
 	line, _, _ := bytes.Cut(text, []byte("\n"))
-	number, found := bytes.CutPrefix(line, []byte(basePrefix))
+	number, found := bytes.CutPrefix(line, []byte(baseLinePrefix))
 	if !found {
 		return 0
 	}
@@ -130,10 +131,10 @@
 	return n
 }
 
-// withoutBase blanks out the line that names the base; the other lines keep
+// withoutBaseLine blanks out the line that names the base; the other lines keep
 // their numbers.
-func withoutBase(text []byte) []byte {
-	if baseOf(text) == 0 {
+func withoutBaseLine(text []byte) []byte {
+	if baseRevision(text) == 0 {
 		return text
 	}
 	_, rest, _ := bytes.Cut(text, []byte("\n"))
@@ -142,7 +143,7 @@
 
 func settingsExplain(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return cli.Exit("exactly one PATH is needed, such as pools/POOL/models/MODEL or a service's name", exitInvalid)
+		return cli.Exit("exactly one PATH argument is required, such as pools/POOL/models/MODEL or a service's name", exitInvalid)
 	}
 	tree, err := treeToExplain(ctx, c)
 	if err != nil {
@@ -168,7 +169,7 @@
 		return settings.Load(file, text)
 	}
 	if c.String("object-api") == "" {
-		return nil, cli.Exit("--object-api or --file is needed", exitInvalid)
+		return nil, cli.Exit("--object-api or --file is required", exitInvalid)
 	}
 	accepted, err := revision.ReadCurrent(ctx, newClient(c))
 	if err != nil {
@@ -207,31 +208,32 @@
 		return err
 	}
 	publisher := revision.NewPublisher(client, time.Now)
-	entry, err := publisher.Edit(ctx, file, withoutBase(text), c.String("author"), base)
+	entry, err := publisher.Edit(ctx, file, withoutBaseLine(text), c.String("author"), base)
 	var conflict *settings.ConflictError
 	if errors.As(err, &conflict) {
 		return cli.Exit(conflict.Error()+"\nnothing was changed", exitConflict)
 	}
 	if store.IsUnanswered(err) {
-		return cli.Exit("the object API gave no answer: whether the edit was accepted is not known; see settings history", exitUnknown)
+		return cli.Exit("the object API did not respond: the edit may or may not have been accepted; see settings history", exitUnknown)
 	}
 	if err != nil {
 		return err
 	}
 	fmt.Printf("revision %d accepted\n", entry.Revision)
 	if _, err := publisher.CollectGarbage(ctx); err != nil {
-		fmt.Fprintln(os.Stderr, "eiderspring: old revisions were not collected:", err)
+		fmt.Fprintln(os.Stderr, "eiderspring: failed to delete old revisions:", err)
 	}
 	return nil
 }
 
-// editBase is the revision that a text was derived from: as the flag says, as
-// its first line says, or the one in force.
+// editBase returns the revision that a text was derived from: the one given by
+// --base, else the one that its first line names, else the one in force. It
+// returns 0 if the store has no revision.
 func editBase(ctx context.Context, c *cli.Command, client store.Client, text []byte) (int64, error) {
 	if c.IsSet("base") {
 		return c.Int64("base"), nil
 	}
-	if base := baseOf(text); base != 0 {
+	if base := baseRevision(text); base != 0 {
 		return base, nil
 	}
 	root, err := revision.ReadRoot(ctx, client)
--- a/cmd/eiderspring/status.go
+++ b/cmd/eiderspring/status.go
@@ -22,12 +22,12 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// status is the state of a deployment as the object API shows it.
+// status is the state of a deployment, as read from the object API.
 type status struct {
 	Deployment string       `json:"deployment"`
 	Revision   int64        `json:"revision"`
 	Cells      []cellStatus `json:"cells"`
-	// Unreachable are the models and adapters without a replica.
+	// Unreachable are the models and adapters without a ready replica.
 	Unreachable []string `json:"unreachable"`
 }
 
@@ -52,7 +52,7 @@
 	Order    string              `json:"order,omitempty"`
 }
 
-const watchEvery = 2 * time.Second
+const watchInterval = 2 * time.Second
 
 func statusCommand() *cli.Command {
 	flags := []cli.Flag{
@@ -90,7 +90,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(watchEvery):
+		case <-time.After(watchInterval):
 			fmt.Println()
 		}
 	}
@@ -148,13 +148,13 @@
 	fmt.Fprintln(w, "CELL\tCONTROLLER\tEPOCH\tENDPOINT\tMEMORY\tUNITS\tORDERS OPEN")
 	for _, c := range s.Cells {
 		for _, e := range c.Endpoints {
-			open := 0
+			openOrders := 0
 			for _, u := range e.Units {
 				if u.Order != "" {
-					open++
+					openOrders++
 				}
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d of %d MB\t%d\t%d\n", c.Name, c.Controller, c.Epoch, e.Name, e.CountedMB, e.CapacityMB, len(e.Units), open)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d of %d MB\t%d\t%d\n", c.Name, c.Controller, c.Epoch, e.Name, e.CountedMB, e.CapacityMB, len(e.Units), openOrders)
 		}
 	}
 	w.Flush()
