--- a/demo/deployment.go
+++ b/demo/deployment.go
@@ -6,42 +6,44 @@
 	"github.com/eiderspring/eiderspring/examples"
 )
 
-// Deployment is one of the deployments that can be played.
+// Deployment is a deployment that the demo can run.
 type Deployment struct {
 	Name     string
 	Settings []byte
 	Token    string
-	// Rate is the mean number of requests a second.
+	// Rate is the mean number of requests per second.
 	Rate float64
 	Mix  []RequestKind
 }
 
-// Part is one kind of request in a deployment's mix.
+// RequestKind is a kind of request in a deployment's mix. Kinds are drawn in
+// proportion to their weights.
 type RequestKind struct {
-	// Name is the service; empty means any model or adapter, skewed.
+	// Name is the service; empty means any model or adapter, drawn from a Zipf
+	// distribution.
 	Name   string
 	Weight float64
 	Plain  bool
-	// Keyed requests carry an idempotency key, and some are sent twice.
+	// Keyed requests have an idempotency key, and some of them are sent twice.
 	Keyed bool
-	// MinTokens and MaxTokens bound the length of the answer.
+	// MinTokens and MaxTokens bound the length of the response.
 	MinTokens, MaxTokens int
-	// PromptBytes is the length of the prompt.
+	// PromptBytes is the approximate length of the prompt.
 	PromptBytes int
 }
 
-// Engine timing of the stand-ins.
+// Latencies and limits of the stand-ins.
 const (
-	stepBase        = 12 * time.Millisecond
-	stepPerSequence = 300 * time.Microsecond
-	prefillPerToken = 100 * time.Microsecond
-	serviceLatency  = 5 * time.Millisecond
-	loadLag         = 500 * time.Millisecond
-	listLag         = 500 * time.Millisecond
-	engineWaiting   = 32
+	stepBase         = 12 * time.Millisecond
+	stepPerSequence  = 300 * time.Microsecond
+	prefillPerToken  = 100 * time.Microsecond
+	serviceLatency   = 5 * time.Millisecond
+	loadLag          = 500 * time.Millisecond
+	listLag          = 500 * time.Millisecond
+	engineQueueLimit = 32
 )
 
-// Deployments returns what can be played, by name.
+// Deployments returns the deployments that the demo can run, by name.
 func Deployments() map[string]Deployment {
 	return map[string]Deployment{
 		"tideline": {
--- a/demo/fault.go
+++ b/demo/fault.go
@@ -10,19 +10,19 @@
 	"github.com/eiderspring/eiderspring/standin"
 )
 
-// Fault is something that fails during a run.
+// Fault is a fault that is injected during a run, Start after it begins.
 type Fault struct {
 	Name  string
 	Start time.Duration
-	// Length is how long it lasts; 0 means to the end of the run.
+	// Length is the duration of the fault; 0 means until the end of the run.
 	Length time.Duration
 }
 
-// ParseFault reads NAME@START[+LENGTH].
+// ParseFault parses NAME@START[+LENGTH].
 func ParseFault(text string) (Fault, error) {
 	name, when, found := strings.Cut(text, "@")
 	if _, known := injections[name]; !known {
-		return Fault{}, fmt.Errorf("fault %q is not known; there are %s", name, strings.Join(FaultNames(), ", "))
+		return Fault{}, fmt.Errorf("fault %q is not known; the known faults are %s", name, strings.Join(FaultNames(), ", "))
 	}
 	if !found {
 		return Fault{}, fmt.Errorf("fault %q needs a start, as in %s@5s", text, name)
@@ -41,37 +41,37 @@
 	return f, nil
 }
 
-// FaultNames returns the faults that can be played.
+// FaultNames returns the sorted names of the faults that can be injected.
 func FaultNames() []string { return slices.Sorted(maps.Keys(injections)) }
 
-// injection begins a fault and returns how to end it.
+// injection starts a fault and returns a function that ends it.
 type injection func(f *Fleet) (end func())
 
 var injections = map[string]injection{
-	"store-down":         storeMode(standin.StoreDown),
-	"store-slow":         storeMode(standin.StoreSlow),
-	"store-lost-answers": storeMode(standin.StoreLostAnswers),
-	"orders-lost":        ordersMode(standin.OrdersLost),
-	"orders-late":        ordersMode(standin.OrdersLate),
+	"store-down":         injectStoreMode(standin.StoreDown),
+	"store-slow":         injectStoreMode(standin.StoreSlow),
+	"store-lost-answers": injectStoreMode(standin.StoreLostAnswers),
+	"orders-lost":        injectOrdersMode(standin.OrdersLost),
+	"orders-late":        injectOrdersMode(standin.OrdersLate),
 	"instance-kill":      func(f *Fleet) func() { f.instances[0].kill(f); return func() {} },
 	"instance-pause": func(f *Fleet) func() {
 		victim := f.instances[len(f.instances)-1]
-		victim.freezer.freeze()
-		return victim.freezer.thaw
+		victim.pauser.pause()
+		return victim.pauser.resume
 	},
 	"endpoint-kill":  func(f *Fleet) func() { f.engines[0].kill(f); return func() {} },
-	"endpoint-leave": endpointLeave,
-	"domain-down":    domainDown,
+	"endpoint-leave": drainEndpoints,
+	"domain-down":    killFailureDomain,
 }
 
-func storeMode(m standin.StoreMode) injection {
+func injectStoreMode(m standin.StoreMode) injection {
 	return func(f *Fleet) func() {
 		f.platform.Objects.SetMode(m)
 		return func() { f.platform.Objects.SetMode(standin.StoreUp) }
 	}
 }
 
-func ordersMode(m standin.OrdersMode) injection {
+func injectOrdersMode(m standin.OrdersMode) injection {
 	return func(f *Fleet) func() {
 		for _, e := range f.engines {
 			e.engine.SetOrdersMode(m)
@@ -84,9 +84,10 @@
 	}
 }
 
-// endpointLeave makes the second engine and the first plain endpoint leave:
-// the platform lists them as leaving, and the judge counts late work.
-func endpointLeave(f *Fleet) func() {
+// drainEndpoints makes the second engine and the first plain endpoint leave:
+// the platform lists them as leaving, and the stand-ins count work that reaches
+// them too late.
+func drainEndpoints(f *Fleet) func() {
 	now := time.Now()
 	e := f.engines[1]
 	e.member.State = standin.MemberLeaving
@@ -100,8 +101,8 @@
 	return func() {}
 }
 
-// domainDown kills every endpoint and instance of one failure domain.
-func domainDown(f *Fleet) func() {
+// killFailureDomain kills every endpoint and instance of one failure domain.
+func killFailureDomain(f *Fleet) func() {
 	domain := f.catalog.Tree.FailureDomains[0]
 	for _, e := range f.engines {
 		if e.member.FailureDomain == domain {
@@ -122,7 +123,7 @@
 }
 
 func (h *host) kill(f *Fleet) {
-	h.gone.Store(true)
+	h.killed.Store(true)
 	h.server.Close()
 	f.platform.Members.Remove(h.member.Name)
 }
@@ -137,15 +138,16 @@
 	f.platform.Members.Remove(h.member.Name)
 }
 
-// runFaults plays the faults from now on and ends with stop.
-func runFaults(f *Fleet, faults []Fault, stop <-chan struct{}) {
+// injectFaults injects the faults at their start times, counted from now. When
+// stop is closed, it ends those that are active and drops the others.
+func injectFaults(f *Fleet, faults []Fault, stop <-chan struct{}) {
 	for _, fault := range faults {
 		go func() {
-			if !waitOr(stop, fault.Start) {
+			if !sleepUnlessStopped(stop, fault.Start) {
 				return
 			}
 			end := injections[fault.Name](f)
-			if fault.Length > 0 && waitOr(stop, fault.Length) {
+			if fault.Length > 0 && sleepUnlessStopped(stop, fault.Length) {
 				end()
 				return
 			}
@@ -155,7 +157,7 @@
 	}
 }
 
-func waitOr(stop <-chan struct{}, d time.Duration) bool {
+func sleepUnlessStopped(stop <-chan struct{}, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -20,7 +20,7 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// Fleet is a whole deployment in this process.
+// Fleet is a whole deployment that runs in this process.
 type Fleet struct {
 	catalog     *settings.Catalog
 	platform    *standin.Platform
@@ -33,15 +33,15 @@
 	closers     []func()
 }
 
-// endpointSpec is one endpoint before it is started.
+// endpointSpec describes an endpoint or instance to start.
 type endpointSpec struct{ name, domain string }
 
-// host is a stand-in behind a listener that can be cut.
+// host is the HTTP server of a stand-in, which can be killed.
 type host struct {
 	member standin.Member
 	server *http.Server
-	// gone is set once it was killed, leaving once it leaves.
-	gone, leaving atomic.Bool
+	// killed is set when it is killed, leaving when it starts to leave.
+	killed, leaving atomic.Bool
 }
 
 type engineHost struct {
@@ -57,7 +57,7 @@
 type instanceHost struct {
 	member   standin.Member
 	instance *daemon.Instance
-	freezer  *freezer
+	pauser   *pauser
 	stop     context.CancelFunc
 	done     chan error
 }
@@ -68,7 +68,7 @@
 func Start(o Options) (*Fleet, error) {
 	d, known := Deployments()[o.Deployment]
 	if !known {
-		return nil, trace.BadParameter("no deployment %q", o.Deployment)
+		return nil, trace.BadParameter("unknown deployment %q", o.Deployment)
 	}
 	return startFleet(d, o)
 }
@@ -95,7 +95,7 @@
 	}
 	f.closers = append(f.closers, func() { server.Close() })
 	f.platformURL = "http://" + address
-	for _, name := range sortedPools(tree) {
+	for _, name := range sortedPoolNames(tree) {
 		if err := f.startPool(name, tree.Pools[name], o); err != nil {
 			return err
 		}
@@ -125,8 +125,8 @@
 	return revisions
 }
 
-// PeerBytes returns the bytes of datagrams that all instances have sent and
-// received.
+// PeerBytes returns the total bytes of the datagrams that the instances have
+// sent and received.
 func (f *Fleet) PeerBytes() int64 {
 	var n int64
 	for _, h := range f.instances {
@@ -151,14 +151,14 @@
 		domains := f.catalog.Tree.FailureDomains
 		specs[i] = endpointSpec{name: fmt.Sprintf("%s-%02d", name, i), domain: domains[i%len(domains)]}
 	}
-	held := map[string]map[string]int64{}
+	resident := map[string]map[string]int64{}
 	if p.Kind == settings.KindEngine && !o.Cold {
-		held = warmPlacement(f.catalog, name, specs)
+		resident = initialPlacement(f.catalog, name, specs)
 	}
 	for _, spec := range specs {
 		var err error
 		if p.Kind == settings.KindEngine {
-			err = f.startEngine(name, p, spec, held[spec.name])
+			err = f.startEngine(name, p, spec, resident[spec.name])
 		} else {
 			err = f.startService(name, spec)
 		}
@@ -169,18 +169,18 @@
 	return nil
 }
 
-func (f *Fleet) startEngine(pool string, p *settings.Pool, spec endpointSpec, held map[string]int64) error {
+func (f *Fleet) startEngine(pool string, p *settings.Pool, spec endpointSpec, resident map[string]int64) error {
 	e := standin.NewEngine(standin.EngineConfig{
 		Name: spec.name, MemoryMB: p.MemoryMB, Concurrency: p.Concurrency, ChecksFencing: p.ChecksFencing,
 		Weights: f.platform.Weights, StepBase: stepBase, StepPerSequence: stepPerSequence,
-		PrefillPerToken: prefillPerToken, MaxWaiting: engineWaiting, LoadLag: loadLag,
-	}, firstIncarnation, held)
+		PrefillPerToken: prefillPerToken, MaxWaiting: engineQueueLimit, LoadLag: loadLag,
+	}, firstIncarnation, resident)
 	server, address, err := listenAndServe(e)
 	if err != nil {
 		return err
 	}
 	h := &engineHost{engine: e}
-	h.member, h.server = member(pool, spec, address), server
+	h.member, h.server = newMember(pool, spec, address), server
 	f.engines = append(f.engines, h)
 	f.closers = append(f.closers, func() { e.Close(); server.Close() })
 	f.platform.Members.Set(h.member)
@@ -194,14 +194,14 @@
 		return err
 	}
 	h := &serviceHost{service: s}
-	h.member, h.server = member(pool, spec, address), server
+	h.member, h.server = newMember(pool, spec, address), server
 	f.services = append(f.services, h)
 	f.closers = append(f.closers, func() { server.Close() })
 	f.platform.Members.Set(h.member)
 	return nil
 }
 
-func member(pool string, spec endpointSpec, address string) standin.Member {
+func newMember(pool string, spec endpointSpec, address string) standin.Member {
 	return standin.Member{
 		Name: spec.name, Pool: pool, Address: address, FailureDomain: spec.domain,
 		Incarnation: firstIncarnation, State: standin.MemberLive,
@@ -235,7 +235,7 @@
 	cfg := daemon.DefaultConfig()
 	cfg.Instance, cfg.Incarnation, cfg.FailureDomain = spec.name, firstIncarnation, spec.domain
 	cfg.Platform = daemon.Platform{ObjectAPI: f.platformURL, Members: f.platformURL}
-	peers, ports, err := peerAddresses()
+	peers, ports, err := freePeerAddresses()
 	if err != nil {
 		return err
 	}
@@ -243,7 +243,7 @@
 	if o.RoutingPolicy != "" {
 		cfg.RoutingPolicy = o.RoutingPolicy
 	}
-	h := &instanceHost{freezer: newFreezer(), done: make(chan error, 1)}
+	h := &instanceHost{pauser: newPauser(), done: make(chan error, 1)}
 	callers, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -257,12 +257,12 @@
 		log = daemon.NewLogger(o.Log, "info")
 	}
 	h.instance, err = daemon.New(cfg, daemon.Deps{
-		Callers: frozenListener{callers, h.freezer}, Operators: frozenListener{operators, h.freezer}, Dial: h.freezer.dial, Log: log,
+		Callers: pausableListener{callers, h.pauser}, Operators: pausableListener{operators, h.pauser}, Dial: h.pauser.dial, Log: log,
 	})
 	if err != nil {
 		return err
 	}
-	h.member = member(membership.InstancePool, spec, callers.Addr().String())
+	h.member = newMember(membership.InstancePool, spec, callers.Addr().String())
 	h.member.PeerPort, h.member.StreamPort = ports[0], ports[1]
 	var ctx context.Context
 	ctx, h.stop = context.WithCancel(context.Background())
@@ -274,11 +274,11 @@
 	return nil
 }
 
-// demoPeerKey seals the link between the instances of a demo.
+// demoPeerKey is the key with which the instances of a demo seal their messages.
 const demoPeerKey = "6569646572737072696e672064656d6f206b6579206f6e6c7920666f72206465"
 
-// peerAddresses finds two free UDP ports.
-func peerAddresses() (daemon.Peers, [2]int, error) {
+// freePeerAddresses returns peer addresses on two free UDP ports, and the ports.
+func freePeerAddresses() (daemon.Peers, [2]int, error) {
 	var ports [2]int
 	for i := range ports {
 		c, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -292,13 +292,13 @@
 	return daemon.Peers{Datagrams: address(ports[0]), Streams: address(ports[1]), Keys: []string{demoPeerKey}}, ports, nil
 }
 
-// startTimeout bounds the start of a fleet.
+// startTimeout bounds the wait until a fleet is ready.
 const startTimeout = 30 * time.Second
 
 func (f *Fleet) waitReady(instances int) error {
 	deadline := time.Now().Add(startTimeout)
 	for time.Now().Before(deadline) {
-		if f.balancer.Ready() == instances && f.routed() {
+		if f.balancer.Ready() == instances && f.allUnitsReachable() {
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -306,8 +306,9 @@
 	return trace.LimitExceeded("the fleet is not ready after %s", startTimeout)
 }
 
-// routed tells whether every instance knows of every unit that an engine holds.
-func (f *Fleet) routed() bool {
+// allUnitsReachable reports whether every instance can reach as many units as the
+// engines hold ready.
+func (f *Fleet) allUnitsReachable() bool {
 	units := map[string]bool{}
 	for _, e := range f.engines {
 		for _, u := range e.engine.ReadyUnits() {
@@ -322,15 +323,15 @@
 	return true
 }
 
-// Close ends everything.
+// Close stops the instances and the stand-ins, in reverse order of their start.
 func (f *Fleet) Close() {
 	for i := len(f.closers) - 1; i >= 0; i-- {
 		f.closers[i]()
 	}
 }
 
-// target returns the unit behind a name, as answers name it.
-func (f *Fleet) target(name string) string { return f.catalog.Targets[name].Unit }
+// targetUnit returns the unit to which a name resolves, as responses name it.
+func (f *Fleet) targetUnit(name string) string { return f.catalog.Targets[name].Unit }
 
 func (f *Fleet) String() string {
 	return strconv.Itoa(len(f.instances)) + " instances, " + strconv.Itoa(len(f.engines)) + " engines, " +
--- a/demo/warm.go
+++ b/demo/initialplacement.go
@@ -5,11 +5,12 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// warmPlacement is what the engines of a pool hold when the demo begins, as an
-// earlier run would have left them: every unit with the replicas that the
-// settings want, as far as memory allows. The stand-ins take it as given; the instances find it
-// by inventory.
-func warmPlacement(catalog *settings.Catalog, pool string, endpoints []endpointSpec) map[string]map[string]int64 {
+// initialPlacement returns the units that the engines of a pool hold when the
+// demo starts, as an earlier run would have left them: for each endpoint, the
+// memory of each unit in MB. Each unit has the replicas that the settings ask
+// for, as far as memory allows. The stand-ins start with this placement; the
+// instances discover it by inventory.
+func initialPlacement(catalog *settings.Catalog, pool string, endpoints []endpointSpec) map[string]map[string]int64 {
 	p := catalog.Tree.Pools[pool]
 	s := placement.Snapshot{LoadBudget: len(catalog.Units)}
 	for _, name := range catalog.UnitNames() {
@@ -23,17 +24,17 @@
 			Concurrency: p.Concurrency, AcceptsLoads: true, Live: true, Units: map[string]placement.PlacedUnit{},
 		})
 	}
-	held := make(map[string]map[string]int64, len(endpoints))
+	resident := make(map[string]map[string]int64, len(endpoints))
 	for moves := placement.Plan(s); len(moves) > 0; moves = placement.Plan(s) {
 		for _, m := range moves {
-			hold(&s, held, m)
+			applyLoad(&s, resident, m)
 		}
 	}
-	return held
+	return resident
 }
 
-// hold makes a planned load true.
-func hold(s *placement.Snapshot, held map[string]map[string]int64, m placement.Move) {
+// applyLoad applies a planned load to the snapshot and to the resident units.
+func applyLoad(s *placement.Snapshot, resident map[string]map[string]int64, m placement.Move) {
 	for i := range s.Endpoints {
 		e := &s.Endpoints[i]
 		if e.Name != m.Endpoint {
@@ -41,9 +42,9 @@
 		}
 		e.FreeMB -= m.MemoryMB
 		e.Units[m.Unit] = placement.PlacedUnit{State: placement.Ready, MemoryMB: m.MemoryMB, Base: m.Base, Stable: true}
-		if held[e.Name] == nil {
-			held[e.Name] = map[string]int64{}
+		if resident[e.Name] == nil {
+			resident[e.Name] = map[string]int64{}
 		}
-		held[e.Name][m.Unit] = m.MemoryMB
+		resident[e.Name][m.Unit] = m.MemoryMB
 	}
 }
--- a/demo/outage.go
+++ b/demo/outage.go
@@ -8,49 +8,50 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// outages follows, by what the engines really hold, how many units have no
-// replica that can serve, and for how long.
-type outages struct {
-	mu         sync.Mutex
-	most       int
-	began, end time.Time
+// outageTracker tracks how many units have no replica that can serve, and for how
+// long. It reads the state of the engines themselves, not the view of the
+// instances.
+type outageTracker struct {
+	mu          sync.Mutex
+	maxUnits    int
+	first, last time.Time
 }
 
-const outageEvery = 50 * time.Millisecond
+const outagePollInterval = 50 * time.Millisecond
 
-func (o *outages) run(ctx context.Context, f *Fleet) {
+func (o *outageTracker) run(ctx context.Context, f *Fleet) {
 	for ctx.Err() == nil {
-		o.note(time.Now(), f.unitsWithoutReplica())
-		wait.For(ctx, outageEvery)
+		o.record(time.Now(), f.unitsWithoutReplica())
+		wait.For(ctx, outagePollInterval)
 	}
 }
 
-func (o *outages) note(now time.Time, missing int) {
+func (o *outageTracker) record(now time.Time, missing int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if missing == 0 {
 		return
 	}
-	if o.began.IsZero() {
-		o.began = now
+	if o.first.IsZero() {
+		o.first = now
 	}
-	o.end = now
-	o.most = max(o.most, missing)
+	o.last = now
+	o.maxUnits = max(o.maxUnits, missing)
 }
 
-// lasted is the time from when the first unit was without a replica to when
-// the last one had one again, or until now.
-func (o *outages) lasted() time.Duration {
+// duration returns the time from when a unit was first seen without a replica to
+// when one was last seen.
+func (o *outageTracker) duration() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.end.Sub(o.began)
+	return o.last.Sub(o.first)
 }
 
 // unitsWithoutReplica counts the units that no live engine holds ready.
 func (f *Fleet) unitsWithoutReplica() int {
 	ready := map[string]bool{}
 	for _, e := range f.engines {
-		if e.gone.Load() || e.leaving.Load() {
+		if e.killed.Load() || e.leaving.Load() {
 			continue
 		}
 		for _, u := range e.engine.ReadyUnits() {
--- a/demo/run.go
+++ b/demo/run.go
@@ -11,14 +11,14 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// Options are the choices of a run.
+// Options configure a run.
 type Options struct {
 	Deployment string
 	Instances  int
 	Duration   time.Duration
 	Seed       uint64
 	Faults     []Fault
-	// Rate replaces the deployment's requests a second, if above 0.
+	// Rate replaces the deployment's requests per second, if above 0.
 	Rate float64
 	// RoutingPolicy replaces the default policy, if set.
 	RoutingPolicy string
@@ -28,19 +28,19 @@
 	Hold bool
 	// Listen is the callers' address, or empty for any free port.
 	Listen string
-	// Log gets the instances' log lines, if set.
+	// Log receives the instances' log lines, if set.
 	Log io.Writer
-	// Progress gets a line a second that overwrites itself, if set.
+	// Progress receives a progress line that is overwritten each second, if set.
 	Progress io.Writer
-	// Out gets the summary.
+	// Out receives the summary.
 	Out io.Writer
 }
 
-// Run plays a deployment and returns what was counted.
+// Run starts a deployment, sends its workload and returns the summary.
 func Run(ctx context.Context, o Options) (Summary, error) {
 	d, known := Deployments()[o.Deployment]
 	if !known {
-		return Summary{}, trace.BadParameter("no deployment %q", o.Deployment)
+		return Summary{}, trace.BadParameter("unknown deployment %q", o.Deployment)
 	}
 	if o.Rate > 0 {
 		d.Rate = o.Rate
@@ -51,7 +51,7 @@
 	}
 	defer f.Close()
 	fmt.Fprintf(o.Out, "%s: %s\n", d.Name, f)
-	summary := f.play(ctx, d, o)
+	summary := f.runWorkload(ctx, d, o)
 	fmt.Fprintln(o.Out, summary)
 	if o.Hold && ctx.Err() == nil {
 		fmt.Fprintf(o.Out, "holding: url=%s token=%s (interrupt to end)\n", f.balancerURL, d.Token)
@@ -60,50 +60,50 @@
 	return summary, nil
 }
 
-func (f *Fleet) play(ctx context.Context, d Deployment, o Options) Summary {
+func (f *Fleet) runWorkload(ctx context.Context, d Deployment, o Options) Summary {
 	t := newTally()
 	w := newWorkload(d, f, t, o.Seed)
 	defer w.client.Close()
-	added := newAddedLatency()
+	latency := newAddedLatency()
 	background, stop := context.WithCancel(ctx)
 	defer stop()
-	addedDone := make(chan struct{})
+	latencyDone := make(chan struct{})
 	go func() {
-		defer close(addedDone)
-		added.run(background, f, d.Token)
+		defer close(latencyDone)
+		latency.run(background, f, d.Token)
 	}()
-	missing := &outages{}
-	go missing.run(background, f)
-	faultsOver := make(chan struct{})
-	runFaults(f, o.Faults, faultsOver)
+	outages := &outageTracker{}
+	go outages.run(background, f)
+	stopFaults := make(chan struct{})
+	injectFaults(f, o.Faults, stopFaults)
 	if o.Progress != nil {
 		go showProgress(background, o.Progress, t, o.Duration)
 	}
 	start := time.Now()
 	reads, writes := f.storeCalls()
 	w.run(ctx, o.Duration)
-	took := time.Since(start).Seconds()
+	elapsed := time.Since(start).Seconds()
 	readsAfter, writesAfter := f.storeCalls()
-	close(faultsOver)
+	close(stopFaults)
 	stop()
-	<-addedDone
+	<-latencyDone
 	s := t.summary(f.catalog.Tree.Services)
-	s.StoreReadsPerS, s.StoreWritesPerS = float64(readsAfter-reads)/took, float64(writesAfter-writes)/took
-	s.AddedP50Us, s.AddedP95Us = added.at(50), added.at(95)
-	s.MaxUnreachable, s.UnreachableSeconds = missing.most, missing.lasted().Seconds()
-	s.UnreachableModels = w.unreachable(ctx)
-	f.judge(&s)
+	s.StoreReadsPerS, s.StoreWritesPerS = float64(readsAfter-reads)/elapsed, float64(writesAfter-writes)/elapsed
+	s.AddedP50Us, s.AddedP95Us = latency.difference(50), latency.difference(95)
+	s.MaxUnreachable, s.UnreachableSeconds = outages.maxUnits, outages.duration().Seconds()
+	s.UnreachableModels = w.probeUnreachable(ctx)
+	f.addStandinCounts(&s)
 	return s
 }
 
-// storeCalls returns the calls of the object API; an opened watch counts as a
-// read.
+// storeCalls returns the number of calls to the object API so far; opening a
+// watch counts as a read.
 func (f *Fleet) storeCalls() (reads, writes int64) {
 	return f.platform.Objects.Reads.Load() + f.platform.Objects.Watches.Load(), f.platform.Objects.Writes.Load()
 }
 
-// judge adds what the stand-ins counted.
-func (f *Fleet) judge(s *Summary) {
+// addStandinCounts adds the counters of the stand-ins to the summary.
+func (f *Fleet) addStandinCounts(s *Summary) {
 	runs := map[string]int{}
 	for _, e := range f.engines {
 		s.Devices++
@@ -122,15 +122,15 @@
 	}
 }
 
-const progressEvery = time.Second
+const progressInterval = time.Second
 
 func showProgress(ctx context.Context, w io.Writer, t *tally, total time.Duration) {
 	start := time.Now()
 	for ctx.Err() == nil {
-		wait.For(ctx, progressEvery)
+		wait.For(ctx, progressInterval)
 		t.mu.Lock()
 		fmt.Fprintf(w, "\r%3.0f of %.0f s, %d requests, %d met their targets ",
-			time.Since(start).Seconds(), total.Seconds(), t.requests, t.met)
+			time.Since(start).Seconds(), total.Seconds(), t.requests, t.metTargets)
 		t.mu.Unlock()
 	}
 	fmt.Fprint(w, "\r\033[K")
--- a/demo/tally.go
+++ b/demo/tally.go
@@ -12,26 +12,27 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// tally counts what the callers saw.
+// tally counts the results of the callers' requests.
 type tally struct {
-	mu       sync.Mutex
-	requests int
-	outcomes map[load.Outcome]int
-	cut      int
-	mixed    int
-	met      int
-	// byName counts requests and those that met their targets, by service.
+	mu         sync.Mutex
+	requests   int
+	outcomes   map[load.Outcome]int
+	truncated  int
+	corrupted  int
+	metTargets int
+	// byName counts requests and those that met their targets, by the name of
+	// the service, model or adapter.
 	byName map[string]*attainment
 	errors map[string]int
 }
 
-type attainment struct{ requests, met int }
+type attainment struct{ requests, metTargets int }
 
 func newTally() *tally {
 	return &tally{outcomes: map[load.Outcome]int{}, byName: map[string]*attainment{}, errors: map[string]int{}}
 }
 
-func (t *tally) add(r load.Request, result load.Result, v verdict, met bool) {
+func (t *tally) add(r load.Request, result load.Result, v verdict, metTargets bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.requests++
@@ -42,38 +43,38 @@
 		t.byName[r.Name] = a
 	}
 	a.requests++
-	if met {
-		t.met++
-		a.met++
+	if metTargets {
+		t.metTargets++
+		a.metTargets++
 	}
 	switch v {
-	case verdictCut:
-		t.cut++
-	case verdictMixed:
-		t.mixed++
+	case verdictTruncated:
+		t.truncated++
+	case verdictCorrupted:
+		t.corrupted++
 	}
 	if result.Err != nil {
-		t.errors[shorten(result.Err.Error())]++
+		t.errors[shortenError(result.Err.Error())]++
 	}
 }
 
-const maxErrorText = 110
+const maxErrorBytes = 110
 
-func shorten(s string) string {
+func shortenError(s string) string {
 	if i := strings.Index(s, `"message":"`); i >= 0 {
 		s = s[i:]
 	}
-	return s[:min(len(s), maxErrorText)]
+	return s[:min(len(s), maxErrorBytes)]
 }
 
-// Summary is the result of a run, as the stand-ins and the callers counted it.
+// Summary is the result of a run, as counted by the stand-ins and the callers.
 type Summary struct {
 	Requests, Complete, NotRun, Unknown, Refused int
 	Truncated, Duplicated, Corrupted             int
 	OverMemory                                   int64
 	UnreachableModels                            []string
-	// UnreachableMost is the most units that no engine held ready at one time,
-	// UnreachableSeconds how long it was until all were held again.
+	// MaxUnreachable is the largest number of units that no engine held ready at
+	// one time, UnreachableSeconds the time until all of them were ready again.
 	MaxUnreachable                  int
 	UnreachableSeconds              float64
 	LeavingLate                     int64
@@ -88,12 +89,13 @@
 	Errors map[string]int
 }
 
-// Broken tells whether the run broke a promise.
+// ViolatesGuarantee reports whether a response was truncated or corrupted, a
+// request ran more than once, or an engine exceeded its memory.
 func (s Summary) ViolatesGuarantee() bool {
 	return s.Truncated != 0 || s.Duplicated != 0 || s.Corrupted != 0 || s.OverMemory != 0
 }
 
-// String is the summary as one line of key=value pairs.
+// String returns the summary as one line of key=value pairs.
 func (s Summary) String() string {
 	return fmt.Sprintf("requests=%d complete=%d not_run=%d unknown=%d refused=%d cut=%d doubled=%d mixed=%d over_memory=%d "+
 		"unreachable_models=%d leaving_late=%d attainment=%.4f devices=%d attainment_per_device=%.5f moves=%d "+
@@ -108,12 +110,12 @@
 	defer t.mu.Unlock()
 	s := Summary{
 		Requests: t.requests, Complete: t.outcomes[load.Complete], NotRun: t.outcomes[load.NotRun],
-		Unknown: t.outcomes[load.Unknown], Refused: t.outcomes[load.Refused], Truncated: t.cut, Corrupted: t.mixed,
-		Attainment: float64(t.met) / float64(max(1, t.requests)), ByService: map[string]float64{}, Errors: maps.Clone(t.errors),
+		Unknown: t.outcomes[load.Unknown], Refused: t.outcomes[load.Refused], Truncated: t.truncated, Corrupted: t.corrupted,
+		Attainment: float64(t.metTargets) / float64(max(1, t.requests)), ByService: map[string]float64{}, Errors: maps.Clone(t.errors),
 	}
 	for name := range services {
 		if a := t.byName[name]; a != nil {
-			s.ByService[name] = float64(a.met) / float64(a.requests)
+			s.ByService[name] = float64(a.metTargets) / float64(a.requests)
 		}
 	}
 	return s
@@ -121,4 +123,4 @@
 
 func mapKeys[K comparable, V any](m map[K]V) iter.Seq[K] { return maps.Keys(m) }
 
-func sortedPools(t *settings.Tree) []string { return slices.Sorted(maps.Keys(t.Pools)) }
+func sortedPoolNames(t *settings.Tree) []string { return slices.Sorted(maps.Keys(t.Pools)) }
--- a/demo/workload.go
+++ b/demo/workload.go
@@ -15,30 +15,33 @@
 	"github.com/eiderspring/eiderspring/standin"
 )
 
-// workload plays a deployment's mix and checks every answer.
+// workload sends a deployment's mix of requests and checks every response.
 type workload struct {
 	deployment Deployment
 	fleet      *Fleet
 	client     *load.Client
 	tally      *tally
-	// units are the models and adapters, the most wanted first.
-	units  []string
-	weight []float64
-
-	mu     sync.Mutex
-	random *rand.Rand
-	serial int
+	// units are the models and adapters in order of falling demand, weights
+	// their relative demand.
+	units   []string
+	weights []float64
+
+	mu         sync.Mutex
+	random     *rand.Rand
+	lastSerial int
 }
 
-// Shape of the demand.
+// Distribution of the requests over units and time.
 const (
-	// skew is the exponent by which the demand for units falls with their rank.
-	skew = 0.9
-	// burstEvery and burstLength shape the bursts, burstFactor their height.
-	burstEvery  = 8 * time.Second
-	burstLength = 2 * time.Second
-	burstFactor = 2.5
-	// duplicateShare is the share of keyed requests that are sent twice.
+	// zipfExponent is the exponent by which the demand for a unit falls with its
+	// rank.
+	zipfExponent = 0.9
+	// Every burstInterval the rate is burstFactor times the base rate for
+	// burstLength.
+	burstInterval = 8 * time.Second
+	burstLength   = 2 * time.Second
+	burstFactor   = 2.5
+	// duplicateShare is the fraction of keyed requests that are sent twice.
 	duplicateShare = 0.15
 )
 
@@ -49,67 +52,69 @@
 	}
 	w.random.Shuffle(len(w.units), func(i, j int) { w.units[i], w.units[j] = w.units[j], w.units[i] })
 	for i := range w.units {
-		w.weight = append(w.weight, 1/math.Pow(float64(i+1), skew))
+		w.weights = append(w.weights, 1/math.Pow(float64(i+1), zipfExponent))
 	}
 	return w
 }
 
-// rate is the bursty rate at a time since the start; its mean is the
-// deployment's.
-func (w *workload) rate(since time.Duration) float64 {
-	share := burstLength.Seconds() / burstEvery.Seconds()
+// arrivalRate returns the rate with bursts, in requests per second, at a time
+// since the start. Its mean is the rate of the deployment.
+func (w *workload) arrivalRate(since time.Duration) float64 {
+	share := burstLength.Seconds() / burstInterval.Seconds()
 	base := w.deployment.Rate / (1 + share*(burstFactor-1))
-	if since%burstEvery < burstLength {
+	if since%burstInterval < burstLength {
 		return base * burstFactor
 	}
 	return base
 }
 
 func (w *workload) run(ctx context.Context, d time.Duration) {
-	arrivals := load.Arrivals{Rate: w.rate, Duration: d, Random: rand.New(rand.NewPCG(w.random.Uint64(), 1))}
+	arrivals := load.Arrivals{Rate: w.arrivalRate, Duration: d, Random: rand.New(rand.NewPCG(w.random.Uint64(), 1))}
 	arrivals.Run(ctx, func(ctx context.Context, due time.Time) {
-		r, twice := w.next()
-		if !twice {
+		r, duplicate := w.nextRequest()
+		if !duplicate {
 			w.send(ctx, due, r)
 			return
 		}
-		var both sync.WaitGroup
-		both.Go(func() { w.send(ctx, due, r) })
-		both.Go(func() { w.send(ctx, due, r) })
-		both.Wait()
+		var copies sync.WaitGroup
+		copies.Go(func() { w.send(ctx, due, r) })
+		copies.Go(func() { w.send(ctx, due, r) })
+		copies.Wait()
 	})
 }
 
-// next draws a request; twice says to send it two times at once.
-func (w *workload) next() (r load.Request, twice bool) {
+// nextRequest draws a random request. If duplicate is set, two copies are to be
+// sent at the same time.
+func (w *workload) nextRequest() (r load.Request, duplicate bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.serial++
-	part := w.deployment.Mix[pick(w.random, w.deployment.Mix, func(p RequestKind) float64 { return p.Weight })]
-	r = load.Request{Name: part.Name, Plain: part.Plain, Stream: !part.Plain}
+	w.lastSerial++
+	kind := w.deployment.Mix[pickWeighted(w.random, w.deployment.Mix, func(p RequestKind) float64 { return p.Weight })]
+	r = load.Request{Name: kind.Name, Plain: kind.Plain, Stream: !kind.Plain}
 	if r.Name == "" {
-		r.Name = w.units[pick(w.random, w.weight, func(f float64) float64 { return f })]
+		r.Name = w.units[pickWeighted(w.random, w.weights, func(f float64) float64 { return f })]
 	}
-	if part.MaxTokens > 0 {
-		r.MaxTokens = part.MinTokens + w.random.IntN(part.MaxTokens-part.MinTokens+1)
+	if kind.MaxTokens > 0 {
+		r.MaxTokens = kind.MinTokens + w.random.IntN(kind.MaxTokens-kind.MinTokens+1)
 	}
-	// The beginning of the prompt is shared, the serial makes it unique.
-	r.Prompt = strings.Repeat(r.Name+" ", part.PromptBytes/(len(r.Name)+1)) + fmt.Sprintf("#%d", w.serial)
-	if part.Keyed {
-		r.Key = fmt.Sprintf("%s-%d", w.deployment.Name, w.serial)
-		twice = w.random.Float64() < duplicateShare
+	// Prompts for the same name share a prefix; the serial number makes each one
+	// unique.
+	r.Prompt = strings.Repeat(r.Name+" ", kind.PromptBytes/(len(r.Name)+1)) + fmt.Sprintf("#%d", w.lastSerial)
+	if kind.Keyed {
+		r.Key = fmt.Sprintf("%s-%d", w.deployment.Name, w.lastSerial)
+		duplicate = w.random.Float64() < duplicateShare
 	}
-	return r, twice
+	return r, duplicate
 }
 
-func pick[T any](random *rand.Rand, items []T, weight func(T) float64) int {
+func pickWeighted[T any](random *rand.Rand, items []T, weight func(T) float64) int {
 	total := 0.0
 	for _, item := range items {
 		total += weight(item)
 	}
-	at := random.Float64() * total
+	remaining := random.Float64() * total
 	for i, item := range items {
-		if at -= weight(item); at < 0 {
+		if remaining -= weight(item); remaining < 0 {
 			return i
 		}
 	}
@@ -118,85 +123,87 @@
 
 func (w *workload) send(ctx context.Context, due time.Time, r load.Request) {
 	result := w.client.Do(ctx, due, r)
-	w.tally.add(r, result, w.verdict(r, result), w.meets(r, result))
+	w.tally.add(r, result, w.verdict(r, result), w.meetsTargets(r, result))
 }
 
-// verdict is what is wrong with an answer that claims to be whole.
+// verdict is the result of checking the content of a complete response.
 type verdict int
 
 const (
-	verdictFine verdict = iota
-	// verdictCut is an answer that lacks its end.
-	verdictCut
-	// verdictMixed is an answer with somebody else's content, or content twice.
-	verdictMixed
+	verdictCorrect verdict = iota
+	// verdictTruncated is a response that lacks its end.
+	verdictTruncated
+	// verdictCorrupted is a response with content of another request, or with
+	// repeated content.
+	verdictCorrupted
 )
 
 func (w *workload) verdict(r load.Request, result load.Result) verdict {
 	if result.Outcome != load.Complete {
-		return verdictFine
+		return verdictCorrect
 	}
 	if r.Plain {
-		return compare(result.Text, standin.ServiceAnswer("/", r.Prompt))
+		return checkText(result.Text, standin.ServiceAnswer("/", r.Prompt))
 	}
-	unit := w.fleet.target(r.Name)
+	unit := w.fleet.targetUnit(r.Name)
 	if result.Model != unit {
-		return verdictMixed
+		return verdictCorrupted
 	}
 	var want strings.Builder
 	for i := range r.MaxTokens {
 		want.WriteString(standin.Token(unit, r.Prompt, i))
 	}
-	return compare(result.Text, want.String())
+	return checkText(result.Text, want.String())
 }
 
-func compare(got, want string) verdict {
+func checkText(got, want string) verdict {
 	switch {
 	case got == want:
-		return verdictFine
+		return verdictCorrect
 	case strings.HasPrefix(want, got):
-		return verdictCut
+		return verdictTruncated
 	default:
-		return verdictMixed
+		return verdictCorrupted
 	}
 }
 
-// meets tells whether an answer met the targets of its service.
-func (w *workload) meets(r load.Request, result load.Result) bool {
+// meetsTargets reports whether a response met the latency targets of its service.
+func (w *workload) meetsTargets(r load.Request, result load.Result) bool {
 	p := w.fleet.catalog.Targets[r.Name].Policy
 	return result.Outcome == load.Complete && result.FirstToken <= p.FirstToken && result.Total <= p.Deadline &&
 		(result.Tokens < 2 || result.MaxGap <= p.BetweenTokens)
 }
 
-// unreachable asks once for every unit and returns those that gave no whole
-// answer.
-func (w *workload) unreachable(ctx context.Context) []string {
+// probeUnreachable sends one request to each unit and returns the units without
+// a complete and correct response.
+func (w *workload) probeUnreachable(ctx context.Context) []string {
 	var mu sync.Mutex
 	var missing []string
-	var asked sync.WaitGroup
-	slots := make(chan struct{}, probesAtOnce)
+	var probes sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentProbes)
 	for _, unit := range w.fleet.catalog.UnitNames() {
 		slots <- struct{}{}
-		asked.Go(func() {
+		probes.Go(func() {
 			defer func() { <-slots }()
 			r := load.Request{Name: unit, Stream: true, MaxTokens: 2, Prompt: "probe " + unit}
-			if result := w.client.Do(ctx, time.Now(), r); result.Outcome != load.Complete || w.verdict(r, result) != verdictFine {
+			if result := w.client.Do(ctx, time.Now(), r); result.Outcome != load.Complete || w.verdict(r, result) != verdictCorrect {
 				mu.Lock()
 				defer mu.Unlock()
 				missing = append(missing, unit)
 			}
 		})
 	}
-	asked.Wait()
+	probes.Wait()
 	slices.Sort(missing)
 	return missing
 }
 
-// probesAtOnce bounds the probes under way.
-const probesAtOnce = 16
+// maxConcurrentProbes bounds the probes in flight.
+const maxConcurrentProbes = 16
 
-// plainService returns a repeatable service over a plain pool.
-func plainService(c *settings.Catalog) (name, pool string) {
+// repeatablePlainService returns the name and pool of a repeatable service on a
+// plain pool, or empty strings if there is none.
+func repeatablePlainService(c *settings.Catalog) (name, pool string) {
 	for _, n := range slices.Sorted(mapKeys(c.Tree.Services)) {
 		if s := c.Tree.Services[n]; s.Pool != "" && c.Targets[n].Policy.Repeatable {
 			return n, s.Pool
