--- a/load/generator.go
+++ b/load/arrivals.go
@@ -9,26 +9,26 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// Arrivals are the times at which requests are due: a Poisson process whose
-// rate may change over time.
+// Arrivals generates the times at which requests are due: a Poisson process
+// whose rate may change over time.
 type Arrivals struct {
-	// Rate returns the rate, in requests a second, at a time since the start.
+	// Rate returns the rate, in requests per second, at a time since the start.
 	Rate func(since time.Duration) float64
-	// Duration bounds the arrivals.
+	// Duration is the time after which no more requests arrive.
 	Duration time.Duration
 	Random   *rand.Rand
 }
 
-// Constant is a rate that does not change.
+// ConstantRate returns a rate that does not change.
 func ConstantRate(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
-// Run calls send, on a goroutine of its own, for each arrival when it is due,
-// and returns when all have ended.
+// Run calls send in a new goroutine for each arrival when it is due, and returns
+// when all calls have returned. If ctx is done, no more requests arrive.
 func (a Arrivals) Run(ctx context.Context, send func(ctx context.Context, due time.Time)) {
-	var sent sync.WaitGroup
-	defer sent.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	start := time.Now()
 	due := start
 	for {
@@ -39,6 +39,6 @@
 			return
 		}
 		at := due
-		sent.Go(func() { send(ctx, at) })
+		inFlight.Go(func() { send(ctx, at) })
 	}
 }
--- a/load/client.go
+++ b/load/client.go
@@ -14,23 +14,23 @@
 	"time"
 )
 
-// Outcome is what a caller can tell of its request.
+// Outcome is what a caller knows about its request afterwards.
 type Outcome string
 
 // Outcomes.
 const (
-	// Complete is an answer that came whole, with its terminator.
+	// Complete is a response received in full, with its terminator.
 	Complete Outcome = "complete"
-	// NotRun is a refusal that says that nothing has run.
+	// NotRun is a rejection which states that the request has not run.
 	NotRun Outcome = "not_run"
-	// Unknown is an answer that says that the request may have run, or a
-	// connection that broke.
+	// Unknown is a response which states that the request may have run, or a
+	// failed connection.
 	Unknown Outcome = "unknown"
-	// Refused is any other refusal.
+	// Refused is any other rejection.
 	Refused Outcome = "refused"
 )
 
-// Request is one request of a caller.
+// Request is a request to send.
 type Request struct {
 	// Name is the model or service.
 	Name string
@@ -43,18 +43,18 @@
 	Key string
 }
 
-// Result is what became of a request.
+// Result is the result of a request.
 type Result struct {
 	Outcome Outcome
 	Status  int
-	// Model is the model that the answer names.
+	// Model is the model that the response names.
 	Model string
-	// Text is the answer's text.
+	// Text is the text of the response.
 	Text string
 	// Tokens counts the tokens of a stream.
 	Tokens   int
 	Replayed bool
-	// FirstToken, Whole and MaxGap count from when the request was due.
+	// FirstToken and Total count from when the request was due.
 	FirstToken, Total time.Duration
 	// MaxGap is the longest time between two tokens.
 	MaxGap     time.Duration
@@ -69,22 +69,23 @@
 	http  *http.Client
 }
 
-// clientConnections bounds the idle connections that are kept.
-const clientConnections = 512
+// maxIdleConnections bounds the idle connections that are kept.
+const maxIdleConnections = 512
 
 // NewClient returns a client with connections of its own.
 func NewClient(url, token string) *Client {
 	return &Client{url: strings.TrimSuffix(url, "/"), token: token, http: &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: clientConnections, IdleConnTimeout: 10 * time.Second, DisableCompression: true,
+		MaxIdleConnsPerHost: maxIdleConnections, IdleConnTimeout: 10 * time.Second, DisableCompression: true,
 	}}}
 }
 
 // Close drops the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Do sends a request that was due at the given time.
+// Do sends a request that was due at the given time and returns its result;
+// failures are in Result.Err.
 func (c *Client) Do(ctx context.Context, due time.Time, r Request) Result {
-	req, err := c.request(ctx, r)
+	req, err := c.newRequest(ctx, r)
 	if err != nil {
 		return Result{Outcome: Refused, Err: err}
 	}
@@ -100,7 +101,7 @@
 	case strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream"):
 		readStream(resp.Body, due, &result)
 	default:
-		readWhole(resp, due, r.Plain, &result)
+		readBody(resp, due, r.Plain, &result)
 	}
 	result.Total = time.Since(due)
 	return result
@@ -118,7 +119,7 @@
 	Content string `json:"content"`
 }
 
-func (c *Client) request(ctx context.Context, r Request) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, r Request) (*http.Request, error) {
 	path, body := "/services/"+r.Name, []byte(r.Prompt)
 	if !r.Plain {
 		path = "/v1/chat/completions"
@@ -135,8 +136,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without this net/http would repeat a keyed request by itself, and the
-	// figures would not be those of the requests that were made.
+	// Otherwise net/http would retry a request with an idempotency key by
+	// itself, and the results would not match the requests that were made.
 	req.GetBody = nil
 	req.Header.Set("Authorization", "Bearer "+c.token)
 	req.Header.Set("Content-Type", "application/json")
@@ -146,11 +147,11 @@
 	return req, nil
 }
 
-// maxAnswerBytes bounds an answer that is not a stream.
-const maxAnswerBytes = 16 << 20
+// maxResponseBytes bounds a response that is not a stream.
+const maxResponseBytes = 16 << 20
 
 func readRefusal(resp *http.Response, result *Result) {
-	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	result.Err = fmt.Errorf("status %d: %s", resp.StatusCode, bytes.TrimSpace(body))
 	if seconds, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil {
 		result.RetryAfter = time.Duration(seconds) * time.Second
@@ -165,8 +166,9 @@
 	}
 }
 
-// answerEvent is what is read of an event or a whole answer.
-type answerEvent struct {
+// completion has the fields that are read from a stream event or from a whole
+// response.
+type completion struct {
 	Model   string `json:"model"`
 	Choices []struct {
 		Delta   chatMessage `json:"delta"`
@@ -174,24 +176,24 @@
 	} `json:"choices"`
 }
 
-// errNoTerminator is a stream that ended early.
+// errNoTerminator is returned for a stream that ended early.
 var errNoTerminator = errors.New("the stream ended without its terminator")
 
 func readStream(body io.Reader, due time.Time, result *Result) {
 	var text strings.Builder
 	last := time.Time{}
 	lines := bufio.NewScanner(body)
-	failed := false
+	isError := false
 	for lines.Scan() {
 		line := lines.Text()
 		if line == "event: error" {
-			failed = true
+			isError = true
 		}
 		data, isData := strings.CutPrefix(line, "data: ")
 		if !isData {
 			continue
 		}
-		if failed {
+		if isError {
 			result.Outcome, result.Err = Unknown, errors.New(data)
 			break
 		}
@@ -199,7 +201,7 @@
 			result.Outcome = Complete
 			break
 		}
-		var e answerEvent
+		var e completion
 		if err := json.Unmarshal([]byte(data), &e); err != nil || len(e.Choices) == 0 {
 			continue
 		}
@@ -223,8 +225,8 @@
 	}
 }
 
-func readWhole(resp *http.Response, due time.Time, plain bool, result *Result) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+func readBody(resp *http.Response, due time.Time, plain bool, result *Result) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		result.Outcome, result.Err = Unknown, err
 		return
@@ -234,7 +236,7 @@
 	if plain {
 		return
 	}
-	var e answerEvent
+	var e completion
 	if err := json.Unmarshal(body, &e); err == nil && len(e.Choices) > 0 {
 		result.Model, result.Text = e.Model, e.Choices[0].Message.Content
 	}
--- a/load/doc.go
+++ b/load/doc.go
@@ -1,6 +1,7 @@
-// Package load sends requests to a running system as callers do, with open-loop
-// arrivals, and measures what they see.
+// Package load generates open-loop load on a running system, as its callers do,
+// and records the outcomes and latencies that they observe.
 //
-// Latency counts from when a request was due, not from when it could be sent,
-// so that a slow system does not hide its slowness by holding the sender up.
+// Latency counts from when a request was due, not from when it was sent, so
+// that a slow system that delays the sender does not lower the latency measured
+// (coordinated omission).
 package load
--- a/load/report.go
+++ b/load/report.go
@@ -11,25 +11,27 @@
 
 // Histogram bounds, in microseconds.
 const (
-	lowestMicros  = 1
-	highestMicros = 10 * 60 * 1000 * 1000
-	digits        = 3
+	lowestMicros      = 1
+	highestMicros     = 10 * 60 * 1000 * 1000
+	significantDigits = 3
 )
 
 // Recorder collects results; it is safe for concurrent use.
 type Recorder struct {
-	mu                sync.Mutex
-	counts            map[Outcome]int64
-	first, gap, whole *hdrhistogram.Histogram
+	mu                        sync.Mutex
+	counts                    map[Outcome]int64
+	firstToken, maxGap, total *hdrhistogram.Histogram
 }
 
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(lowestMicros, highestMicros, digits) }
-	return &Recorder{counts: map[Outcome]int64{}, first: h(), gap: h(), whole: h()}
+	newHistogram := func() *hdrhistogram.Histogram {
+		return hdrhistogram.New(lowestMicros, highestMicros, significantDigits)
+	}
+	return &Recorder{counts: map[Outcome]int64{}, firstToken: newHistogram(), maxGap: newHistogram(), total: newHistogram()}
 }
 
-// Add records one result. Latencies are those of complete answers.
+// Add records one result. Latencies are recorded for complete responses only.
 func (r *Recorder) Add(result Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -37,14 +39,14 @@
 	if result.Outcome != Complete {
 		return
 	}
-	_ = r.first.RecordValue(result.FirstToken.Microseconds())
-	_ = r.whole.RecordValue(result.Total.Microseconds())
+	_ = r.firstToken.RecordValue(result.FirstToken.Microseconds())
+	_ = r.total.RecordValue(result.Total.Microseconds())
 	if result.Tokens > 1 {
-		_ = r.gap.RecordValue(result.MaxGap.Microseconds())
+		_ = r.maxGap.RecordValue(result.MaxGap.Microseconds())
 	}
 }
 
-// Quantiles are of one kind of latency, in microseconds.
+// Quantiles are the quantiles of one latency, in microseconds.
 type Quantiles struct {
 	P50 int64 `json:"p50_us"`
 	P95 int64 `json:"p95_us"`
@@ -63,17 +65,17 @@
 	Total             Quantiles         `json:"whole"`
 }
 
-// Report sums up what was recorded over the given time.
-func (r *Recorder) Report(took time.Duration) Report {
+// Report summarizes the results recorded over the given time.
+func (r *Recorder) Report(elapsed time.Duration) Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := Report{Seconds: took.Seconds(), Outcomes: map[Outcome]int64{}}
+	out := Report{Seconds: elapsed.Seconds(), Outcomes: map[Outcome]int64{}}
 	for o, n := range r.counts {
 		out.Outcomes[o] = n
 		out.Requests += n
 	}
-	out.CompletePerSecond = float64(r.counts[Complete]) / took.Seconds()
-	out.FirstToken, out.LongestGap, out.Total = quantiles(r.first), quantiles(r.gap), quantiles(r.whole)
+	out.CompletePerSecond = float64(r.counts[Complete]) / elapsed.Seconds()
+	out.FirstToken, out.LongestGap, out.Total = quantiles(r.firstToken), quantiles(r.maxGap), quantiles(r.total)
 	return out
 }
 
@@ -83,7 +85,7 @@
 	}
 }
 
-// WriteText prints the report for people.
+// WriteText writes the report as text.
 func (r Report) WriteText(w io.Writer) {
 	fmt.Fprintf(w, "%d requests in %.1f s, %.1f complete/s\n", r.Requests, r.Seconds, r.CompletePerSecond)
 	for _, o := range []Outcome{Complete, NotRun, Unknown, Refused} {
