--- a/bench/control.sh
+++ b/bench/control.sh
@@ -1,7 +1,9 @@
 #!/usr/bin/env bash
-# Measures what control costs real serve processes: bench/control.sh OUT.csv SIZE...
-# Starts the stand-ins and SIZE instances on loopback for each size, lets them
-# settle, samples them for a while, and ends what it started.
+# Measures the cost of control traffic in real serve processes.
+# Usage: bench/control.sh OUT.csv SIZE...
+# For each SIZE, starts the stand-ins and SIZE instances on loopback, waits
+# SETTLE seconds until they are in a steady state, samples them for SAMPLE
+# seconds, and stops the processes it started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 out=$1
@@ -10,12 +12,12 @@
 sample=${SAMPLE:-20}
 work=$(mktemp -d)
 pids=()
-finish() {
+cleanup() {
   kill "${pids[@]}" 2>/dev/null || true
   wait 2>/dev/null || true
   rm -rf "$work"
 }
-trap finish EXIT
+trap cleanup EXIT
 go build -o "$work/" ./cmd/... ./bench
 echo "instances,cpu_mean_percent,cpu_max_percent,rss_mean_mb,rss_max_mb,control_mean_bytes_per_s,control_max_bytes_per_s,store_calls_per_s,platform_in,platform_out,engine_in,engine_out,peer_in,peer_out" > "$out"
 
@@ -31,7 +33,7 @@
   done
   start "$work/eiderspring-standin" service --listen 127.0.0.1:20200 --platform http://127.0.0.1:20000 \
     --name desk-gateway-0 --pool desk-gateway --failure-domain pnw-quincy
-  # Loads are quick here, so that the sample shows the steady state.
+  # A high load rate, so that the sample shows the steady state.
   sed "s/\"loadsPerSecond\": 1.4/\"loadsPerSecond\": 50/" examples/tideline.jsonc > "$work/settings.jsonc"
   "$work/eiderspring" settings apply --object-api http://127.0.0.1:20000 --author bench "$work/settings.jsonc" >/dev/null
   args=()
--- a/bench/fit.go
+++ b/bench/fit.go
@@ -14,10 +14,11 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// target is the number of instances in two years.
-const target = 390
+// targetInstances is the number of instances expected in two years.
+const targetInstances = 390
 
-// column is a measured column of the rows that sample prints, and its limit.
+// column is a column of the rows that sample prints, with its limit; 0 is no
+// limit.
 type column struct {
 	index int
 	name  string
@@ -28,8 +29,9 @@
 	{1, "cpu %", 1.3}, {3, "memory MB", 32}, {5, "control bytes/s", 12 * 1024}, {7, "store calls/s, all instances", 0},
 }
 
-// fit prints for each column the line through the measured sizes, its error,
-// and its value at the target; and plots the columns as shares of their limits.
+// fit reads the CSV file at path and prints for each column the linear
+// regression over the number of instances, its RMS error, and its value at
+// targetInstances. It plots the columns as shares of their limits to image.
 func fit(path, image string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -41,7 +43,7 @@
 		return err
 	}
 	if len(rows) < 3 {
-		return fmt.Errorf("%s has too few rows", path)
+		return fmt.Errorf("%s: at least two rows of samples are needed", path)
 	}
 	rows = rows[1:]
 	p := plot.New()
@@ -50,9 +52,9 @@
 	var lines []any
 	fmt.Println("column,offset,slope_per_instance,rms_error,at_390,limit")
 	for _, c := range columns {
-		xs, ys := values(rows, 0), values(rows, c.index)
+		xs, ys := columnValues(rows, 0), columnValues(rows, c.index)
 		offset, slope := stat.LinearRegression(xs, ys, nil, false)
-		fmt.Printf("%s,%.4g,%.4g,%.3g,%.4g,%.4g\n", c.name, offset, slope, rms(xs, ys, offset, slope), offset+slope*target, c.limit)
+		fmt.Printf("%s,%.4g,%.4g,%.3g,%.4g,%.4g\n", c.name, offset, slope, rmsError(xs, ys, offset, slope), offset+slope*targetInstances, c.limit)
 		if c.limit > 0 {
 			lines = append(lines, c.name, points(xs, ys, c.limit))
 		}
@@ -63,7 +65,7 @@
 	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, image)
 }
 
-func values(rows [][]string, index int) []float64 {
+func columnValues(rows [][]string, index int) []float64 {
 	vs := make([]float64, len(rows))
 	for i, row := range rows {
 		vs[i], _ = strconv.ParseFloat(row[index], 64)
@@ -71,7 +73,7 @@
 	return vs
 }
 
-func rms(xs, ys []float64, offset, slope float64) float64 {
+func rmsError(xs, ys []float64, offset, slope float64) float64 {
 	sum := 0.0
 	for i := range xs {
 		d := ys[i] - offset - slope*xs[i]
--- a/bench/main.go
+++ b/bench/main.go
@@ -1,6 +1,6 @@
-// Command bench measures what docs/CAPACITY.md and docs/MEASUREMENTS.md quote:
-// how long accepted settings take to be in force, and what control costs an
-// instance.
+// Command bench measures the time from when settings are accepted until they are
+// in force, and the cost of control traffic to an instance. Its results are
+// quoted in docs/CAPACITY.md and docs/MEASUREMENTS.md.
 package main
 
 import (
--- a/bench/request.sh
+++ b/bench/request.sh
@@ -1,16 +1,17 @@
 #!/usr/bin/env bash
 # Measures the request path of one real serve process: processor time for each
-# request and token, and memory idle and at 200 streams. bench/request.sh
+# request and token, and memory when idle and with 200 streams.
+# Usage: bench/request.sh
 set -euo pipefail
 cd "$(dirname "$0")/.."
 work=$(mktemp -d)
 pids=()
-finish() {
+cleanup() {
   kill "${pids[@]}" 2>/dev/null || true
   wait 2>/dev/null || true
   rm -rf "$work"
 }
-trap finish EXIT
+trap cleanup EXIT
 go build -o "$work/" ./cmd/... ./bench
 start() { "$@" 2>>"$work/log" & pids+=($!); }
 ticks() { awk '{print $14 + $15}' "/proc/$1/stat"; }
@@ -71,7 +72,7 @@
 run "plain 3000/s" 8 --name ping --plain --rate 3000
 run "keyed 100/s" 8 --name confirm --plain --keyed --rate 100
 run "stream of 64 tokens, 50/s" 8 --name m --max-tokens 64 --rate 50
-# About 200 streams at once: 40 a second, of 250 tokens at about 20 ms.
+# About 200 concurrent streams: 40 per second, each of 250 tokens at about 20 ms.
 "$work/eiderspring" load --url http://127.0.0.1:21000 --token "$token" --name m --max-tokens 250 --rate 40 --duration 12s > "$work/streams.txt" &
 load=$!
 sleep 11
--- a/bench/sample.go
+++ b/bench/sample.go
@@ -10,54 +10,55 @@
 	"time"
 )
 
-// usage is what one process has used.
+// usage is the resource usage of one process so far.
 type usage struct {
-	cpuTicks int64
-	rssKB    int64
-	bytes    map[string]float64
-	calls    float64
+	cpuTicks     int64
+	rssKB        int64
+	controlBytes map[string]float64
+	storeCalls   float64
 }
 
 // ticksPerSecond is the kernel's unit of processor time in /proc.
 const ticksPerSecond = 100
 
-// controlVars are the counters of control bytes of an instance.
-var controlVars = []string{
+// controlCounters are the expvar counters of an instance's control traffic, in
+// bytes.
+var controlCounters = []string{
 	"platform_bytes_in", "platform_bytes_out", "engine_control_bytes_in", "engine_control_bytes_out", "peer_bytes_in", "peer_bytes_out",
 }
 
-// sample prints a CSV row with the mean and the largest of each process over
-// the duration.
+// sample samples the processes over the duration and prints a CSV row with the
+// means and maxima over the processes.
 func sample(pids []int, operators []string, d time.Duration) error {
 	if len(pids) == 0 || len(pids) != len(operators) {
-		return fmt.Errorf("as many --operators as --pid are needed, and at least one")
+		return fmt.Errorf("the same number of --pid and --operators is needed, and at least one of each")
 	}
-	before, err := readAll(pids, operators)
+	before, err := readAllUsage(pids, operators)
 	if err != nil {
 		return err
 	}
 	time.Sleep(d)
-	after, err := readAll(pids, operators)
+	after, err := readAllUsage(pids, operators)
 	if err != nil {
 		return err
 	}
-	var cpu, rss, bytes, calls series
-	parts := map[string]float64{}
+	var cpu, rssMB, bytes, calls series
+	meanByCounter := map[string]float64{}
 	for i := range pids {
 		cpu.add(100 * float64(after[i].cpuTicks-before[i].cpuTicks) / ticksPerSecond / d.Seconds())
-		rss.add(float64(after[i].rssKB) / 1024)
+		rssMB.add(float64(after[i].rssKB) / 1024)
 		total := 0.0
-		for _, name := range controlVars {
-			perSecond := (after[i].bytes[name] - before[i].bytes[name]) / d.Seconds()
+		for _, name := range controlCounters {
+			perSecond := (after[i].controlBytes[name] - before[i].controlBytes[name]) / d.Seconds()
 			total += perSecond
-			parts[name] += perSecond / float64(len(pids))
+			meanByCounter[name] += perSecond / float64(len(pids))
 		}
 		bytes.add(total)
-		calls.add((after[i].calls - before[i].calls) / d.Seconds())
+		calls.add((after[i].storeCalls - before[i].storeCalls) / d.Seconds())
 	}
-	fmt.Printf("%d,%.3f,%.3f,%.1f,%.1f,%.0f,%.0f,%.2f", len(pids), cpu.mean(), cpu.max, rss.mean(), rss.max, bytes.mean(), bytes.max, calls.mean()*float64(len(pids)))
-	for _, name := range controlVars {
-		fmt.Printf(",%.0f", parts[name])
+	fmt.Printf("%d,%.3f,%.3f,%.1f,%.1f,%.0f,%.0f,%.2f", len(pids), cpu.mean(), cpu.max, rssMB.mean(), rssMB.max, bytes.mean(), bytes.max, calls.mean()*float64(len(pids)))
+	for _, name := range controlCounters {
+		fmt.Printf(",%.0f", meanByCounter[name])
 	}
 	fmt.Println()
 	return nil
@@ -76,7 +77,7 @@
 
 func (s *series) mean() float64 { return s.sum / float64(s.n) }
 
-func readAll(pids []int, operators []string) ([]usage, error) {
+func readAllUsage(pids []int, operators []string) ([]usage, error) {
 	all := make([]usage, len(pids))
 	for i := range pids {
 		u, err := readUsage(pids[i], operators[i])
@@ -94,8 +95,8 @@
 	if err != nil {
 		return u, err
 	}
-	// The fields behind the name in parentheses; user and system time are the
-	// 12th and 13th of them.
+	// The fields after the process name in parentheses; user and system time are
+	// the 12th and 13th of them.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	user, _ := strconv.ParseInt(fields[11], 10, 64)
 	system, _ := strconv.ParseInt(fields[12], 10, 64)
@@ -120,15 +121,15 @@
 	if err := json.NewDecoder(resp.Body).Decode(&vars); err != nil {
 		return err
 	}
-	u.bytes = map[string]float64{}
-	for _, name := range controlVars {
+	u.controlBytes = map[string]float64{}
+	for _, name := range controlCounters {
 		if v, ok := vars[name].(float64); ok {
-			u.bytes[name] = v
+			u.controlBytes[name] = v
 		}
 	}
 	if calls, ok := vars["store_calls"].(map[string]any); ok {
 		for _, v := range calls {
-			u.calls += v.(float64)
+			u.storeCalls += v.(float64)
 		}
 	}
 	return nil
--- a/bench/slopes_test.go
+++ b/bench/scaling_test.go
@@ -15,12 +15,12 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// The benchmarks here measure, at several sizes, what docs/CAPACITY.md fits its
-// slopes to. Each reports bytes or a time for one step.
+// These benchmarks run one operation at several sizes and report its time, and
+// for some the bytes encoded. docs/CAPACITY.md fits its slopes to the results.
 
-// ledgerOf has 12 units on each endpoint, as 950 models with 2,300 adapters and
-// spares have on 720.
-func ledgerOf(endpoints int) *placement.Ledger {
+// newLedger returns a ledger with 12 units on each endpoint, as for 950 models
+// with 2,300 adapters and spare replicas on 720 endpoints.
+func newLedger(endpoints int) *placement.Ledger {
 	const unitsPerEndpoint = 12
 	l := placement.NewLedger()
 	l.Epoch, l.Holder = 12, "entry-000/incarnation/process"
@@ -37,7 +37,7 @@
 func BenchmarkLedgerCommit(b *testing.B) {
 	for _, n := range []int{12, 25, 50, 100} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			l := ledgerOf(n)
+			l := newLedger(n)
 			size := 0
 			for b.Loop() {
 				data, err := json.Marshal(l.Clone())
@@ -51,7 +51,7 @@
 	}
 }
 
-func settingsOf(models int) []byte {
+func settingsText(models int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"deployment": "d", "failureDomains": ["a"], "weightStore": {"loadsPerSecond": 1, "concurrent": 1}, "pools": {"llm": {"kind": "engine", "endpoints": 100000, "memoryMB": 81920, "concurrency": 16, "models": {`)
 	for i := range models {
@@ -64,7 +64,7 @@
 func BenchmarkSettingsLoad(b *testing.B) {
 	for _, n := range []int{26, 100, 400, 950} {
 		b.Run(fmt.Sprintf("models=%d", n), func(b *testing.B) {
-			text := settingsOf(n)
+			text := settingsText(n)
 			chunks, err := revision.Split(text)
 			if err != nil {
 				b.Fatal(err)
--- a/bench/settings.go
+++ b/bench/settings.go
@@ -15,50 +15,52 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// scenario is a state of the store around an edit.
+// scenario sets the state of the store before and after an edit.
 type scenario struct {
 	name   string
 	before func(*standin.ObjectAPI)
 	after  func(*standin.ObjectAPI)
-	// share divides the number of edits, for scenarios that take long.
-	share int
-	// pause is the time between edits.
-	pause time.Duration
+	// editsDivisor divides the number of edits, for scenarios that take long; 0
+	// is 1.
+	editsDivisor int
+	// interval is the time between edits.
+	interval time.Duration
 }
 
 var scenarios = []scenario{
-	{name: "healthy", pause: 20 * time.Millisecond},
-	{name: "watches cut", pause: 300 * time.Millisecond, before: func(a *standin.ObjectAPI) {
+	{name: "healthy", interval: 20 * time.Millisecond},
+	{name: "watches cut", interval: 300 * time.Millisecond, before: func(a *standin.ObjectAPI) {
 		a.SetMode(standin.StoreDown)
 		a.SetMode(standin.StoreUp)
 	}},
-	{name: "down after", pause: 100 * time.Millisecond, share: 5,
+	{name: "down after", interval: 100 * time.Millisecond, editsDivisor: 5,
 		before: func(a *standin.ObjectAPI) {
 			a.SetMode(standin.StoreUp)
-			// The instances' watches come back.
-			time.Sleep(watchesBack)
+			// Lets the instances reconnect their watches.
+			time.Sleep(watchReconnectTime)
 		},
 		after: func(a *standin.ObjectAPI) {
 			time.Sleep(downDelay)
 			a.SetMode(standin.StoreDown)
 		}},
-	{name: "1 in 10 answers lost", pause: 20 * time.Millisecond,
+	{name: "1 in 10 answers lost", interval: 20 * time.Millisecond,
 		before: func(a *standin.ObjectAPI) { a.SetMode(standin.StoreLostAnswers) }},
 }
 
 const (
-	// inForceTimeout bounds the wait for one edit.
+	// inForceTimeout bounds the wait until an edit is in force.
 	inForceTimeout = 10 * time.Second
-	// watchesBack is longer than a watch takes to come back after an outage.
-	watchesBack = 2500 * time.Millisecond
-	// downDelay is how long the store lives after an edit in "down after": with
-	// 0 no instance can have heard of the edit, and none can before the store
-	// is back.
+	// watchReconnectTime is longer than a watch takes to reconnect after an
+	// outage.
+	watchReconnectTime = 2500 * time.Millisecond
+	// downDelay is how long the store stays up after an edit in the scenario
+	// "down after". With 0, no instance could have received the edit, and none
+	// could until the store is up again.
 	downDelay = 3 * time.Millisecond
 )
 
-// benchSettings prints, for each number of instances and each scenario, the
-// time from accepted to in force on all instances, as CSV.
+// benchSettings prints, for each number of instances and each scenario, the time
+// from when an edit is accepted until it is in force on all instances, as CSV.
 func benchSettings(ctx context.Context, sizes []int, edits int) error {
 	fmt.Println("instances,scenario,edits,p50_ms,max_ms,not_in_force,reverts,store_calls_per_s,peer_bytes_per_s_per_instance")
 	for _, n := range sizes {
@@ -79,22 +81,22 @@
 	objects.SetMode(standin.StoreUp)
 	publisher := revision.NewPublisher(store.NewHTTPClient(store.Config{URL: f.PlatformURL()}), time.Now)
 	var reverts atomic.Int64
-	watching, stop := context.WithCancel(ctx)
-	go countReverts(watching, f, &reverts)
+	revertsCtx, stop := context.WithCancel(ctx)
+	go countReverts(revertsCtx, f, &reverts)
 	start := time.Now()
 	calls, bytes := storeCalls(objects), f.PeerBytes()
-	edits /= max(1, s.share)
-	var times []time.Duration
-	missed := 0
+	edits /= max(1, s.editsDivisor)
+	var latencies []time.Duration
+	notInForce := 0
 	for i := range edits {
-		time.Sleep(s.pause)
+		time.Sleep(s.interval)
 		if s.before != nil {
 			s.before(objects)
 		}
 		text := strings.Replace(string(examples.Tideline), `"firstTokenMS": 1000`, fmt.Sprintf(`"firstTokenMS": %d`, 1000+i%7), 1)
 		entry, err := publisher.Publish(ctx, "edit", []byte(text), "bench", slices.Max(f.Revisions()))
 		if err != nil {
-			missed++
+			notInForce++
 			continue
 		}
 		accepted := time.Now()
@@ -102,20 +104,20 @@
 			s.after(objects)
 		}
 		if !waitInForce(f, entry.Revision) {
-			missed++
+			notInForce++
 			continue
 		}
-		times = append(times, time.Since(accepted))
+		latencies = append(latencies, time.Since(accepted))
 	}
 	stop()
-	took := time.Since(start).Seconds()
-	slices.Sort(times)
-	p50, worst := time.Duration(0), time.Duration(0)
-	if len(times) > 0 {
-		p50, worst = times[len(times)/2], times[len(times)-1]
+	elapsed := time.Since(start).Seconds()
+	slices.Sort(latencies)
+	p50, maximum := time.Duration(0), time.Duration(0)
+	if len(latencies) > 0 {
+		p50, maximum = latencies[len(latencies)/2], latencies[len(latencies)-1]
 	}
-	fmt.Printf("%d,%s,%d,%.1f,%.1f,%d,%d,%.1f,%.0f\n", n, s.name, edits, ms(p50), ms(worst), missed, reverts.Load(),
-		float64(storeCalls(objects)-calls)/took, float64(f.PeerBytes()-bytes)/took/float64(n))
+	fmt.Printf("%d,%s,%d,%.1f,%.1f,%d,%d,%.1f,%.0f\n", n, s.name, edits, milliseconds(p50), milliseconds(maximum), notInForce, reverts.Load(),
+		float64(storeCalls(objects)-calls)/elapsed, float64(f.PeerBytes()-bytes)/elapsed/float64(n))
 	objects.SetMode(standin.StoreUp)
 	time.Sleep(time.Second)
 }
@@ -124,7 +126,7 @@
 	return a.Reads.Load() + a.Writes.Load() + a.Watches.Load()
 }
 
-func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 func waitInForce(f *demo.Fleet, revision int64) bool {
 	deadline := time.Now().Add(inForceTimeout)
@@ -137,8 +139,8 @@
 	return false
 }
 
-// countReverts counts every time that an instance shows a lower revision than
-// before.
+// countReverts counts how often the revision in force on an instance goes back
+// to a lower one, until ctx is done.
 func countReverts(ctx context.Context, f *demo.Fleet, reverts *atomic.Int64) {
 	last := f.Revisions()
 	for ctx.Err() == nil {
--- a/bench/summary.go
+++ b/bench/summary.go
@@ -9,7 +9,8 @@
 	"github.com/eiderspring/eiderspring/load"
 )
 
-// summarise prints what one request cost the instance.
+// summarise prints the processor time of the instance for each complete request
+// of the report at path.
 func summarise(name string, ticks int64, path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -22,7 +23,7 @@
 	complete := r.Outcomes[load.Complete]
 	cpu := time.Duration(ticks) * time.Second / ticksPerSecond
 	if complete == 0 || cpu == 0 {
-		return fmt.Errorf("%s: nothing to sum up", name)
+		return fmt.Errorf("%s: no complete requests or no processor time", name)
 	}
 	fmt.Printf("%s: requests=%d complete=%d cpu_us_per_request=%d requests_per_core_second=%.0f p50_us=%d p95_us=%d\n",
 		name, r.Requests, complete, cpu.Microseconds()/complete, float64(complete)/cpu.Seconds(), r.Total.P50, r.Total.P95)
