--- a/daemon/node.go
+++ b/daemon/node.go
@@ -57,7 +57,7 @@
 	// Endpoints is the dialect of endpoints.
 	Endpoints engine.Dialect
 	// Controls returns the interface that sends orders to engines on behalf of an instance.
-	Controls func(c *engine.Client, instance string) Controls
+	Controls func(c *engine.Client, instance string) EngineControl
 	// ReadyPath is the path of the platform's readiness probe.
 	ReadyPath string
 }
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -21,9 +21,9 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// Controls orders engines about. Send's error is for the log; the result alone
+// EngineControl reads reports of engines and sends them orders. Send's error is for the log; the result alone
 // says what became of the order.
-type Controls interface {
+type EngineControl interface {
 	Report(ctx context.Context, endpoint, address string) (*counted.Report, error)
 	Send(ctx context.Context, endpoint, address string, o counted.Order) (counted.Result, error)
 }
@@ -58,7 +58,7 @@
 // most one instance orders there.
 type placer struct {
 	pool       string
-	controls   Controls
+	controls   EngineControl
 	controller *counted.Controller
 	runner     *lease.Runner
 	events     *ring.Ring[counted.Event]
@@ -216,7 +216,7 @@
 	instance string
 	holder   string
 	client   store.Client
-	controls Controls
+	controls EngineControl
 	log      logr.Logger
 	now      func() time.Time
 	done     *sync.WaitGroup
