--- a/daemon/allowances_test.go
+++ b/daemon/allowances_test.go
@@ -24,27 +24,27 @@
 
 // fleetOfTwo is an instance that adds up and one that does not.
 func fleetOfTwo(now func() time.Time) (adder, other *allowances) {
-	c := AllowanceConfig{WindowS: 8, Over: 0.1}
+	c := AllowanceConfig{WindowS: 8, OverFraction: 0.1}
 	two := func() int { return 2 }
 	adder = newAllowances(c, "p1", func() bool { return true }, two, now)
 	other = newAllowances(c, "p2", func() bool { return false }, two, now)
 	for _, a := range []*allowances{adder, other} {
-		a.local.SetInstanceCount(2)
-		a.adopt(limitedTree())
+		a.limiter.SetInstanceCount(2)
+		a.setLimits(limitedTree())
 	}
 	return adder, other
 }
 
 // exchange carries the adder's words to both, and what both have been asked to the adder.
 func exchange(adder, other *allowances) {
-	for _, p := range adder.packets() {
-		adder.heard(p)
-		other.heard(p)
+	for _, p := range adder.announcements() {
+		adder.receive(p)
+		other.receive(p)
 	}
 	for name, a := range map[string]*allowances{"a": adder, "b": other} {
 		p := peer.Packet{From: name, Process: "p" + name}
-		a.tell(&p, peer.MaxPacketBytes)
-		adder.heard(p)
+		a.addUsage(&p, peer.MaxPacketBytes)
+		adder.receive(p)
 	}
 }
 
@@ -55,14 +55,14 @@
 	for range 40 {
 		exchange(adder, other)
 		for range 30 {
-			adder.local.Admit(now, "desk", 1)
+			adder.limiter.Admit(now, "desk", 1)
 		}
 		now = now.Add(100 * time.Millisecond)
 	}
 	exchange(adder, other)
 	admitted := 0
 	for range 100 {
-		if ok, _ := other.local.Admit(now, "desk", 1); ok {
+		if ok, _ := other.limiter.Admit(now, "desk", 1); ok {
 			admitted++
 		}
 	}
@@ -75,7 +75,7 @@
 // TestWordsOfAllowancesFitADatagram has more accounts than one packet tells.
 func TestWordsOfAllowancesFitADatagram(t *testing.T) {
 	var words []allowance.Share
-	for i := range maxWords {
+	for i := range maxSharesPerPacket {
 		words = append(words, allowance.Share{Account: allowance.AccountHash(1<<63 + uint64(i)), Permille: 999, Level: -1 << 40, Rate: 1 << 40})
 	}
 	p := peer.Packet{
@@ -94,49 +94,49 @@
 func TestHolderAnswersWhoMayGoByKeys(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
-	rights := func(answers bool, sent *[]peer.Packet) *keyRights {
-		return &keyRights{
-			keeper: authority.NewTracker(4 * time.Second), now: clock, exact: clock, revision: func() int64 { return 7 }, log: logr.Discard(),
-			answers: func() bool { return answers }, send: func(p peer.Packet, _ []string) { *sent = append(*sent, p) },
+	rights := func(answers bool, sent *[]peer.Packet) *keyAuthority {
+		return &keyAuthority{
+			tracker: authority.NewTracker(4 * time.Second), now: clock, exact: clock, revision: func() int64 { return 7 }, log: logr.Discard(),
+			responds: func() bool { return answers }, send: func(p peer.Packet, _ []string) { *sent = append(*sent, p) },
 		}
 	}
 	var sent []peer.Packet
 	holder, other := rights(true, &sent), rights(false, &sent)
 	require.False(t, other.current(7))
-	ask := peer.Packet{From: "b", Process: "pb", Address: "addr", ConfirmRequest: other.ask(), Revision: 7}
+	ask := peer.Packet{From: "b", Process: "pb", Address: "addr", ConfirmRequest: other.nextRequest(), Revision: 7}
 	require.NotZero(t, ask.ConfirmRequest)
 	now = now.Add(time.Second)
-	require.False(t, holder.heard(ask, "pa"))
-	holder.confirmed(now.Add(-time.Millisecond), 7)
+	require.False(t, holder.receive(ask, "pa"))
+	holder.storeConfirmed(now.Add(-time.Millisecond), 7)
 	require.Empty(t, sent, "the call began before the ask was heard")
-	holder.confirmed(now.Add(time.Millisecond), 7)
+	holder.storeConfirmed(now.Add(time.Millisecond), 7)
 	require.Len(t, sent, 1)
-	require.True(t, other.heard(sent[0], "another process"))
+	require.True(t, other.receive(sent[0], "another process"))
 	require.False(t, other.current(7))
-	require.True(t, other.heard(sent[0], "pb"))
+	require.True(t, other.receive(sent[0], "pb"))
 	require.True(t, other.current(7))
 	now = now.Add(3 * time.Second)
 	require.False(t, other.current(7), "it counts from the ask")
 
-	holder.doubt(eraSettleTime)
-	holder.confirmed(now, 7)
-	age, known := holder.keeper.Age(now, 7)
+	holder.distrustStore(eraSettleTime)
+	holder.storeConfirmed(now, 7)
+	age, known := holder.tracker.Age(now, 7)
 	require.True(t, known)
 	require.Greater(t, age, 2*time.Second, "the store has come back from a copy: what it shows proves nothing yet")
 }
 
 // TestRightIsAskedOfTheStoreIfNobodyAnswers lets half of the bound pass.
 func TestRightIsAskedOfTheStoreIfNobodyAnswers(t *testing.T) {
-	r := &keyRights{
-		keeper: authority.NewTracker(time.Second), now: time.Now, exact: time.Now, revision: func() int64 { return 7 }, log: logr.Discard(),
-		answers: func() bool { return false },
+	r := &keyAuthority{
+		tracker: authority.NewTracker(time.Second), now: time.Now, exact: time.Now, revision: func() int64 { return 7 }, log: logr.Discard(),
+		responds: func() bool { return false },
 	}
 	ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
 	defer stop()
 	asked := 0
-	r.keep(ctx, time.Second, func(context.Context) {
+	r.monitor(ctx, time.Second, func(context.Context) {
 		asked++
-		r.confirmed(time.Now(), 7)
+		r.storeConfirmed(time.Now(), 7)
 		if asked == 2 {
 			stop()
 		}
@@ -152,65 +152,65 @@
 	holds := false
 	two := func() int { return 2 }
 	begun := func(process string, holds func() bool) *allowances {
-		a := newAllowances(AllowanceConfig{WindowS: 8, Over: 0.1}, process, holds, two, func() time.Time { return now })
-		a.adopt(limitedTree())
+		a := newAllowances(AllowanceConfig{WindowS: 8, OverFraction: 0.1}, process, holds, two, func() time.Time { return now })
+		a.setLimits(limitedTree())
 		return a
 	}
 	strong, other := begun("p1", func() bool { return false }), begun("p2", func() bool { return holds })
-	require.Empty(t, strong.packets(), "nobody needs it yet")
+	require.Empty(t, strong.announcements(), "nobody needs it yet")
 	exchange(strong, other)
 	now = now.Add(100 * time.Millisecond)
-	words := strong.packets()
+	words := strong.announcements()
 	require.NotEmpty(t, words, "all have told that they have never heard an adder")
-	other.heard(words[0])
-	require.False(t, other.orphan())
-	require.Empty(t, other.packets())
+	other.receive(words[0])
+	require.False(t, other.lacksAggregator())
+	require.Empty(t, other.announcements())
 
 	holds = true
-	words = other.packets()
+	words = other.announcements()
 	if len(words) == 0 {
 		p := peer.Packet{From: "a", Process: "pa"}
-		other.heard(p)
-		words = other.packets()
+		other.receive(p)
+		words = other.announcements()
 	}
 	require.NotEmpty(t, words)
-	strong.heard(words[0])
-	require.Empty(t, strong.packets(), "the holder of the lease adds up now")
+	strong.receive(words[0])
+	require.Empty(t, strong.announcements(), "the holder of the lease adds up now")
 }
 
 // TestNobodyStandsInForOthersThatGoOn hears few that have never heard an adder.
 func TestNobodyStandsInForOthersThatGoOn(t *testing.T) {
 	now := time.Unix(1000, 0)
-	a := newAllowances(AllowanceConfig{WindowS: 8, Over: 0.1}, "p1", func() bool { return false }, func() int { return 10 }, func() time.Time { return now })
-	a.adopt(limitedTree())
+	a := newAllowances(AllowanceConfig{WindowS: 8, OverFraction: 0.1}, "p1", func() bool { return false }, func() int { return 10 }, func() time.Time { return now })
+	a.setLimits(limitedTree())
 	for _, from := range []string{"a", "b", "c", "d", "e"} {
-		a.heard(peer.Packet{From: from, Process: from, NoAggregator: true})
+		a.receive(peer.Packet{From: from, Process: from, NoAggregator: true})
 	}
-	require.Empty(t, a.packets())
+	require.Empty(t, a.announcements())
 }
 
 // TestOneOfTwoThatStandInGivesWay lets two instances be told that nobody adds up.
 func TestOneOfTwoThatStandInGivesWay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	begun := func(process string) *allowances {
-		a := newAllowances(AllowanceConfig{WindowS: 8, Over: 0.1}, process, func() bool { return false }, func() int { return 2 }, func() time.Time { return now })
-		a.adopt(limitedTree())
+		a := newAllowances(AllowanceConfig{WindowS: 8, OverFraction: 0.1}, process, func() bool { return false }, func() int { return 2 }, func() time.Time { return now })
+		a.setLimits(limitedTree())
 		for _, from := range []string{"a", "b"} {
-			a.heard(peer.Packet{From: from, Process: from, NoAggregator: true})
+			a.receive(peer.Packet{From: from, Process: from, NoAggregator: true})
 		}
-		a.packets()
+		a.announcements()
 		for _, from := range []string{"a", "b"} {
-			a.heard(peer.Packet{From: from, Process: from, NoAggregator: true})
+			a.receive(peer.Packet{From: from, Process: from, NoAggregator: true})
 		}
 		return a
 	}
 	first, second := begun("p1"), begun("p2")
-	one, two := first.packets(), second.packets()
+	one, two := first.announcements(), second.announcements()
 	require.NotEmpty(t, one)
 	require.NotEmpty(t, two)
-	first.heard(two[0])
-	second.heard(one[0])
-	require.NotEqual(t, len(first.packets()) == 0, len(second.packets()) == 0, "one goes on")
+	first.receive(two[0])
+	second.receive(one[0])
+	require.NotEqual(t, len(first.announcements()) == 0, len(second.announcements()) == 0, "one goes on")
 }
 
 // TestStrongestAreAskedToStandIn knows a machine that is gone among them.
@@ -268,8 +268,8 @@
 	require.NoError(t, err)
 	now := func() time.Time { return time.Unix(1000, 0) }
 	holds := func() bool { return true }
-	a := newAllowances(AllowanceConfig{WindowS: 8, Over: 0.1}, "p", holds, func() int { return instances }, now)
-	a.adopt(limitedTree())
+	a := newAllowances(AllowanceConfig{WindowS: 8, OverFraction: 0.1}, "p", holds, func() int { return instances }, now)
+	a.setLimits(limitedTree())
 	link := &countedLink{sealer: opener, sums: map[string]bool{}}
 	m := &mesh{
 		instance: "edge-pnw-hillsboro-13", process: "4KXDQ7A2Z3LRWV6YBTGM5NPHCE", address: "10.1.0.138:7380", now: now, listed: map[string]presence{}, onInstanceCount: func(int) {}, allowances: a,
--- a/daemon/batch.go
+++ b/daemon/batch.go
@@ -7,12 +7,12 @@
 // reach the store gets the changes of many seconds at once; applied one by one, on a
 // weak instance they filled its memory (190 MB in place of 24 MB, 90 instances, 9 s
 // without the store).
-type batch struct {
+type eventBatch struct {
 	order  []string
 	newest map[string][]store.Event
 }
 
-func (b *batch) add(e store.Event) {
+func (b *eventBatch) add(e store.Event) {
 	if b.newest == nil {
 		b.newest = map[string][]store.Event{}
 	}
@@ -29,11 +29,11 @@
 }
 
 // take empties the batch: its answer is over.
-func (b *batch) take() []store.Event {
+func (b *eventBatch) take() []store.Event {
 	events := make([]store.Event, 0, len(b.order))
 	for _, name := range b.order {
 		events = append(events, b.newest[name]...)
 	}
-	*b = batch{}
+	*b = eventBatch{}
 	return events
 }
--- a/daemon/cell.go
+++ b/daemon/cell.go
@@ -20,7 +20,7 @@
 
 const (
 	// cellEvents bounds the events that wait for a cell's controller.
-	cellEvents = 1024
+	cellEventsCapacity = 1024
 	// cellTick is the time between ticks of a controller that decides, cellIdle
 	// that of one that does not.
 	cellTick = 100 * time.Millisecond
@@ -67,7 +67,7 @@
 			return
 		}
 		for _, a := range d.controller.Step(d.now(), e) {
-			d.carryOut(ctx, a)
+			d.execute(ctx, a)
 		}
 		d.running.Store(d.controller.Running())
 	}
@@ -84,7 +84,7 @@
 	}
 }
 
-func (d *cellDuty) carryOut(ctx context.Context, a placement.Action) {
+func (d *cellDuty) execute(ctx context.Context, a placement.Action) {
 	switch a := a.(type) {
 	case placement.LogMove:
 		m := a.Move
@@ -99,7 +99,7 @@
 	case placement.SendOrder:
 		go d.send(ctx, a)
 	case placement.RequestInventory:
-		go d.askInventory(ctx, a)
+		go d.requestInventory(ctx, a)
 	case placement.ReadSettled:
 		go d.readSettled(ctx, a)
 	case placement.WriteSettled:
@@ -153,15 +153,15 @@
 	d.put(placement.OrderEnded{Order: s.Order.ID, Result: result})
 }
 
-func (d *cellDuty) askInventory(ctx context.Context, a placement.RequestInventory) {
+func (d *cellDuty) requestInventory(ctx context.Context, a placement.RequestInventory) {
 	ctx, cancel := context.WithTimeout(ctx, inventoryTimeout)
 	defer cancel()
-	askedAt := d.now()
-	answer := placement.InventoryReply{Endpoint: a.Endpoint, RequestedAt: askedAt}
+	requestedAt := d.now()
+	reply := placement.InventoryReply{Endpoint: a.Endpoint, RequestedAt: requestedAt}
 	if report, err := d.engine.Inventory(ctx, a.Endpoint, a.Address); err == nil {
-		answer.Report = &report
+		reply.Report = &report
 	}
-	d.put(answer)
+	d.put(reply)
 }
 
 // settlement is the spec of a settlement object.
--- a/daemon/cells.go
+++ b/daemon/cells.go
@@ -22,7 +22,7 @@
 
 // campaigners is how many instances campaign for the lease of a cell. It does
 // not grow with the fleet, so neither do the store calls for leases.
-const campaigners = 3
+const maxCampaigners = 3
 
 // cells runs a controller for each cell. Today a pool of engines is a cell.
 type cells struct {
@@ -61,9 +61,9 @@
 	}
 	for name, cell := range c.running {
 		if catalog.Tree.Pools[name] != nil {
-			cell.put(configured(catalog, name, len(pools)))
+			cell.put(cellSettings(catalog, name, len(pools)))
 		}
-		cell.put(listed(list, name))
+		cell.put(memberList(list, name))
 	}
 }
 
@@ -80,19 +80,19 @@
 
 // campaigns tells whether this instance should hold the lease of a cell: it is
 // among the first by rendezvous hashing over the live instances.
-func (c *cells) campaigns(cell string) bool { return !c.stopping() && c.ahead(cell) < campaigners }
+func (c *cells) campaigns(cell string) bool { return !c.stopping() && c.rankOf(cell) < maxCampaigners }
 
 // ahead returns how many live instances go before this one for a task; as many
 // as there can be if this one is not live.
-func (c *cells) ahead(task string) int {
-	if at := slices.Index(c.ranked(task), c.name); at >= 0 {
-		return at
+func (c *cells) rankOf(task string) int {
+	if rank := slices.Index(c.ranked(task), c.name); rank >= 0 {
+		return rank
 	}
 	return math.MaxInt
 }
 
 // choice returns the n-th live instance for a task.
-func (c *cells) choice(task string, n int) (string, bool) {
+func (c *cells) nthInstance(task string, n int) (string, bool) {
 	ranked := c.ranked(task)
 	if n >= len(ranked) {
 		return "", false
@@ -106,12 +106,12 @@
 	c.mu.Lock()
 	ranked := slices.Clone(c.instances)
 	c.mu.Unlock()
-	rendezvous(task, ranked)
+	sortByRendezvous(task, ranked)
 	return ranked
 }
 
 // rendezvous puts instances in the order of rendezvous hashing for a task.
-func rendezvous(task string, instances []string) {
+func sortByRendezvous(task string, instances []string) {
 	weight := func(name string) uint64 { return xxhash.Sum64String(task + "\x00" + name) }
 	slices.SortFunc(instances, func(a, b string) int { return cmp.Compare(weight(b), weight(a)) })
 }
@@ -121,7 +121,7 @@
 		cell: cell, client: c.client, writer: store.NewWriter(c.client), engine: c.engine, now: c.now,
 		log:        c.log.WithValues("cell", cell),
 		controller: placement.NewController(placement.DefaultControllerConfig(cell, c.holder)),
-		events:     ring.New[placement.Event](cellEvents, ring.Block),
+		events:     ring.New[placement.Event](cellEventsCapacity, ring.Block),
 	}
 	runner := lease.NewRunner(lease.RunnerConfig{
 		Name: "cell-" + cell, Lease: lease.NewConfig(c.holder), Client: c.client, Now: c.now,
@@ -133,7 +133,7 @@
 }
 
 // configured is what the settings say of a cell.
-func configured(catalog *settings.Catalog, pool string, cells int) placement.CellSettings {
+func cellSettings(catalog *settings.Catalog, pool string, cells int) placement.CellSettings {
 	p := catalog.Tree.Pools[pool]
 	c := placement.CellSettings{
 		CapacityMB: p.MemoryMB, Concurrency: p.Concurrency, ChecksFencing: p.ChecksFencing,
@@ -153,7 +153,7 @@
 	return c
 }
 
-func listed(list *membership.List, pool string) placement.MemberList {
+func memberList(list *membership.List, pool string) placement.MemberList {
 	l := placement.MemberList{Version: list.Version(), Endpoints: []placement.Member{}, Instances: map[string]string{}}
 	for _, m := range list.Pool(membership.InstancePool) {
 		l.Instances[m.Name] = m.Incarnation
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -13,62 +13,62 @@
 
 // claimAsker asks the n-th instance by rendezvous hashing for a shard, over
 // the peers' link, or this instance itself.
-func (i *Instance) claimAsker(owner *claim.Owner) claim.SubmitFunc {
+func (i *Instance) claimSubmitter(owner *claim.Owner) claim.SubmitFunc {
 	return func(ctx context.Context, shard, n int, op claim.Op) (claim.Reply, error) {
-		name, found := i.cells.choice(fmt.Sprintf("claims-%03d", shard), n)
+		name, found := i.cells.nthInstance(fmt.Sprintf("claims-%03d", shard), n)
 		if !found {
 			return claim.Reply{}, claim.ErrNoOwner
 		}
 		if name == i.cfg.Instance {
 			return owner.Submit(ctx, shard, op)
 		}
-		return i.askClaim(ctx, i.peers.address(name).streams, shard, op)
+		return i.submitClaim(ctx, i.peers.address(name).streams, shard, op)
 	}
 }
 
-func (i *Instance) askClaim(ctx context.Context, address string, shard int, op claim.Op) (claim.Reply, error) {
-	var a claim.Reply
+func (i *Instance) submitClaim(ctx context.Context, address string, shard int, op claim.Op) (claim.Reply, error) {
+	var reply claim.Reply
 	if address == "" {
-		return a, claim.ErrNoOwner
+		return reply, claim.ErrNoOwner
 	}
 	encoded, err := cbor.Marshal(op)
 	if err != nil {
-		return a, err
+		return reply, err
 	}
-	data, err := i.asking.Call(ctx, address, peer.Request{Claim: &peer.ClaimRequest{Shard: shard, Op: encoded}})
+	data, err := i.streamClient.Call(ctx, address, peer.Request{Claim: &peer.ClaimRequest{Shard: shard, Op: encoded}})
 	if err != nil {
-		return a, err
+		return reply, err
 	}
-	return a, cbor.Unmarshal(data, &a)
+	return reply, cbor.Unmarshal(data, &reply)
 }
 
 // answerPeer answers a peer's question: about the revision in force, or about
 // an entry of a shard that the peer takes this instance to run.
-func (i *Instance) answerPeer(ctx context.Context, q peer.Request) peer.Reply {
-	if q.Claim != nil {
-		return i.answerClaim(ctx, q.Claim)
+func (i *Instance) handlePeerRequest(ctx context.Context, req peer.Request) peer.Reply {
+	if req.Claim != nil {
+		return i.handleClaim(ctx, req.Claim)
 	}
-	a := i.current.Load()
-	if a == nil {
+	current := i.current.Load()
+	if current == nil {
 		return peer.Reply{}
 	}
-	if q.Root {
-		return encodedReply(a.Entry)
+	if req.Root {
+		return encodedReply(current.Entry)
 	}
-	text, found := a.Chunks[q.Chunk]
+	text, found := current.Chunks[req.Chunk]
 	return peer.Reply{Found: found, Data: text}
 }
 
-func (i *Instance) answerClaim(ctx context.Context, q *peer.ClaimRequest) peer.Reply {
+func (i *Instance) handleClaim(ctx context.Context, req *peer.ClaimRequest) peer.Reply {
 	var op claim.Op
-	if err := cbor.Unmarshal(q.Op, &op); err != nil || q.Shard < 0 || q.Shard >= claim.Shards || i.current.Load() == nil {
+	if err := cbor.Unmarshal(req.Op, &op); err != nil || req.Shard < 0 || req.Shard >= claim.Shards || i.current.Load() == nil {
 		return peer.Reply{}
 	}
-	answer, err := i.claims.Submit(ctx, q.Shard, op)
+	reply, err := i.claims.Submit(ctx, req.Shard, op)
 	if err != nil {
 		return peer.Reply{}
 	}
-	return encodedReply(answer)
+	return encodedReply(reply)
 }
 
 func encodedReply(v any) peer.Reply {
--- a/daemon/entries.go
+++ b/daemon/entries.go
@@ -153,7 +153,7 @@
 // that following returns.
 func (d *entriesDuty) newStoreWatch(ctx context.Context, following func() context.Context) *store.Reflector {
 	put := func(e membership.EntryEvent) { d.put(ctx, e) }
-	var changes batch
+	var changes eventBatch
 	options := store.WatchOptions{AllowStale: d.allowStale, Wait: d.freshWatchHold, OnFresh: func() { d.link.watchConfirmed(d.kind) }, Now: d.now}
 	return store.NewReflector(d.client, d.kind, options,
 		func(l store.List) {
--- a/daemon/eras.go
+++ b/daemon/eras.go
@@ -19,7 +19,7 @@
 	n.vars.Add("store_eras", 1)
 	n.log.Info("store came back from a copy", "era", era)
 	n.link.restoredFromCopy()
-	n.rights.doubt(eraSettleTime)
+	n.rights.distrustStore(eraSettleTime)
 	select {
 	case n.eraStarted <- struct{}{}:
 	default:
--- a/daemon/evacuations.go
+++ b/daemon/evacuations.go
@@ -19,23 +19,23 @@
 // evacuated. A nil one knows of none.
 type evacuations struct {
 	// changed is told, in order, of the domains that are evacuated from now on.
-	changed func(domains []string)
-	log     logr.Logger
+	onChange func(domains []string)
+	log      logr.Logger
 
-	mu     sync.Mutex
-	keeper evacuation.Tracker
+	mu      sync.Mutex
+	tracker evacuation.Tracker
 }
 
 // step passes an event on.
 func (s *evacuations) step(e evacuation.Event, by string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.keeper.Step(e) {
+	if !s.tracker.Step(e) {
 		return
 	}
-	in := s.keeper.InForce()
-	s.log.Info("evacuations", "failure_domains", in.Domains, "era", in.Version.Era, "revision", in.Version.Revision, "by", by)
-	s.changed(in.Domains)
+	set := s.tracker.InForce()
+	s.log.Info("evacuations", "failure_domains", set.Domains, "era", set.Version.Era, "revision", set.Version.Revision, "by", by)
+	s.onChange(set.Domains)
 }
 
 // inForce returns the domains that are evacuated.
@@ -45,7 +45,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.keeper.InForce().Domains)
+	return slices.Clone(s.tracker.InForce().Domains)
 }
 
 // maxEvacuatedBytes bounds what one packet tells of evacuated domains.
@@ -53,26 +53,26 @@
 
 // tell adds what is known to a packet. It reports false if that does not fit, so that the
 // others must look themselves.
-func (s *evacuations) tell(p *peer.Packet) bool {
+func (s *evacuations) addTo(p *peer.Packet) bool {
 	if s == nil {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	in := s.keeper.InForce()
+	set := s.tracker.InForce()
 	bytes := 0
-	for _, d := range in.Domains {
+	for _, d := range set.Domains {
 		bytes += len(d) + 2
 	}
 	if bytes > maxEvacuatedBytes {
 		return false
 	}
-	p.Evacuated, p.EvacuatedEra, p.EvacuatedRevision = in.Domains, in.Version.Era, in.Version.Revision
+	p.Evacuated, p.EvacuatedEra, p.EvacuatedRevision = set.Domains, set.Version.Era, set.Version.Revision
 	return true
 }
 
 // heard takes the word of another instance.
-func (s *evacuations) heard(p peer.Packet) {
+func (s *evacuations) receive(p peer.Packet) {
 	if s == nil || p.EvacuatedRevision == 0 {
 		return
 	}
@@ -86,10 +86,10 @@
 	client store.Client
 	kind   store.Kind
 	// version reads a version of the store.
-	version func(resourceVersion string) (evacuation.Version, error)
-	known   *evacuations
+	version     func(resourceVersion string) (evacuation.Version, error)
+	evacuations *evacuations
 	// told tells whether the holder of the lease tells what is new in time.
-	told func() bool
+	announced func() bool
 	// wait is how long the store may hold a call.
 	wait func() time.Duration
 	now  func() time.Time
@@ -101,7 +101,7 @@
 const byStore = "the store"
 
 func (d *evacuationsDuty) run(ctx context.Context) {
-	if !d.rest(ctx) {
+	if !d.waitWhileAnnounced(ctx) {
 		return
 	}
 	changes := map[string]bool{}
@@ -110,15 +110,15 @@
 		func(l store.List) {
 			d.link.markReachable()
 			clear(changes)
-			d.listed(l)
+			d.handleList(l)
 		},
 		func(e store.Event) {
 			switch e.Type {
 			case store.EventBookmark:
 				d.link.markReachable()
-				d.changed(e.Object.Metadata.ResourceVersion, changes)
+				d.handleBookmark(e.Object.Metadata.ResourceVersion, changes)
 				clear(changes)
-				d.rest(ctx)
+				d.waitWhileAnnounced(ctx)
 			default:
 				changes[e.Object.Metadata.Name] = e.Type != store.EventDeleted
 			}
@@ -128,14 +128,14 @@
 }
 
 // rest waits for as long as there is nothing to ask for. It reports false if ctx ended.
-func (d *evacuationsDuty) rest(ctx context.Context) bool {
-	for ctx.Err() == nil && d.told() {
-		wait.While(ctx, maxStalePause, d.told)
+func (d *evacuationsDuty) waitWhileAnnounced(ctx context.Context) bool {
+	for ctx.Err() == nil && d.announced() {
+		wait.While(ctx, maxStalePause, d.announced)
 	}
 	return ctx.Err() == nil
 }
 
-func (d *evacuationsDuty) listed(l store.List) {
+func (d *evacuationsDuty) handleList(l store.List) {
 	version, err := d.version(l.ResourceVersion)
 	if err != nil {
 		d.log.Error(err, "evacuations not read")
@@ -145,14 +145,14 @@
 	for _, o := range l.Items {
 		domains[o.Metadata.Name] = true
 	}
-	d.known.step(evacuation.Listed{Set: evacuation.Set{Version: version, Domains: slices.Sorted(maps.Keys(domains))}}, byStore)
+	d.evacuations.step(evacuation.Listed{Set: evacuation.Set{Version: version, Domains: slices.Sorted(maps.Keys(domains))}}, byStore)
 }
 
-func (d *evacuationsDuty) changed(resourceVersion string, changes map[string]bool) {
+func (d *evacuationsDuty) handleBookmark(resourceVersion string, changes map[string]bool) {
 	version, err := d.version(resourceVersion)
 	if err != nil {
 		d.log.Error(err, "evacuations not read")
 		return
 	}
-	d.known.step(evacuation.Changed{Version: version, Domains: maps.Clone(changes)}, byStore)
+	d.evacuations.step(evacuation.Changed{Version: version, Domains: maps.Clone(changes)}, byStore)
 }
--- a/daemon/events.go
+++ b/daemon/events.go
@@ -49,7 +49,7 @@
 type placementsReceived struct{ placements []peer.Placement }
 
 // endpointsWithdrawn reports, from another instance, endpoints that accept no more requests.
-type endpointsWithdrawn struct{ endpoints []endpointStart }
+type endpointsWithdrawn struct{ endpoints []endpointIncarnation }
 
 // domainsEvacuated carries the failure domains that the platform has evacuated.
 type domainsEvacuated struct{ domains []string }
--- a/daemon/followercalls_test.go
+++ b/daemon/followercalls_test.go
@@ -151,8 +151,8 @@
 func TestFewInstancesCampaignWhenAllStartTogether(t *testing.T) {
 	const instances = 295
 	start := time.Unix(1000, 0)
-	patience := campaignDelay + joinSettle + silentStart
-	for _, after := range []time.Duration{0, campaignDelay, patience + 2*silentStep} {
+	patience := campaignDelay + joinQuietTime + coordinatorSilenceAtStart
+	for _, after := range []time.Duration{0, campaignDelay, patience + 2*campaignRankDelay} {
 		campaign := 0
 		for i := range instances {
 			now := start.Add(after)
@@ -171,9 +171,9 @@
 		case after < campaignDelay:
 			require.Zero(t, campaign)
 		case after < patience:
-			require.Equal(t, nodeCampaigners, campaign)
+			require.Equal(t, maxNodeCampaigners, campaign)
 		default:
-			require.Equal(t, nodeCampaigners+1, campaign, "one more, if no packet of a holder was received")
+			require.Equal(t, maxNodeCampaigners+1, campaign, "one more, if no packet of a holder was received")
 		}
 	}
 }
--- a/daemon/followsettings.go
+++ b/daemon/followsettings.go
@@ -63,7 +63,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, checkStoreTimeout)
 	defer cancel()
-	var changes batch
+	var changes eventBatch
 	options := store.WatchOptions{Wait: time.Millisecond, Now: d.now}
 	err := d.client.Watch(ctx, d.kind, *version, options, func(e store.Event) {
 		if e.Type != store.EventBookmark {
@@ -144,7 +144,7 @@
 	// after newer ones were acknowledged.
 	allowStale := func() bool { return listed.Load() && d.allowStale() }
 	options := store.WatchOptions{AllowStale: allowStale, OnFresh: func() { d.link.watchConfirmed(d.kind) }, Now: d.now, WaitNow: d.watchHold}
-	var changes batch
+	var changes eventBatch
 	r := store.NewReflector(d.client, d.kind, options,
 		func(l store.List) {
 			d.link.listReceived(d.kind, l)
--- a/daemon/holds.go
+++ b/daemon/holds.go
@@ -29,60 +29,60 @@
 // tells: all that start when none is left who knows, and one that is cut off from the
 // others and not from the store.
 type holdsDuty struct {
-	client store.Client
-	keeper *quarantine.Manager
+	client  store.Client
+	manager *quarantine.Manager
 	// words holds requests that have come to be held here.
-	words *ring.Ring[quarantine.Report]
+	reports *ring.Ring[quarantine.Report]
 	// isolated tells whether this instance hears none of the others.
-	isolated func() bool
-	memory   time.Duration
-	log      logr.Logger
+	isolated  func() bool
+	retention time.Duration
+	log       logr.Logger
 	// timeOfDay is the time of day, by which instances tell each other's writes apart.
 	timeOfDay func() time.Time
 }
 
 const (
 	// holdsWaiting bounds the requests that wait to be written.
-	holdsWaiting = 64
+	pendingHoldsCapacity = 64
 	// holdsLook is the time between two looks of an instance that is isolated, and the
 	// pause before a call that failed is made again.
-	holdsLook = time.Second
+	holdsReadInterval = time.Second
 )
 
 // run reads what is held when the instance starts, and again while it is isolated.
 func (d *holdsDuty) run(ctx context.Context) {
-	read := false
+	readOnce := false
 	for ctx.Err() == nil {
-		if !read || d.isolated() {
-			err := d.read(ctx, !read)
+		if !readOnce || d.isolated() {
+			err := d.read(ctx, !readOnce)
 			if err != nil {
 				d.log.V(1).Info("held requests not read", "error", err.Error())
 			}
-			read = read || err == nil
+			readOnce = readOnce || err == nil
 		}
-		wait.For(ctx, jitter(holdsLook))
+		wait.For(ctx, jitter(holdsReadInterval))
 	}
 }
 
 // read takes what the store knows. A start may go by an old answer.
-func (d *holdsDuty) read(ctx context.Context, old bool) error {
-	list, err := d.list(ctx, old)
+func (d *holdsDuty) read(ctx context.Context, stale bool) error {
+	list, err := d.list(ctx, stale)
 	if err != nil {
 		return err
 	}
 	for _, o := range list.Items {
-		word, err := d.decode(o)
+		report, err := d.decode(o)
 		if err != nil {
 			d.log.Info("held request unreadable", "name", o.Metadata.Name, "error", err.Error())
 			continue
 		}
-		d.keeper.ReceiveReports([]quarantine.Report{word}, false)
+		d.manager.ReceiveReports([]quarantine.Report{report}, false)
 	}
 	return nil
 }
 
-func (d *holdsDuty) list(ctx context.Context, old bool) (store.List, error) {
-	if reader, offered := d.client.(store.StaleReader); offered && old {
+func (d *holdsDuty) list(ctx context.Context, stale bool) (store.List, error) {
+	if reader, offered := d.client.(store.StaleReader); offered && stale {
 		return reader.ListStale(ctx, store.KindHold, "")
 	}
 	return d.client.List(ctx, store.KindHold)
@@ -91,20 +91,20 @@
 // write writes requests as they come to be held.
 func (d *holdsDuty) write(ctx context.Context) {
 	for {
-		w, err := d.words.Take(ctx)
+		report, err := d.reports.Take(ctx)
 		if err != nil {
 			return
 		}
-		if err := d.put(ctx, w); err != nil {
-			d.log.Info("held request not written", "fingerprint", hex.EncodeToString(w.Fingerprint), "error", err.Error())
+		if err := d.put(ctx, report); err != nil {
+			d.log.Info("held request not written", "fingerprint", hex.EncodeToString(report.Fingerprint), "error", err.Error())
 		}
 	}
 }
 
 // put writes a request, over what was written when it was held before, and removes those
 // that count no more.
-func (d *holdsDuty) put(ctx context.Context, w quarantine.Report) error {
-	o, err := store.NewObject(store.KindHold, hex.EncodeToString(w.Fingerprint), d.encode(w))
+func (d *holdsDuty) put(ctx context.Context, report quarantine.Report) error {
+	o, err := store.NewObject(store.KindHold, hex.EncodeToString(report.Fingerprint), d.encode(report))
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 		return err
 	}
 	for _, o := range list.Items {
-		if _, err := d.decode(o); !errors.Is(err, errHoldOver) {
+		if _, err := d.decode(o); !errors.Is(err, errHoldExpired) {
 			continue
 		}
 		if err := d.client.Delete(ctx, store.KindHold, o.Metadata.Name); err != nil && !store.IsNotFound(err) {
@@ -140,20 +140,20 @@
 	return nil
 }
 
-func (d *holdsDuty) encode(w quarantine.Report) heldRequest {
+func (d *holdsDuty) encode(report quarantine.Report) heldRequest {
 	now := d.timeOfDay().UnixMilli()
 	var h heldRequest
-	for i, endpoint := range w.Incarnations {
-		h.Endpoints = append(h.Endpoints, strconv.FormatUint(endpoint, 16))
-		h.EndedMS = append(h.EndedMS, now-w.AgesMS[i])
+	for i, incarnation := range report.Incarnations {
+		h.Endpoints = append(h.Endpoints, strconv.FormatUint(incarnation, 16))
+		h.EndedMS = append(h.EndedMS, now-report.AgesMS[i])
 	}
 	return h
 }
 
 // Errors of reading a request that is held back.
 var (
-	errHoldOver   = errors.New("its endings are too old to count")
-	errHoldUneven = errors.New("endpoints and times do not match")
+	errHoldExpired    = errors.New("its endings are too old to count")
+	errHoldMismatched = errors.New("endpoints and times do not match")
 )
 
 // decode reads a request; endings that are too old to count are left out.
@@ -167,25 +167,25 @@
 		return quarantine.Report{}, err
 	}
 	if len(h.Endpoints) != len(h.EndedMS) {
-		return quarantine.Report{}, errHoldUneven
+		return quarantine.Report{}, errHoldMismatched
 	}
-	w := quarantine.Report{Fingerprint: fingerprint}
+	report := quarantine.Report{Fingerprint: fingerprint}
 	now := d.timeOfDay().UnixMilli()
 	for i, text := range h.Endpoints {
-		endpoint, err := strconv.ParseUint(text, 16, 64)
+		incarnation, err := strconv.ParseUint(text, 16, 64)
 		if err != nil {
 			return quarantine.Report{}, err
 		}
 		// Clocks of instances differ a little.
 		age := max(now-h.EndedMS[i], 0)
-		if age >= d.memory.Milliseconds() {
+		if age >= d.retention.Milliseconds() {
 			continue
 		}
-		w.Incarnations = append(w.Incarnations, endpoint)
-		w.AgesMS = append(w.AgesMS, age)
+		report.Incarnations = append(report.Incarnations, incarnation)
+		report.AgesMS = append(report.AgesMS, age)
 	}
-	if len(w.Incarnations) == 0 {
-		return w, errHoldOver
+	if len(report.Incarnations) == 0 {
+		return report, errHoldExpired
 	}
-	return w, nil
+	return report, nil
 }
--- a/daemon/holds_test.go
+++ b/daemon/holds_test.go
@@ -75,11 +75,11 @@
 
 func newHoldsDuty(s store.Client, isolated func() bool) *holdsDuty {
 	d := &holdsDuty{
-		client: s, words: ring.New[quarantine.Report](holdsWaiting, ring.DropOldest), isolated: isolated,
-		memory: quarantine.DefaultLimits.Retention(), log: logr.Discard(), timeOfDay: time.Now,
+		client: s, reports: ring.New[quarantine.Report](pendingHoldsCapacity, ring.DropOldest), isolated: isolated,
+		retention: quarantine.DefaultLimits.Retention(), log: logr.Discard(), timeOfDay: time.Now,
 	}
-	d.keeper = quarantine.NewManager(quarantine.Config{
-		Limits: quarantine.DefaultLimits, Now: time.Now, Log: logr.Discard(), Persist: func(w quarantine.Report) { _ = d.words.Put(context.Background(), w) },
+	d.manager = quarantine.NewManager(quarantine.Config{
+		Limits: quarantine.DefaultLimits, Now: time.Now, Log: logr.Discard(), Persist: func(w quarantine.Report) { _ = d.reports.Put(context.Background(), w) },
 	})
 	return d
 }
@@ -99,14 +99,14 @@
 		isolated.Store(true)
 		f := quarantine.Fingerprint{1, 2, 3}
 		for i := range int64(3) {
-			here.keeper.RecordTermination(f, "account", "e", i)
+			here.manager.RecordTermination(f, "account", "e", i)
 		}
 		go here.write(ctx)
 		synctest.Wait()
-		time.Sleep(3 * holdsLook)
-		require.Equal(t, 1, there.keeper.Stats().Held)
+		time.Sleep(3 * holdsReadInterval)
+		require.Equal(t, 1, there.manager.Stats().Held)
 		isolated.Store(false)
-		time.Sleep(2 * holdsLook)
+		time.Sleep(2 * holdsReadInterval)
 		before := s.listed()
 		time.Sleep(time.Minute)
 		require.Equal(t, before, s.listed())
@@ -137,7 +137,7 @@
 	require.NotContains(t, s.objects, "00000000000000000000000000000001")
 	require.Len(t, s.objects, 4, "what cannot be read is left alone")
 	require.NoError(t, d.read(context.Background(), false))
-	require.Equal(t, 1, d.keeper.Stats().Known)
+	require.Equal(t, 1, d.manager.Stats().Known)
 	got, err := d.decode(s.objects["00000000000000000000000000000000"])
 	require.NoError(t, err)
 	require.Equal(t, w.Incarnations, got.Incarnations)
--- a/daemon/starts.go
+++ b/daemon/incarnations.go
@@ -3,7 +3,7 @@
 import "time"
 
 // endpointStart is one start of an endpoint's process, of which an instance tells.
-type endpointStart struct {
+type endpointIncarnation struct {
 	name string
 	// startedAtMS is when it was started, by its own clock; 0 where nobody knows.
 	startedAtMS int64
@@ -11,7 +11,7 @@
 
 // concerns tells whether a word on this start concerns an endpoint that was started at
 // startedAtMS: it says nothing of one that was started again since.
-func (s endpointStart) concerns(startedAtMS int64) bool {
+func (s endpointIncarnation) includes(startedAtMS int64) bool {
 	return s.startedAtMS == 0 || startedAtMS <= s.startedAtMS
 }
 
@@ -25,21 +25,21 @@
 
 // startsOf joins the names of endpoints in a packet with their starts, which a sender
 // may leave out.
-func startsOf(names []string, startedAtMS []int64) []endpointStart {
-	starts := make([]endpointStart, len(names))
+func incarnationsOf(names []string, startedAtMS []int64) []endpointIncarnation {
+	incarnations := make([]endpointIncarnation, len(names))
 	for i, name := range names {
-		starts[i].name = name
+		incarnations[i].name = name
 		if i < len(startedAtMS) {
-			starts[i].startedAtMS = startedAtMS[i]
+			incarnations[i].startedAtMS = startedAtMS[i]
 		}
 	}
-	return starts
+	return incarnations
 }
 
 // namesOf takes endpoints apart for a packet; the starts are nil where none is known.
-func namesOf(starts []endpointStart) (names []string, startedAtMS []int64) {
+func splitIncarnations(incarnations []endpointIncarnation) (names []string, startedAtMS []int64) {
 	known := false
-	for _, s := range starts {
+	for _, s := range incarnations {
 		names = append(names, s.name)
 		startedAtMS = append(startedAtMS, s.startedAtMS)
 		known = known || s.startedAtMS != 0
--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -54,8 +54,8 @@
 	vars *expvar.Map
 	// exact is the time where a right to order rests on it; wakes holds suspensions that
 	// were noticed and not acted on yet.
-	exact func() time.Time
-	wakes *ring.Ring[time.Duration]
+	exact       func() time.Time
+	suspensions *ring.Ring[time.Duration]
 	// overdue ends requests whose deadline has passed.
 	overdue func()
 	engine  *engine.Client
@@ -68,14 +68,14 @@
 	// quarantine holds back requests that end endpoints.
 	quarantine *quarantine.Manager
 	// allowances is this instance's even part of the callers' allowances.
-	allowances *allowance.Limiter
-	events     *ring.Ring[event]
-	catalog    atomic.Pointer[settings.Catalog]
-	current    atomic.Pointer[revision.Accepted]
-	heard      *freshness
-	peers      *peersDuty
-	streams    *peer.StreamServer
-	asking     *peer.StreamClient
+	allowances   *allowance.Limiter
+	events       *ring.Ring[event]
+	catalog      atomic.Pointer[settings.Catalog]
+	current      atomic.Pointer[revision.Accepted]
+	freshness    *freshness
+	peers        *peersDuty
+	streams      *peer.StreamServer
+	streamClient *peer.StreamClient
 	// settings fetches revisions.
 	settings *settingsFetcher
 	// draining is set once a planned stop has begun.
@@ -96,10 +96,10 @@
 
 // New returns an instance that has its listeners but serves nothing yet.
 func New(cfg Config, deps Deps) (*Instance, error) {
-	wakes := ring.New[time.Duration](suspensionsCapacity, ring.DropOldest)
+	suspensions := ring.New[time.Duration](suspensionsCapacity, ring.DropOldest)
 	exact := deps.Now
 	if deps.Now == nil {
-		c := clock.New(clock.System(), func(slept time.Duration) { _ = wakes.Put(context.Background(), slept) })
+		c := clock.New(clock.System(), func(slept time.Duration) { _ = suspensions.Put(context.Background(), slept) })
 		deps.Now, exact = c.Now, c.NowExact
 	}
 	if deps.Dial == nil {
@@ -114,14 +114,14 @@
 		return nil, trace.Wrap(err, "operators' address")
 	}
 	i := &Instance{
-		cfg: cfg, deps: deps, exact: exact, wakes: wakes, log: deps.Log.WithValues("instance", cfg.Instance), vars: new(expvar.Map).Init(),
+		cfg: cfg, deps: deps, exact: exact, suspensions: suspensions, log: deps.Log.WithValues("instance", cfg.Instance), vars: new(expvar.Map).Init(),
 		engine: engine.NewClient(engine.Config{Dial: deps.Dial}),
 		router: routing.NewRouter(routing.Policies()[cfg.RoutingPolicy], randv2.Float64),
 		events: ring.New[event](eventsCapacity, ring.Block), process: rand.Text(), allowances: allowance.NewEvenLimiter(),
 	}
 	i.gates = pipeline.NewGates(admission.Limits{MaxWaiters: cfg.Limits.QueueRequests, MaxBytes: cfg.Limits.QueueBytes}, deps.Now)
 	i.control = engine.NewClient(engine.Config{Dial: i.counted("engine_control")})
-	i.heard = newFreshness(deps.Now, milliseconds(cfg.Limits.FreshnessMS), func() {
+	i.freshness = newFreshness(deps.Now, milliseconds(cfg.Limits.FreshnessMS), func() {
 		_ = i.peers.events.Put(i.work, peer.StoreAnswered{})
 	})
 	i.work, i.stop = context.WithCancel(context.Background())
@@ -150,17 +150,17 @@
 	if err != nil {
 		return err
 	}
-	i.asking = peer.NewStreamClient(identity)
+	i.streamClient = peer.NewStreamClient(identity)
 	i.peers = &peersDuty{
 		onLiveCount: i.allowances.SetInstanceCount,
 		gossip:      peer.NewGossip(peer.GossipConfig{Name: i.cfg.Instance, Process: i.process}), sealer: sealer,
 		events: ring.New[peer.Event](peerEventCapacity, ring.DropOldest), fetches: ring.New[settingsCandidate](candidatesCapacity, ring.DropOldest),
-		freshness: i.heard, quarantine: i.quarantine, log: i.log, now: i.deps.Now,
+		freshness: i.freshness, quarantine: i.quarantine, log: i.log, now: i.deps.Now,
 		onPeerLeaving: func(name string) { _ = i.events.Put(i.work, instanceLeaving{name}) },
 		countSent:     func(n int) { i.vars.Add("peer_bytes_out", int64(n)) },
 		countReceived: func(n int) { i.vars.Add("peer_bytes_in", int64(n)) },
 	}
-	if i.streams, err = peer.ListenStreams(i.cfg.Peers.Streams, identity, i.answerPeer); err != nil {
+	if i.streams, err = peer.ListenStreams(i.cfg.Peers.Streams, identity, i.handlePeerRequest); err != nil {
 		return err
 	}
 	if i.peers.datagrams, err = peer.ListenUDP(i.cfg.Peers.Datagrams, i.peers.receive); err != nil {
@@ -173,12 +173,12 @@
 // peerKeys returns the keys of the settings, then those of the configuration.
 // Both have been checked where they were read.
 func (i *Instance) peerKeys(t *settings.Tree) [][]byte {
-	var texts []string
+	var encoded []string
 	if t != nil {
-		texts = append(texts, t.PeerKeys...)
+		encoded = append(encoded, t.PeerKeys...)
 	}
 	var keys [][]byte
-	for _, text := range append(texts, i.cfg.Peers.Keys...) {
+	for _, text := range append(encoded, i.cfg.Peers.Keys...) {
 		if key, err := peer.ParseKey(text); err == nil {
 			keys = append(keys, key)
 		}
@@ -194,13 +194,13 @@
 	i.catalog.Store(c)
 	i.current.Store(a)
 	if previous == nil || !slices.Equal(previous.Tree.PeerKeys, a.Tree.PeerKeys) {
-		i.rotate(i.peerKeys(a.Tree))
+		i.rotatePeerKeys(i.peerKeys(a.Tree))
 	}
 	_ = i.peers.events.Put(i.work, peer.RevisionInForce{Revision: a.Entry.Revision})
 	return c
 }
 
-func (i *Instance) rotate(keys [][]byte) {
+func (i *Instance) rotatePeerKeys(keys [][]byte) {
 	identity, err := peer.NewIdentity(keys, i.deps.Now())
 	if err == nil {
 		err = i.peers.sealer.SetKeys(keys)
@@ -210,7 +210,7 @@
 		return
 	}
 	i.streams.SetIdentity(identity)
-	i.asking.SetIdentity(identity)
+	i.streamClient.SetIdentity(identity)
 }
 
 func listen(given net.Listener, address string) (net.Listener, error) {
@@ -233,15 +233,15 @@
 	handler := pipeline.New(pipeline.Config{
 		Dialect: dialect,
 		Catalog: i.catalog.Load, Router: i.router, Gates: i.gates,
-		Claims: claim.NewClaimer(i.claimAsker(i.claims), i.deps.Now),
+		Claims: claim.NewClaimer(i.claimSubmitter(i.claims), i.deps.Now),
 		Engine: i.engine, Metrics: pipeline.NewMetrics(i.vars), Log: i.log, Now: i.deps.Now,
 		FailureDomain: i.cfg.FailureDomain, Quarantine: i.quarantine, Allowances: i.allowances,
 	})
 	i.overdue = handler.CancelOverdue
-	i.callers = i.server(i.closing(i.guard(dialect, dialect.WithModels(handler))))
+	i.callers = i.server(i.closeWhileDraining(i.guard(dialect, dialect.WithModels(handler))))
 	i.idle = newIdleConns(i.log, i.deps.Now, func() time.Duration { return milliseconds(i.cfg.Limits.IdleMS) })
 	i.operators = i.server(i.operatorHandler())
-	i.duties(objects, platform)
+	i.startDuties(objects, platform)
 }
 
 // platformConns bounds the idle connections to the platform.
@@ -279,7 +279,7 @@
 // serve by what it knew, so it confirms first.
 func (i *Instance) guard(d pipeline.Dialect, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		current := i.heard.fresh() || i.settings.confirm(r.Context())
+		current := i.freshness.fresh() || i.settings.confirm(r.Context())
 		if i.catalog.Load() == nil || !current {
 			pipeline.WriteNotRun(d, w, "the instance has no current settings")
 			return
@@ -289,13 +289,13 @@
 }
 
 // closing ends connections with their answers once the instance drains.
-func (i *Instance) closing(next http.Handler) http.Handler {
+func (i *Instance) closeWhileDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		next.ServeHTTP(&closingWriter{ResponseWriter: w, stopping: i.draining.Load}, r)
 	})
 }
 
-func (i *Instance) duties(objects store.Client, platform http.RoundTripper) {
+func (i *Instance) startDuties(objects store.Client, platform http.RoundTripper) {
 	i.cells = &cells{
 		ctx: i.work, name: i.cfg.Instance, holder: i.holder(), client: objects, engine: i.control, log: i.log, now: i.exact,
 		done: &i.done, stopping: i.draining.Load, running: map[string]*cellDuty{},
@@ -306,8 +306,8 @@
 		resolve: i.adopt, updatePeers: i.peers.updateMembers,
 	}
 	i.settings = &settingsFetcher{
-		client: objects, streams: i.asking, fetcher: revision.NewFetcher(), candidates: i.peers.fetches,
-		events: i.events, contact: i.heard, log: i.log,
+		client: objects, streams: i.streamClient, fetcher: revision.NewFetcher(), candidates: i.peers.fetches,
+		events: i.events, contact: i.freshness, log: i.log,
 	}
 	members := &membersPoller{
 		source: membership.NewSource(i.cfg.Platform.Members, platform), events: i.events, log: i.log, onListing: i.peers.listReceived,
@@ -316,39 +316,39 @@
 	load := &loadPoller{
 		router: i.router, client: i.control, catalog: i.catalog.Load, events: i.events, log: i.log,
 		limiter:    rate.NewLimiter(rate.Limit(i.cfg.Limits.LoadPollsPerSecond), 1),
-		activeRate: rate.Limit(i.cfg.Limits.LoadPollsPerSecond), idleRate: rate.Limit(i.cfg.Limits.LoadPollsPerSecond) / idleShare,
+		activeRate: rate.Limit(i.cfg.Limits.LoadPollsPerSecond), idleRate: rate.Limit(i.cfg.Limits.LoadPollsPerSecond) / idleLoadPollDivisor,
 		requestCount: func() int64 { return i.Counter("requests") },
 	}
 	poll := func(ctx context.Context) {
 		i.settings.poll(ctx, func() int { return i.router.View().Instances })
 	}
 	for _, run := range []func(context.Context){
-		view.run, i.settings.run, i.settings.watch, poll, members.run, load.run, i.peers.run, i.kickDuty, i.idle.run, i.handleSuspensions,
+		view.run, i.settings.run, i.settings.watch, poll, members.run, load.run, i.peers.run, i.pollGates, i.idle.run, i.handleSuspensions,
 	} {
 		i.done.Go(func() { run(i.work) })
 	}
 }
 
 // idleShare divides the rate of load reports while no requests come.
-const idleShare = 4
+const idleLoadPollDivisor = 4
 
 const (
 	// kickInterval is how often waiting requests are offered to the router
 	// apart from the events that are known to free a place.
-	kickInterval = 50 * time.Millisecond
+	waitingPollInterval = 50 * time.Millisecond
 	// kickIdle is the same while nothing waits.
-	kickIdle = 250 * time.Millisecond
+	waitingPollIdleInterval = 250 * time.Millisecond
 )
 
-func (i *Instance) kickDuty(ctx context.Context) { kickLoop(ctx, i.gates) }
+func (i *Instance) pollGates(ctx context.Context) { pollWaiting(ctx, i.gates) }
 
-func kickLoop(ctx context.Context, gates *pipeline.Gates) {
+func pollWaiting(ctx context.Context, gates *pipeline.Gates) {
 	for ctx.Err() == nil {
 		if gates.Len() == 0 {
-			wait.For(ctx, kickIdle)
+			wait.For(ctx, waitingPollIdleInterval)
 			continue
 		}
-		wait.For(ctx, kickInterval)
+		wait.For(ctx, waitingPollInterval)
 		gates.Wake()
 	}
 }
@@ -406,12 +406,12 @@
 	i.control.Close()
 	i.peers.datagrams.Close()
 	i.streams.Close()
-	i.asking.Close()
+	i.streamClient.Close()
 }
 
 // Ready tells whether the instance takes callers.
 func (i *Instance) Ready() bool {
-	return i.catalog.Load() != nil && i.router.View().Instances > 0 && !i.draining.Load() && i.heard.fresh()
+	return i.catalog.Load() != nil && i.router.View().Instances > 0 && !i.draining.Load() && i.freshness.fresh()
 }
 
 // Revision returns the revision of the settings in force, 0 for none.
--- a/daemon/leavedelay_test.go
+++ b/daemon/leavedelay_test.go
@@ -217,7 +217,7 @@
 	const step, startStep = 15 * time.Millisecond, 150 * time.Millisecond
 	// detectionTime is how long the successor may need to see that the lease is free; it is shorter
 	// than the time after which the others stop accepting stale answers.
-	const detectionTime = min(leaseRenewal+leaseLook, minHolderTimeout) - step
+	const detectionTime = min(leaseRenewal+leaseCheckInterval, minHolderTimeout) - step
 	var worst time.Duration
 	for last := time.Duration(0); last < staleBatchDelay+step; last += step {
 		for start := time.Duration(0); start < staleBatchDelay; start += startStep {
--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -34,7 +34,7 @@
 	quarantine *quarantine.Manager
 	// rights replies to confirmation requests of other instances for the keys in their
 	// settings, and receives the replies to its own.
-	rights *keyRights
+	rights *keyAuthority
 	// eras follows the store's eras, which another instance may have observed first; nil if no
 	// era is reported.
 	eras *store.Eras
@@ -66,12 +66,12 @@
 	// onSuspects receives endpoints at which requests of some instance have failed.
 	onSuspects func(endpoints []string)
 	// onReplaced receives endpoints at whose addresses other incarnations have answered.
-	onReplaced func(endpoints []endpointStart)
+	onReplaced func(endpoints []endpointIncarnation)
 	// onPartition is called with whether this instance has lost contact with all others.
 	onPartition func(partitioned bool)
 	// onEndpointsLeaving receives endpoints that another instance reports as accepting no more
 	// work.
-	onEndpointsLeaving func(endpoints []endpointStart)
+	onEndpointsLeaving func(endpoints []endpointIncarnation)
 	// linkBytesPerSecond is the bandwidth of the instance's link.
 	linkBytesPerSecond float64
 	// onInstanceCount receives the number of listed instances.
@@ -278,14 +278,14 @@
 		if p.Era > 0 {
 			m.eras.Observe(p.Era)
 		}
-		if p.From != m.instance && m.permits.heard(p) {
+		if p.From != m.instance && m.permits.receive(p) {
 			continue
 		}
-		if p.From != m.instance && m.rights.heard(p, m.process) {
+		if p.From != m.instance && m.rights.receive(p, m.process) {
 			continue
 		}
 		if m.fleetView.Receive(m.now(), p) {
-			m.allowances.heard(p)
+			m.allowances.receive(p)
 			m.applyPacket(p)
 		}
 	}
@@ -298,7 +298,7 @@
 		m.onPlacements(p.Placements)
 	}
 	if p.From != m.instance {
-		m.evacuations.heard(p)
+		m.evacuations.receive(p)
 	}
 	if p.Instances > 0 && p.From != m.instance {
 		m.totals.receive(m.now(), p)
@@ -315,13 +315,13 @@
 	}
 	m.receiveRevision(p.Revision)
 	if len(p.Withdrawn) > 0 && p.From != m.instance {
-		m.onEndpointsLeaving(startsOf(p.Withdrawn, p.WithdrawnStarts))
+		m.onEndpointsLeaving(incarnationsOf(p.Withdrawn, p.WithdrawnStarts))
 	}
 	if len(p.Suspects) > 0 {
 		m.onSuspects(p.Suspects)
 	}
 	if len(p.Replaced) > 0 {
-		m.onReplaced(startsOf(p.Replaced, p.ReplacedStarts))
+		m.onReplaced(incarnationsOf(p.Replaced, p.ReplacedStarts))
 	}
 	waiting := false
 	for _, d := range p.Demands {
--- a/daemon/mesh_test.go
+++ b/daemon/mesh_test.go
@@ -168,7 +168,7 @@
 	}
 	const leaving = 2*maxWithdrawn + 3
 	for i := range leaving {
-		m.recordWithdrawal(endpointStart{name: fmt.Sprintf("i-%03d", i)})
+		m.recordWithdrawal(endpointIncarnation{name: fmt.Sprintf("i-%03d", i)})
 	}
 	m.announceTotals()
 	announced := map[string]bool{}
--- a/daemon/meshannounce.go
+++ b/daemon/meshannounce.go
@@ -91,15 +91,15 @@
 	withdrawn, refusals, replaced := m.recentlyWithdrawn(), m.takeForwardedRefusals(), m.replacedEndpoints()
 	for first := true; first || len(loads)+len(withdrawn)+len(replaced) > 0; first = false {
 		p := m.stamp(peer.Packet{Instances: max(n, 1), Revision: m.revision(), Refused: refusals, EndingsDigest: m.quarantine.Digest()})
-		p.StoreCurrent = m.storeCurrent() && m.evacuations.tell(&p)
+		p.StoreCurrent = m.storeCurrent() && m.evacuations.addTo(&p)
 		if p.StoreCurrent {
 			p.EndpointsDigest = m.endpointsDigest.Load()
 		}
-		var leaving, next []endpointStart
+		var leaving, next []endpointIncarnation
 		leaving, withdrawn = cut(withdrawn, maxWithdrawn)
 		next, replaced = cut(replaced, maxReplaced)
-		p.Withdrawn, p.WithdrawnStarts = namesOf(leaving)
-		p.Replaced, p.ReplacedStarts = namesOf(next)
+		p.Withdrawn, p.WithdrawnStarts = splitIncarnations(leaving)
+		p.Replaced, p.ReplacedStarts = splitIncarnations(next)
 		if first {
 			p.Totals, loads = cut(loads, maxTotals)
 		} else {
@@ -142,11 +142,11 @@
 // announceAllowances sends to all instances the allowances of accounts, if this one is the
 // aggregator.
 func (m *mesh) announceAllowances() {
-	for _, p := range m.allowances.packets() {
+	for _, p := range m.allowances.announcements() {
 		p.Revision, p.EndingsDigest = m.revision(), m.quarantine.Digest()
 		p = m.stamp(p)
 		m.send(p, m.addresses())
-		m.allowances.heard(p)
+		m.allowances.receive(p)
 	}
 }
 
@@ -168,7 +168,7 @@
 		return
 	}
 	p := m.stamp(peer.Packet{Instances: instances, Revision: m.revision(), EndingsDigest: m.quarantine.Digest()})
-	if p.Limits = m.permits.words(remainingBytes(p)); len(p.Limits) > 0 {
+	if p.Limits = m.permits.pendingLimits(remainingBytes(p)); len(p.Limits) > 0 {
 		m.send(p, m.addresses())
 	}
 }
@@ -196,12 +196,12 @@
 }
 
 // replacedEndpoints returns the endpoints at whose addresses other incarnations have answered.
-func (m *mesh) replacedEndpoints() []endpointStart {
-	var starts []endpointStart
+func (m *mesh) replacedEndpoints() []endpointIncarnation {
+	var starts []endpointIncarnation
 	for _, pool := range m.router.View().Pools {
 		for _, e := range pool {
 			if e.Replaced() {
-				starts = append(starts, endpointStart{e.Name, e.StartedAtMS})
+				starts = append(starts, endpointIncarnation{e.Name, e.StartedAtMS})
 			}
 		}
 	}
@@ -215,7 +215,7 @@
 }
 
 // recordWithdrawal records that an endpoint has begun to leave.
-func (m *mesh) recordWithdrawal(endpoint endpointStart) {
+func (m *mesh) recordWithdrawal(endpoint endpointIncarnation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.withdrawn[endpoint.name] = withdrawal{startedAtMS: endpoint.startedAtMS, at: m.now()}
@@ -223,7 +223,7 @@
 
 // recentlyWithdrawn returns the endpoints that leave and that the others may not know of yet.
 // An endpoint whose entry had only lapsed, and has returned, is not among them.
-func (m *mesh) recentlyWithdrawn() []endpointStart {
+func (m *mesh) recentlyWithdrawn() []endpointIncarnation {
 	leaving := m.withdrawnStarts()
 	if len(leaving) == 0 {
 		return nil
@@ -231,7 +231,7 @@
 	for _, pool := range m.router.View().Pools {
 		for _, e := range pool {
 			if !e.Leaving() {
-				leaving = slices.DeleteFunc(leaving, func(s endpointStart) bool { return s.name == e.Name })
+				leaving = slices.DeleteFunc(leaving, func(s endpointIncarnation) bool { return s.name == e.Name })
 			}
 		}
 	}
@@ -239,13 +239,13 @@
 }
 
 // withdrawnStarts returns the endpoints that have recently begun to leave, by name.
-func (m *mesh) withdrawnStarts() []endpointStart {
+func (m *mesh) withdrawnStarts() []endpointIncarnation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	maps.DeleteFunc(m.withdrawn, func(_ string, w withdrawal) bool { return m.now().Sub(w.at) >= withdrawalLifetime })
-	var leaving []endpointStart
+	var leaving []endpointIncarnation
 	for _, name := range slices.Sorted(maps.Keys(m.withdrawn)) {
-		leaving = append(leaving, endpointStart{name, m.withdrawn[name].startedAtMS})
+		leaving = append(leaving, endpointIncarnation{name, m.withdrawn[name].startedAtMS})
 	}
 	return leaving
 }
--- a/daemon/meshsend.go
+++ b/daemon/meshsend.go
@@ -64,20 +64,20 @@
 		// instances.
 		to = m.addresses()
 	}
-	if address := m.allowances.address(); len(to) == 0 && address != "" && address != m.address {
+	if address := m.allowances.aggregatorAddress(); len(to) == 0 && address != "" && address != m.address {
 		to = []string{address}
 	}
-	if len(to) == 0 && m.allowances != nil && m.allowances.orphan() {
+	if len(to) == 0 && m.allowances != nil && m.allowances.lacksAggregator() {
 		to = m.strongestAddresses()
 	}
 	p.EndingsDigest = m.quarantine.Digest()
-	if len(to) > 0 || m.allowances.address() == m.address {
-		p.ConfirmRequest = m.rights.ask()
-		m.allowances.tell(&p, remainingBytes(p))
+	if len(to) > 0 || m.allowances.aggregatorAddress() == m.address {
+		p.ConfirmRequest = m.rights.nextRequest()
+		m.allowances.addUsage(&p, remainingBytes(p))
 		p.Endings = m.quarantine.PendingReports(m.endingsRoom(p))
 	}
 	if len(to) > 0 {
-		p.Limits = m.permits.words(remainingBytes(p))
+		p.Limits = m.permits.pendingLimits(remainingBytes(p))
 	}
 	if !m.summaryUnchanged(p, to) {
 		m.send(p, to)
@@ -212,7 +212,7 @@
 func (m *mesh) summary() peer.Packet {
 	p := peer.Packet{Leaving: m.leaving(), Revision: m.revision(), Refused: m.refusals.TakeLocal()}
 	replaced := m.replacedEndpoints()
-	p.Replaced, p.ReplacedStarts = namesOf(replaced[:min(len(replaced), maxReplaced)])
+	p.Replaced, p.ReplacedStarts = splitIncarnations(replaced[:min(len(replaced), maxReplaced)])
 	for _, pool := range m.router.View().Pools {
 		for _, e := range pool {
 			if e.FailedSince(m.now().Add(-suspectDuration)) && len(p.Suspects) < maxSuspects {
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -90,7 +90,7 @@
 	quarantine *quarantine.Manager
 	// rights tracks whether the node may authenticate by the account keys that it knows;
 	// allowances enforces what accounts may use across all nodes.
-	rights     *keyRights
+	rights     *keyAuthority
 	allowances *allowances
 	// permits enforces the limits that endpoints set for all nodes together.
 	permits        *permits
@@ -146,7 +146,7 @@
 		retries:        pipeline.NewRetryBudgets(cfg.Retries.instanceLimits(0)),
 		events:         ring.New[event](eventsCapacity, ring.Block),
 		suspensions:    ring.New[time.Duration](suspensionsCapacity, ring.DropOldest),
-		unsavedReports: ring.New[quarantine.Report](holdsWaiting, ring.DropOldest),
+		unsavedReports: ring.New[quarantine.Report](pendingHoldsCapacity, ring.DropOldest),
 		eras:           &store.Eras{}, eraStarted: make(chan struct{}, 1),
 	}
 	n.eras.OnBegin(n.onEraBegin)
@@ -170,7 +170,7 @@
 		DialContext: newKeepAliveDialer().DialContext, MaxIdleConnsPerHost: platformConns, IdleConnTimeout: time.Minute,
 	})
 	n.permits = newPermits(cfg.Instance, n.router, log, n.now)
-	n.router.SetPermits(n.permits.local)
+	n.router.SetPermits(n.permits.limiter)
 	n.mesh = n.newMesh()
 	n.permits.connect(n.mesh, n.gates.Wake)
 	n.relays = &relays{
@@ -214,7 +214,7 @@
 // setInstanceCount takes the number of listed instances.
 func (n *Node) setInstanceCount(instances int) {
 	n.updateRetryLimits(instances)
-	n.allowances.local.SetInstanceCount(instances)
+	n.allowances.limiter.SetInstanceCount(instances)
 	n.router.SetInstances(instances)
 }
 
@@ -226,8 +226,8 @@
 	}
 	address, process := net.JoinHostPort(host, strconv.Itoa(n.cfg.PeerPorts[0])), rand.Text()
 	holds := func() bool { return n.placers.holds() }
-	n.rights = &keyRights{
-		keeper: authority.NewTracker(n.cfg.Fresh.maxKeysAge()), now: n.now, exact: n.clock.NowExact, revision: n.revision, answers: holds,
+	n.rights = &keyAuthority{
+		tracker: authority.NewTracker(n.cfg.Fresh.maxKeysAge()), now: n.now, exact: n.clock.NowExact, revision: n.revision, responds: holds,
 		send: func(p peer.Packet, to []string) { n.mesh.send(n.mesh.stamp(p), to) }, log: n.log,
 	}
 	n.allowances = newAllowances(n.cfg.Allowances, process, holds, func() int { return n.mesh.listedCount() }, n.now)
@@ -236,10 +236,10 @@
 		instance: n.cfg.Instance, process: process, address: address,
 		router: n.router, gates: n.gates, demand: &pipeline.Demand{}, refusals: &pipeline.Refusals{}, quarantine: n.quarantine, log: n.log, now: n.now,
 		onPlacements: func(p []peer.Placement) { _ = n.events.Put(n.runCtx, placementsReceived{p}) },
-		onDemand:     func(d map[string]peer.Demand) { n.placers.demanded(d) },
-		onSuspects:   func(endpoints []string) { n.placers.suspected(endpoints) },
+		onDemand:     func(d map[string]peer.Demand) { n.placers.demandReported(d) },
+		onSuspects:   func(endpoints []string) { n.placers.requestsFailed(endpoints) },
 		onReplaced:   n.endpointsReplaced,
-		onPartition:  func(alone bool) { n.placers.alone(alone) },
+		onPartition:  func(alone bool) { n.placers.setIsolated(alone) },
 		leaving:      func() bool { return n.stopping.Load() != nil },
 		storeCurrent: n.current,
 		inputs:       ring.New[peer.Packet](meshInputCapacity, ring.DropOldest), urgent: make(chan struct{}, 1),
@@ -248,7 +248,7 @@
 			Datagrams: address, Streams: n.streamsAddress(host), FailureDomain: n.cfg.FailureDomain, Cores: n.cfg.Limits.CPUShare * n.cfg.Limits.CoreSpeed,
 		},
 		revision: n.revision, newerSettings: make(chan struct{}, 1), withdrawn: map[string]withdrawal{},
-		onEndpointsLeaving: func(leaving []endpointStart) { _ = n.events.Put(n.runCtx, endpointsWithdrawn{leaving}) },
+		onEndpointsLeaving: func(leaving []endpointIncarnation) { _ = n.events.Put(n.runCtx, endpointsWithdrawn{leaving}) },
 		isHolder:           holds,
 		onInstanceCount:    n.setInstanceCount,
 		linkBytesPerSecond: n.cfg.Limits.LinkMbps * bytesPerMbit,
@@ -283,7 +283,7 @@
 	if n.cfg.Fresh.EvacuateMS == 0 {
 		return nil
 	}
-	return &evacuations{log: n.log, changed: func(domains []string) {
+	return &evacuations{log: n.log, onChange: func(domains []string) {
 		_ = n.events.Put(n.runCtx, domainsEvacuated{domains})
 		n.mesh.sendSoon()
 	}}
@@ -292,29 +292,29 @@
 // endpointCold records that an endpoint stays cold for the remaining time, in which it accepts
 // perSecond requests per second from all instances together.
 func (n *Node) endpointCold(e *routing.Endpoint, perSecond float64, remaining time.Duration) {
-	if n.permits.local.RecordCold(n.now(), e.ColdPermitKey(), perSecond, remaining) {
+	if n.permits.limiter.RecordCold(n.now(), e.ColdPermitKey(), perSecond, remaining) {
 		n.log.Info("endpoint cold", "endpoint", e.Name, "remaining_ms", remaining.Milliseconds(), "per_second", perSecond)
 	}
-	n.permits.wanted()
+	n.permits.signalRequest()
 }
 
 // endpointsReplaced stops routing requests to, and placing units at, endpoints whose addresses
 // are in use by other incarnations.
-func (n *Node) endpointsReplaced(starts []endpointStart) {
-	replaced := make(map[string]endpointStart, len(starts))
+func (n *Node) endpointsReplaced(starts []endpointIncarnation) {
+	replaced := make(map[string]endpointIncarnation, len(starts))
 	for _, s := range starts {
 		replaced[s.name] = s
 	}
 	for _, pool := range n.router.View().Pools {
 		for _, e := range pool {
 			s, reported := replaced[e.Name]
-			if reported && s.concerns(e.StartedAtMS) && !e.Replaced() {
+			if reported && s.includes(e.StartedAtMS) && !e.Replaced() {
 				e.SetReplaced()
 				n.log.Info("endpoint replaced", "endpoint", e.Name, "address", e.Address)
 			}
 		}
 	}
-	n.placers.gone(starts)
+	n.placers.endpointsReplaced(starts)
 }
 
 // holderID returns the identity of this process as a lease holder, unique among all processes.
@@ -326,7 +326,7 @@
 		Dialect: dialect, Catalog: n.catalog.Load, Router: n.router, Gates: n.gates, Engine: n.engine, Retries: n.retries,
 		Demand: n.mesh.demand, Refusals: n.mesh.refusals, OnNoReplica: n.mesh.sendSoon,
 		Metrics: pipeline.NewMetrics(n.vars), Log: n.log, Now: n.now, FailureDomain: n.cfg.FailureDomain,
-		SettingsOutdated: n.mesh.outdated, Revisions: n.revisions, EndpointsAgeMS: n.endpointsAgeMS, Quarantine: n.quarantine, Allowances: n.allowances.local, Permits: n.permits.local,
+		SettingsOutdated: n.mesh.outdated, Revisions: n.revisions, EndpointsAgeMS: n.endpointsAgeMS, Quarantine: n.quarantine, Allowances: n.allowances.limiter, Permits: n.permits.limiter,
 	})
 	n.cancelOverdue = handler.CancelOverdue
 	for _, s := range []struct {
@@ -412,7 +412,7 @@
 	objects := n.platform.Store(store.Config{URL: n.cfg.ObjectStore, Calls: calls, Phase: n.phase, WatchWait: n.cfg.Fresh.settingsWatchHold(), StaleWait: n.cfg.Fresh.staleWatchHold(), OnCall: n.link.callStarted, OnAnswer: n.link.callAnswered, Transport: n.storeTransport, Eras: n.eras})
 	n.placers = &placers{
 		ctx: n.runCtx, cfg: n.cfg.Orders, instance: n.cfg.Instance, holder: n.holderID(), client: objects, log: n.log, now: n.clock.NowExact, done: &n.done,
-		controls: n.platform.Controls(n.control, n.cfg.Instance), campaigns: n.campaigns, looks: n.looks, place: n.mesh.publishPlacements, running: map[string]*placer{}, era: n.eras.Newest,
+		controls: n.platform.Controls(n.control, n.cfg.Instance), campaigns: n.campaigns, observes: n.observesLease, announce: n.mesh.publishPlacements, running: map[string]*placer{}, era: n.eras.Newest,
 	}
 	n.presence = &presenceDuty{
 		client: objects, writer: store.NewWriter(objects), instance: n.cfg.Instance, link: n.link, log: n.log,
@@ -433,7 +433,7 @@
 	config := &settingsWatch{
 		client: objects, kind: n.platform.SettingsKind, name: n.platform.SettingsName, decode: n.platform.DecodeSettings,
 		newer: n.mesh.newerSettings, allowStale: n.settingsMayLag, hasNewest: n.mesh.hasNewestSettings, events: n.events, link: n.link, log: n.log,
-		onConfirmed: n.rights.confirmed, now: n.now, watchHold: n.settingsWait,
+		onConfirmed: n.rights.storeConfirmed, now: n.now, watchHold: n.settingsWait,
 	}
 	entries := &entriesDuty{
 		client: objects, kind: n.platform.MembersKind, decode: n.platform.DecodeMember, entries: membership.NewEntries(), parseVersion: n.platform.StoreVersion,
@@ -444,16 +444,16 @@
 	}
 	n.relays.listing, n.relays.listingVersion, n.relays.storeVersion, n.relays.newestStoreVersion = entries.listing, entries.listingVersion, entries.storeVersion, entries.newestStoreVersion
 	evacuations := &evacuationsDuty{
-		client: objects, kind: n.platform.EvacuationsKind, version: n.platform.StoreVersion, known: n.mesh.evacuations, told: n.evacuationsAnnounced,
+		client: objects, kind: n.platform.EvacuationsKind, version: n.platform.StoreVersion, evacuations: n.mesh.evacuations, announced: n.evacuationsAnnounced,
 		wait: n.settingsWait, now: n.now, link: n.link, log: n.log,
 	}
 	n.vars.Set("entries_refused", &entries.entriesRefused)
 	holds := &holdsDuty{
-		client: objects, keeper: n.quarantine, words: n.unsavedReports, isolated: n.mesh.isolated, memory: n.cfg.Quarantine.limits().Retention(),
+		client: objects, manager: n.quarantine, reports: n.unsavedReports, isolated: n.mesh.isolated, retention: n.cfg.Quarantine.limits().Retention(),
 		log: n.log, timeOfDay: time.Now,
 	}
 	renew := func(ctx context.Context) { n.rewriteOnEra(ctx, entries) }
-	keys := func(ctx context.Context) { n.rights.keep(ctx, n.cfg.Fresh.maxKeysAge(), config.checkStore) }
+	keys := func(ctx context.Context) { n.rights.monitor(ctx, n.cfg.Fresh.maxKeysAge(), config.checkStore) }
 	for _, run := range []func(context.Context){
 		view.run, config.run, config.readNewer, entries.watch, entries.run, n.idle.run, n.wakeWaiters, n.mesh.run, n.presence.run, n.presence.watch, n.handleSuspensions, holds.run, holds.write, keys, renew, n.permits.run,
 	} {
@@ -465,7 +465,7 @@
 }
 
 // wakeWaiters periodically offers waiting requests to the router.
-func (n *Node) wakeWaiters(ctx context.Context) { kickLoop(ctx, n.gates) }
+func (n *Node) wakeWaiters(ctx context.Context) { pollWaiting(ctx, n.gates) }
 
 func (n *Node) revision() int64 {
 	if c := n.catalog.Load(); c != nil {
@@ -486,7 +486,7 @@
 	a.Tree.Regions = n.cfg.Regions
 	c := settings.NewCatalog(a.Tree)
 	c.Revision = a.Entry.Revision
-	n.allowances.adopt(a.Tree)
+	n.allowances.setLimits(a.Tree)
 	n.catalog.Store(c)
 	n.log.V(1).Info("settings", "routes", len(a.Tree.Edge.Routes), "pools", len(a.Tree.Pools))
 	return c
--- a/daemon/node_test.go
+++ b/daemon/node_test.go
@@ -76,7 +76,7 @@
 	}
 	n.mesh.totals.receive(now, peer.Packet{Address: "coordinator", Instances: 1})
 	require.False(t, n.campaigns("pool", false))
-	now = now.Add(silentCampaign + 4*silentStep)
+	now = now.Add(coordinatorSilence + 4*campaignRankDelay)
 	require.True(t, n.campaigns("pool", false))
 }
 
--- a/daemon/nodeconfig.go
+++ b/daemon/nodeconfig.go
@@ -79,7 +79,7 @@
 		Orders:  NodeOrders{LeaseMS: 3000, RateWindowS: 5, RateOver: 1},
 		Fresh:   NodeFreshness{LeavingMS: 2000, SettingsMS: 2000, ContactMS: 3000},
 
-		Allowances: AllowanceConfig{WindowS: 8, Over: 0.1},
+		Allowances: AllowanceConfig{WindowS: 8, OverFraction: 0.1},
 		Quarantine: defaultQuarantine(),
 		Limits: NodeLimits{
 			HeaderBytes: 64 << 10, ReadMS: 15_000, QueueRequests: 1024, QueueBytes: 32 << 20, GraceMS: 8_000, CPUShare: 1, CoreSpeed: 1, LinkMbps: 1000,
@@ -124,7 +124,7 @@
 	}
 	for path, n := range map[string]float64{"/retries/ratio": cfg.Retries.Ratio, "/retries/slack": cfg.Retries.Slack,
 		"/fresh/evacuateMS": float64(cfg.Fresh.EvacuateMS),
-		"/allowances/over":  cfg.Allowances.Over, "/allowances/slack": cfg.Allowances.Slack, "/fresh/revokedMS": float64(cfg.Fresh.RevokedMS),
+		"/allowances/over":  cfg.Allowances.OverFraction, "/allowances/slack": cfg.Allowances.Slack, "/fresh/revokedMS": float64(cfg.Fresh.RevokedMS),
 	} {
 		if n < 0 {
 			c.addFault(path, "must not be negative")
--- a/daemon/nodeconfig_test.go
+++ b/daemon/nodeconfig_test.go
@@ -37,7 +37,7 @@
 		"bounds.quotaWindowS": "8", "bounds.quotaOver": "0.1", "bounds.quotaSlack": "17000",
 	})
 	require.Equal(t, 4500*time.Millisecond, cfg.Fresh.maxKeysAge())
-	require.Equal(t, AllowanceConfig{WindowS: 8, Over: 0.1, Slack: 17000}, cfg.Allowances)
+	require.Equal(t, AllowanceConfig{WindowS: 8, OverFraction: 0.1, Slack: 17000}, cfg.Allowances)
 }
 
 // TestTemplateTakesTheEvacuationBound fills in the template for a deployment that evacuates
--- a/daemon/nodefreshness.go
+++ b/daemon/nodefreshness.go
@@ -41,14 +41,14 @@
 	delta.Revision = n.revision()
 	var p peer.Packet
 	attested := !n.mesh.isHolder() && n.mesh.totals.attestationAge(n.now()) < n.cfg.Fresh.relayAttestationLifetime()
-	delta.Current = (attested || n.current()) && n.mesh.evacuations.tell(&p)
+	delta.Current = (attested || n.current()) && n.mesh.evacuations.addTo(&p)
 	delta.FollowsStore = attested || n.followsStore()
 	delta.Evacuated, delta.EvacuatedEra, delta.EvacuatedRevision = p.Evacuated, p.EvacuatedEra, p.EvacuatedRevision
 }
 
 // applyAttestation applies what another instance has added to its delta of the member list.
 func (n *Node) applyAttestation(delta relay.Delta) {
-	n.mesh.evacuations.heard(peer.Packet{
+	n.mesh.evacuations.receive(peer.Packet{
 		From: fromRelay, Evacuated: delta.Evacuated, EvacuatedEra: delta.EvacuatedEra, EvacuatedRevision: delta.EvacuatedRevision,
 	})
 	n.mesh.receiveRevision(delta.Revision)
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -30,7 +30,7 @@
 
 const (
 	// placerEvents bounds the events that wait for a placer's controller.
-	placerEvents = 1024
+	placerEventsCapacity = 1024
 	// placerTick is the time between ticks of a controller that may order,
 	// placerIdle that of one that may not.
 	placerTick = 50 * time.Millisecond
@@ -42,7 +42,7 @@
 	// leaseDrift is what a challenger waits longer, and a holder stops earlier.
 	leaseDrift = 200 * time.Millisecond
 	// leaseLook is the time between two looks at the lease.
-	leaseLook = 100 * time.Millisecond
+	leaseCheckInterval = 100 * time.Millisecond
 	// orderMargin is how long before the end of its lease a holder stops to
 	// order: an order takes a moment to arrive, and a successor waits from there.
 	orderMargin = 300 * time.Millisecond
@@ -51,7 +51,7 @@
 	// orderAnswer bounds the wait for the answer to an order, which comes within
 	// milliseconds. Whatever becomes of one that was not answered, its count lets at
 	// most one order take effect, so the next may be sent at once.
-	orderAnswer = 300 * time.Millisecond
+	orderReplyTimeout = 300 * time.Millisecond
 )
 
 // placer runs the controller of one pool of engines, and the lease by which at
@@ -62,11 +62,11 @@
 	controller *counted.Controller
 	runner     *lease.Runner
 	events     *ring.Ring[counted.Event]
-	news       placerNews
+	inputs     placerInputs
 	log        logr.Logger
 	now        func() time.Time
 	// place tells all instances what endpoints hold.
-	place func([]outgoingPlacement)
+	announce func([]outgoingPlacement)
 	// orderLease is how long an endpoint must have had no order of another
 	// holder.
 	orderLease time.Duration
@@ -76,8 +76,8 @@
 func (p *placer) put(e counted.Event) { _ = p.events.Put(context.Background(), e) }
 
 // tell tells the placer news from outside, and never waits.
-func (p *placer) tell(e counted.Event) {
-	p.news.tell(e)
+func (p *placer) notify(e counted.Event) {
+	p.inputs.add(e)
 	// A full ring means that the placer is busy and looks at its news next.
 	p.events.Offer(counted.Tick{})
 }
@@ -94,14 +94,14 @@
 }
 
 // orderFlight is how long an order may be on its way.
-const orderFlight = 200 * time.Millisecond
+const maxOrderFlight = 200 * time.Millisecond
 
 // takeoverWait is how long a successor waits with its first order, so that the
 // former holder's last one is orderLease old. A lease that was handed over may
 // have been used until then. One that lapsed was used for orders until
 // orderMargin before its end, and was taken a drift of either clock behind it.
 func (p *placer) takeoverWait(lapsed bool) time.Duration {
-	wait := p.orderLease + orderFlight
+	wait := p.orderLease + maxOrderFlight
 	if lapsed {
 		wait -= orderMargin + 2*leaseDrift
 	}
@@ -116,10 +116,10 @@
 			p.events.Close()
 			return
 		}
-		for _, news := range p.news.take() {
-			p.carryOut(ctx, p.controller.Step(p.now(), news))
+		for _, input := range p.inputs.take() {
+			p.execute(ctx, p.controller.Step(p.now(), input))
 		}
-		p.carryOut(ctx, p.controller.Step(p.now(), e))
+		p.execute(ctx, p.controller.Step(p.now(), e))
 	}
 }
 
@@ -134,16 +134,16 @@
 	}
 }
 
-func (p *placer) carryOut(ctx context.Context, actions []counted.Action) {
-	var told []outgoingPlacement
+func (p *placer) execute(ctx context.Context, actions []counted.Action) {
+	var announcements []outgoingPlacement
 	for _, a := range actions {
 		switch a := a.(type) {
 		case counted.RequestReport:
-			go p.ask(ctx, a)
+			go p.requestReport(ctx, a)
 		case counted.SendOrder:
 			go p.send(ctx, a)
 		case counted.AnnounceUnits:
-			told = append(told, outgoingPlacement{
+			announcements = append(announcements, outgoingPlacement{
 				Placement: peer.Placement{Epoch: p.heldEpoch(), Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, Units: a.Units, Draining: a.Draining},
 				urgency:   urgencyOf(a.Change),
 			})
@@ -155,14 +155,14 @@
 			p.log.Info("placement", "event", a.Event, "endpoint", a.Endpoint, "unit", a.Unit, "detail", a.Detail)
 		}
 	}
-	if len(told) > 0 {
-		p.place(told)
+	if len(announcements) > 0 {
+		p.announce(announcements)
 	}
 }
 
 // urgencyOf is how soon the others need to know.
-func urgencyOf(news counted.Change) broadcast.Urgency {
-	switch news {
+func urgencyOf(change counted.Change) broadcast.Urgency {
+	switch change {
 	case counted.UnitsWithdrawn:
 		return broadcast.Withdrawn
 	case counted.UnitsAdded:
@@ -177,29 +177,29 @@
 	return h.Epoch
 }
 
-func (p *placer) ask(ctx context.Context, a counted.RequestReport) {
+func (p *placer) requestReport(ctx context.Context, a counted.RequestReport) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	askedAt := p.now()
+	requestedAt := p.now()
 	r, err := p.controls.Report(ctx, a.Endpoint, a.Address)
 	if err != nil {
 		p.log.V(1).Info("no report", "endpoint", a.Endpoint, "error", err.Error())
 	}
 	p.put(counted.ReportReply{
-		Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, RequestedAt: askedAt, Report: r, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED),
+		Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, RequestedAt: requestedAt, Report: r, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED),
 	})
 }
 
 // errNotHeld keeps back an order for which the lease no longer stands.
-var errNotHeld = errors.New("the lease does not last long enough")
+var errLeaseEnding = errors.New("the lease does not last long enough")
 
 // send sends an order if the lease stands, by this instance's clock right
 // before the send: the process may have been paused since the decision.
 func (p *placer) send(ctx context.Context, s counted.SendOrder) {
-	result, err := counted.Refused, errNotHeld
+	result, err := counted.Refused, errLeaseEnding
 	hold, held := p.runner.Hold()
 	if held && hold.Epoch == s.Order.Epoch && p.now().Before(hold.Until.Add(-orderMargin)) {
-		ctx, cancel := context.WithTimeout(ctx, orderAnswer)
+		ctx, cancel := context.WithTimeout(ctx, orderReplyTimeout)
 		defer cancel()
 		result, err = p.controls.Send(ctx, s.Endpoint, s.Address, s.Order)
 	}
@@ -224,15 +224,15 @@
 	// it may hold already.
 	campaigns func(pool string, held bool) bool
 	// looks tells whether it is about to campaign for it.
-	looks func(pool string) bool
-	place func([]outgoingPlacement)
+	observes func(pool string) bool
+	announce func([]outgoingPlacement)
 	// era returns the store's newest era.
 	era func() int64
 
 	mu      sync.Mutex
 	running map[string]*placer
 	// isAlone is what alone was told last.
-	isAlone bool
+	isolated bool
 }
 
 // update gives the settings and the list to every placer, and starts placers of
@@ -247,9 +247,9 @@
 	}
 	for pool, placer := range p.running {
 		if catalog.Tree.Pools[pool] != nil {
-			placer.tell(countedCell(catalog, pool))
+			placer.notify(countedCellSettings(catalog, pool))
 		}
-		placer.tell(countedMembers(list, pool))
+		placer.notify(countedMembers(list, pool))
 	}
 }
 
@@ -266,81 +266,81 @@
 }
 
 // suspected passes endpoints on at which requests have failed.
-func (p *placers) suspected(endpoints []string) {
+func (p *placers) requestsFailed(endpoints []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, placer := range p.running {
-		placer.tell(counted.RequestsFailed{Endpoints: endpoints})
+		placer.notify(counted.RequestsFailed{Endpoints: endpoints})
 	}
 }
 
 // alone passes on whether this instance hears none of the others.
-func (p *placers) alone(alone bool) {
+func (p *placers) setIsolated(isolated bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if alone == p.isAlone {
+	if isolated == p.isolated {
 		return
 	}
-	p.isAlone = alone
-	p.log.Info("others heard", "any", !alone)
+	p.isolated = isolated
+	p.log.Info("others heard", "any", !isolated)
 	for _, placer := range p.running {
-		placer.tell(counted.IsolationChanged{Isolated: alone})
+		placer.notify(counted.IsolationChanged{Isolated: isolated})
 	}
 }
 
 // gone passes endpoints on at whose addresses others have answered.
-func (p *placers) gone(starts []endpointStart) {
-	gone := counted.EndpointsReplaced{StartedAtMS: map[string]int64{}}
-	for _, s := range starts {
-		gone.Endpoints = append(gone.Endpoints, s.name)
-		gone.StartedAtMS[s.name] = s.startedAtMS
+func (p *placers) endpointsReplaced(incarnations []endpointIncarnation) {
+	replaced := counted.EndpointsReplaced{StartedAtMS: map[string]int64{}}
+	for _, s := range incarnations {
+		replaced.Endpoints = append(replaced.Endpoints, s.name)
+		replaced.StartedAtMS[s.name] = s.startedAtMS
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, placer := range p.running {
-		placer.tell(gone)
+		placer.notify(replaced)
 	}
 }
 
 // demanded passes the demand of all instances on.
-func (p *placers) demanded(demands map[string]peer.Demand) {
-	told := counted.DemandReport{Rate: map[string]float64{}, Waiting: map[string]int{}, LastRequestAt: map[string]time.Time{}}
+func (p *placers) demandReported(demands map[string]peer.Demand) {
+	report := counted.DemandReport{Rate: map[string]float64{}, Waiting: map[string]int{}, LastRequestAt: map[string]time.Time{}}
 	for unit, d := range demands {
-		told.Rate[unit], told.Waiting[unit], told.LastRequestAt[unit] = d.WorkPerSecond, d.Waiting, d.AskedAt
+		report.Rate[unit], report.Waiting[unit], report.LastRequestAt[unit] = d.WorkPerSecond, d.Waiting, d.AskedAt
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, placer := range p.running {
-		placer.tell(told)
+		placer.notify(report)
 	}
 }
 
 func (p *placers) start(pool string) *placer {
-	d := &placer{
-		pool: pool, controls: p.controls, now: p.now, log: p.log.WithValues("pool", pool), place: p.place,
-		events: ring.New[counted.Event](placerEvents, ring.Block), orderLease: milliseconds(p.cfg.LeaseMS),
+	pl := &placer{
+		pool: pool, controls: p.controls, now: p.now, log: p.log.WithValues("pool", pool), announce: p.announce,
+		events: ring.New[counted.Event](placerEventsCapacity, ring.Block), orderLease: milliseconds(p.cfg.LeaseMS),
 		controller: counted.NewController(counted.Config{
 			RateFactor: p.cfg.RateOver,
 			RateWindow: time.Duration(p.cfg.RateWindowS * float64(time.Second)),
 		}),
 	}
-	d.runner = lease.NewRunner(lease.RunnerConfig{
-		Name: "cell-" + pool, Client: p.client, Now: p.now, Changed: d.leaseChanged, Tick: leaseLook, Era: p.era,
+	pl.runner = lease.NewRunner(lease.RunnerConfig{
+		Name: "cell-" + pool, Client: p.client, Now: p.now, Changed: pl.leaseChanged, Tick: leaseCheckInterval, Era: p.era,
 		Campaign: func() bool {
-			_, held := d.runner.Hold()
+			_, held := pl.runner.Hold()
 			return p.campaigns(pool, held)
 		},
-		Observe: func() bool { return p.looks(pool) },
+		Observe: func() bool { return p.observes(pool) },
 		Lease:   lease.Config{Holder: p.holder, Duration: leaseDuration, RenewEvery: leaseRenewal, ClockDrift: leaseDrift},
 	})
-	d.tell(counted.IsolationChanged{Isolated: p.isAlone})
-	p.done.Go(func() { d.run(p.ctx) })
-	p.done.Go(func() { d.runner.Run(p.ctx) })
-	return d
+	pl.notify(counted.IsolationChanged{Isolated: p.isolated})
+	p.done.Go(func() { pl.run(p.ctx) })
+	p.done.Go(func() { pl.runner.Run(p.ctx) })
+	return pl
 }
 
 // countedCell is what the settings say of a pool.
-func countedCell(catalog *settings.Catalog, pool string) counted.CellSettings {
+func countedCellSettings(catalog *settings.Catalog, pool string) counted.CellSettings {
 	t := catalog.Tree.Pools[pool]
 	c := counted.CellSettings{
 		CapacityMB: t.MemoryMB, KVTokens: t.KVTokens, AdapterSlots: t.AdapterSlots, LoadsPerSecond: catalog.Tree.WeightStore.LoadsPerSecond,
--- a/daemon/placer_test.go
+++ b/daemon/placer_test.go
@@ -16,23 +16,23 @@
 // TestBusyPlacerHoldsNobodyUp fills the ring of a placer that plans for long, and tells it
 // more. Whoever told waited, with the lock that all duties of the holder ask for the lease.
 func TestBusyPlacerHoldsNobodyUp(t *testing.T) {
-	busy := &placer{events: ring.New[counted.Event](placerEvents, ring.Block), runner: lease.NewRunner(lease.RunnerConfig{})}
-	for range placerEvents {
+	busy := &placer{events: ring.New[counted.Event](placerEventsCapacity, ring.Block), runner: lease.NewRunner(lease.RunnerConfig{})}
+	for range placerEventsCapacity {
 		busy.put(counted.Tick{})
 	}
 	p := &placers{running: map[string]*placer{"pool": busy}}
 	catalog := settings.NewCatalog(&settings.Tree{Pools: map[string]*settings.Pool{"pool": {Kind: settings.KindEngine}}})
 	for i := range 3 {
 		p.update(catalog, membership.NewList())
-		p.suspected([]string{"e1", "e2"})
-		p.gone([]endpointStart{{name: "e3", startedAtMS: int64(i)}})
-		p.demanded(map[string]peer.Demand{"m": {Waiting: i}})
+		p.requestsFailed([]string{"e1", "e2"})
+		p.endpointsReplaced([]endpointIncarnation{{name: "e3", startedAtMS: int64(i)}})
+		p.demandReported(map[string]peer.Demand{"m": {Waiting: i}})
 	}
 	require.False(t, p.holds())
-	events := busy.news.take()
+	events := busy.inputs.take()
 	require.Len(t, events, 5, "of each kind the last word")
 	require.Equal(t, counted.EndpointsReplaced{Endpoints: []string{"e3"}, StartedAtMS: map[string]int64{"e3": 2}}, events[2])
 	require.Equal(t, counted.RequestsFailed{Endpoints: []string{"e1", "e2"}}, events[3])
 	require.Equal(t, 2, events[4].(counted.DemandReport).Waiting["m"])
-	require.Empty(t, busy.news.take())
+	require.Empty(t, busy.inputs.take())
 }
--- /dev/null
+++ b/daemon/placerinputs.go
@@ -0,0 +1,84 @@
+package daemon
+
+import (
+	"maps"
+	"slices"
+	"sync"
+
+	"github.com/eiderspring/eiderspring/placement/counted"
+)
+
+// placerNews holds what a placer is told from outside until it takes it: of each kind the last
+// word counts. Those who tell never wait for the placer, whose plan may take long: behind one
+// that did, duties of the whole instance stood still.
+type placerInputs struct {
+	mu        sync.Mutex
+	settings  *counted.CellSettings
+	members   *counted.MemberList
+	isolation *counted.IsolationChanged
+	demand    *counted.DemandReport
+	// gone are endpoints, and when each was started; suspected are endpoints.
+	replaced map[string]int64
+	failed   map[string]bool
+}
+
+// tell adds news.
+func (n *placerInputs) add(e counted.Event) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	switch e := e.(type) {
+	case counted.CellSettings:
+		n.settings = &e
+	case counted.MemberList:
+		n.members = &e
+	case counted.IsolationChanged:
+		n.isolation = &e
+	case counted.DemandReport:
+		n.demand = &e
+	case counted.EndpointsReplaced:
+		n.addReplaced(e)
+	case counted.RequestsFailed:
+		if n.failed == nil {
+			n.failed = map[string]bool{}
+		}
+		for _, name := range e.Endpoints {
+			n.failed[name] = true
+		}
+	}
+}
+
+func (n *placerInputs) addReplaced(e counted.EndpointsReplaced) {
+	if n.replaced == nil {
+		n.replaced = map[string]int64{}
+	}
+	for _, name := range e.Endpoints {
+		n.replaced[name] = e.StartedAtMS[name]
+	}
+}
+
+// take returns what was told since, in the order in which it is to be applied.
+func (n *placerInputs) take() []counted.Event {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	var events []counted.Event
+	if n.settings != nil {
+		events = append(events, *n.settings)
+	}
+	if n.members != nil {
+		events = append(events, *n.members)
+	}
+	if len(n.replaced) > 0 {
+		events = append(events, counted.EndpointsReplaced{Endpoints: slices.Sorted(maps.Keys(n.replaced)), StartedAtMS: n.replaced})
+	}
+	if len(n.failed) > 0 {
+		events = append(events, counted.RequestsFailed{Endpoints: slices.Sorted(maps.Keys(n.failed))})
+	}
+	if n.isolation != nil {
+		events = append(events, *n.isolation)
+	}
+	if n.demand != nil {
+		events = append(events, *n.demand)
+	}
+	n.settings, n.members, n.isolation, n.demand, n.replaced, n.failed = nil, nil, nil, nil, nil, nil
+	return events
+}
--- a/daemon/replicas.go
+++ b/daemon/replicaindex.go
@@ -13,12 +13,12 @@
 // instance's own processor time with 245 endpoints.
 //
 // Invariant: a map or slice that a view was given is never changed.
-type replicas struct {
+type replicaIndex struct {
 	byUnit map[string][]*routing.Endpoint
 	// served is what each endpoint, by name, is entered with.
 	served map[string]servedUnits
 	// given is set while a view has byUnit.
-	given bool
+	shared bool
 }
 
 // servedUnits is an endpoint with the units that it serves.
@@ -28,13 +28,13 @@
 }
 
 // set enters an endpoint with the units that it serves, in place of what it had.
-func (r *replicas) set(e *routing.Endpoint, units []string) {
-	was := r.served[e.Name]
-	if was.endpoint == e && slices.Equal(was.units, units) {
+func (r *replicaIndex) set(e *routing.Endpoint, units []string) {
+	previous := r.served[e.Name]
+	if previous.endpoint == e && slices.Equal(previous.units, units) {
 		return
 	}
 	r.remove(e.Name)
-	r.own()
+	r.makeWritable()
 	for _, unit := range units {
 		at, _ := slices.BinarySearchFunc(r.byUnit[unit], e.Name, byName)
 		r.byUnit[unit] = slices.Insert(slices.Clone(r.byUnit[unit]), at, e)
@@ -45,14 +45,14 @@
 func byName(e *routing.Endpoint, name string) int { return cmp.Compare(e.Name, name) }
 
 // remove takes an endpoint out.
-func (r *replicas) remove(name string) {
-	was, known := r.served[name]
+func (r *replicaIndex) remove(name string) {
+	previous, known := r.served[name]
 	if !known {
 		return
 	}
-	r.own()
-	for _, unit := range was.units {
-		left := slices.DeleteFunc(slices.Clone(r.byUnit[unit]), func(e *routing.Endpoint) bool { return e == was.endpoint })
+	r.makeWritable()
+	for _, unit := range previous.units {
+		left := slices.DeleteFunc(slices.Clone(r.byUnit[unit]), func(e *routing.Endpoint) bool { return e == previous.endpoint })
 		if len(left) == 0 {
 			delete(r.byUnit, unit)
 			continue
@@ -63,7 +63,7 @@
 }
 
 // keep takes all endpoints out that are not among those.
-func (r *replicas) keep(present map[string]*routing.Endpoint) {
+func (r *replicaIndex) retain(present map[string]*routing.Endpoint) {
 	for name := range r.served {
 		if present[name] == nil {
 			r.remove(name)
@@ -72,21 +72,21 @@
 }
 
 // own makes sure that byUnit may be changed.
-func (r *replicas) own() {
+func (r *replicaIndex) makeWritable() {
 	switch {
 	case r.byUnit == nil:
 		r.byUnit, r.served = map[string][]*routing.Endpoint{}, map[string]servedUnits{}
-	case r.given:
+	case r.shared:
 		r.byUnit = maps.Clone(r.byUnit)
 	}
-	r.given = false
+	r.shared = false
 }
 
 // give returns the index for a view.
-func (r *replicas) give() map[string][]*routing.Endpoint {
+func (r *replicaIndex) share() map[string][]*routing.Endpoint {
 	if r.byUnit == nil {
-		r.own()
+		r.makeWritable()
 	}
-	r.given = true
+	r.shared = true
 	return r.byUnit
 }
--- a/daemon/replicas_test.go
+++ b/daemon/replicaindex_test.go
@@ -29,7 +29,7 @@
 func TestReplicasAreThoseOfAnIndexMadeAnew(t *testing.T) {
 	const endpoints, units, rounds = 12, 8, 3000
 	random := rand.New(rand.NewPCG(1, 1))
-	var r replicas
+	var r replicaIndex
 	present, serves := map[string]*routing.Endpoint{}, map[string][]string{}
 	var given, copied map[string][]*routing.Endpoint
 	for range rounds {
@@ -50,9 +50,9 @@
 				want[u] = append(want[u], present[name])
 			}
 		}
-		r.keep(present)
+		r.retain(present)
 		require.Equal(t, copied, given, "an earlier view has changed")
-		given = r.give()
+		given = r.share()
 		require.Equal(t, want, given)
 		copied = map[string][]*routing.Endpoint{}
 		for u, list := range given {
@@ -65,7 +65,7 @@
 // which one changes what it holds each time.
 func BenchmarkViewOfALargeFleet(b *testing.B) {
 	const endpoints, held = 245, 11
-	var r replicas
+	var r replicaIndex
 	list := make([]*routing.Endpoint, endpoints)
 	serves := make([][]string, endpoints)
 	for i := range list {
@@ -79,6 +79,6 @@
 		for i, e := range list {
 			r.set(e, serves[i])
 		}
-		r.give()
+		r.share()
 	}
 }
--- a/daemon/residency.go
+++ b/daemon/residency.go
@@ -18,7 +18,7 @@
 type heldUnits struct {
 	ready []string
 	// going are those that get no new requests.
-	going []string
+	draining []string
 	// entry is what its entry told last; nil if it told nothing yet.
 	entry []string
 	// epoch is the newest whose word was taken.
@@ -31,7 +31,7 @@
 func newResidency() residency { return residency{units: map[string]heldUnits{}} }
 
 // reported takes an endpoint's report and tells whether it was news.
-func (r residency) reported(endpoint string, ready []string) bool {
+func (r residency) applyReport(endpoint string, ready []string) bool {
 	h := r.units[endpoint]
 	changed := !sameSet(h.ready, ready)
 	h.ready = ready
@@ -41,7 +41,7 @@
 
 // begin forgets what was known of an endpoint that is another than before, unless the
 // instance that places units has told of this start already.
-func (r residency) begin(m membership.Member) {
+func (r residency) startIncarnation(m membership.Member) {
 	if h := r.units[m.Name]; h.startedAtMS == 0 || h.startedAtMS != m.StartedAtMS {
 		r.units[m.Name] = heldUnits{startedAtMS: m.StartedAtMS}
 	}
@@ -49,7 +49,7 @@
 
 // listed takes an endpoint's entry. One that has not changed may be behind what
 // was told since, and is no news; nor is one of a former start.
-func (r residency) listed(m membership.Member) {
+func (r residency) applyEntry(m membership.Member) {
 	h := r.units[m.Name]
 	if m.StartedAtMS < h.startedAtMS {
 		return
@@ -63,7 +63,7 @@
 
 // placed takes the word of an instance that places units, unless a later one's
 // was taken or it tells of a former start, and tells whether it was news.
-func (r residency) placed(p peer.Placement) bool {
+func (r residency) applyPlacement(p peer.Placement) bool {
 	h := r.units[p.Endpoint]
 	if p.Epoch < h.epoch || p.StartedAtMS != 0 && p.StartedAtMS < h.startedAtMS {
 		return false
@@ -71,8 +71,8 @@
 	if p.StartedAtMS > h.startedAtMS {
 		h = heldUnits{startedAtMS: p.StartedAtMS}
 	}
-	changed := !sameSet(h.ready, p.Units) || !sameSet(h.going, p.Draining)
-	h.epoch, h.ready, h.going = p.Epoch, p.Units, p.Draining
+	changed := !sameSet(h.ready, p.Units) || !sameSet(h.draining, p.Draining)
+	h.epoch, h.ready, h.draining = p.Epoch, p.Units, p.Draining
 	r.units[p.Endpoint] = h
 	return changed
 }
@@ -81,10 +81,10 @@
 // changed.
 func (r residency) serving(endpoint string) []string {
 	h := r.units[endpoint]
-	if len(h.going) == 0 {
+	if len(h.draining) == 0 {
 		return h.ready
 	}
-	return slices.DeleteFunc(slices.Clone(h.ready), func(u string) bool { return slices.Contains(h.going, u) })
+	return slices.DeleteFunc(slices.Clone(h.ready), func(u string) bool { return slices.Contains(h.draining, u) })
 }
 
 func (r residency) forget(endpoint string) { delete(r.units, endpoint) }
--- a/daemon/residency_test.go
+++ b/daemon/residency_test.go
@@ -11,19 +11,19 @@
 
 func TestNewestWordOnResidencyCounts(t *testing.T) {
 	r := newResidency()
-	entry := func(units ...string) { r.listed(membership.Member{Name: "e", Resident: units}) }
+	entry := func(units ...string) { r.applyEntry(membership.Member{Name: "e", Resident: units}) }
 	entry("m0")
 	require.Equal(t, []string{"m0"}, r.serving("e"))
 
-	require.True(t, r.placed(peer.Placement{Epoch: 2, Endpoint: "e", Units: []string{"m0", "m1"}, Draining: []string{"m0"}}))
+	require.True(t, r.applyPlacement(peer.Placement{Epoch: 2, Endpoint: "e", Units: []string{"m0", "m1"}, Draining: []string{"m0"}}))
 	require.Equal(t, []string{"m1"}, r.serving("e"))
 	entry("m0")
 	require.Equal(t, []string{"m1"}, r.serving("e"), "an entry that has not changed is behind")
 
-	require.False(t, r.placed(peer.Placement{Epoch: 1, Endpoint: "e", Units: []string{"m9"}}), "an earlier holder's word")
+	require.False(t, r.applyPlacement(peer.Placement{Epoch: 1, Endpoint: "e", Units: []string{"m9"}}), "an earlier holder's word")
 	entry("m0", "m1")
 	require.Equal(t, []string{"m1"}, r.serving("e"), "what is going gets no requests, whatever the entry says")
-	require.True(t, r.placed(peer.Placement{Epoch: 2, Endpoint: "e", Units: []string{"m1"}}))
+	require.True(t, r.applyPlacement(peer.Placement{Epoch: 2, Endpoint: "e", Units: []string{"m1"}}))
 	require.Equal(t, []string{"m1"}, r.serving("e"))
 	r.forget("e")
 	require.Empty(t, r.serving("e"))
--- a/daemon/restart_test.go
+++ b/daemon/restart_test.go
@@ -54,7 +54,7 @@
 	e.MarkFull(h.clock)
 	e.SetReportedLoad(routing.Load{At: h.clock, Running: 60, Waiting: 9})
 	h.step(placementsReceived{[]peer.Placement{{Epoch: 4, Endpoint: "e1", StartedAtMS: 100, Units: []string{"m1", "m2"}}}})
-	h.step(endpointsWithdrawn{[]endpointStart{{"e1", 100}}})
+	h.step(endpointsWithdrawn{[]endpointIncarnation{{"e1", 100}}})
 	require.False(t, h.acceptsRequests("e1"))
 
 	h.list(started("e1", 200))
@@ -70,15 +70,15 @@
 func TestWordsOnAFormerStartChangeNothing(t *testing.T) {
 	h := newViewHarness()
 	h.list(started("e1", 200))
-	h.step(endpointsWithdrawn{[]endpointStart{{"e1", 100}}})
+	h.step(endpointsWithdrawn{[]endpointIncarnation{{"e1", 100}}})
 	require.True(t, h.acceptsRequests("e1"))
 	h.step(placementsReceived{[]peer.Placement{{Epoch: 9, Endpoint: "e1", StartedAtMS: 100, Units: []string{"m1"}}}})
 	require.False(t, h.serves("e1", "m1"))
-	require.False(t, endpointStart{"e1", 100}.concerns(200))
+	require.False(t, endpointIncarnation{"e1", 100}.includes(200))
 
 	h.step(placementsReceived{[]peer.Placement{{Epoch: 3, Endpoint: "e1", StartedAtMS: 200, Units: []string{"m2"}}}})
 	require.True(t, h.serves("e1", "m2"), "an older holder's word on the former start does not outrank it")
-	h.step(endpointsWithdrawn{[]endpointStart{{"e1", 200}}})
+	h.step(endpointsWithdrawn{[]endpointIncarnation{{"e1", 200}}})
 	require.False(t, h.acceptsRequests("e1"))
 }
 
@@ -101,7 +101,7 @@
 	plain, err := peer.EncodePacket(peer.Packet{Version: peer.PacketVersion, Placements: []peer.Placement{{Endpoint: "e1"}}, Replaced: []string{"e1"}})
 	require.NoError(t, err)
 	p := peer.Packet{Version: peer.PacketVersion, Placements: []peer.Placement{{Endpoint: "e1", StartedAtMS: 7}, {Endpoint: "e2"}}}
-	p.Replaced, p.ReplacedStarts = namesOf([]endpointStart{{"e1", 7}, {"e3", 0}})
+	p.Replaced, p.ReplacedStarts = splitIncarnations([]endpointIncarnation{{"e1", 7}, {"e3", 0}})
 	data, err := peer.EncodePacket(p)
 	require.NoError(t, err)
 	require.Greater(t, len(data), len(plain))
@@ -109,8 +109,8 @@
 	require.NoError(t, err)
 	require.EqualValues(t, 7, got.Placements[0].StartedAtMS)
 	require.Zero(t, got.Placements[1].StartedAtMS)
-	require.Equal(t, []endpointStart{{"e1", 7}, {"e3", 0}}, startsOf(got.Replaced, got.ReplacedStarts))
-	names, starts := namesOf([]endpointStart{{"e1", 0}})
+	require.Equal(t, []endpointIncarnation{{"e1", 7}, {"e3", 0}}, incarnationsOf(got.Replaced, got.ReplacedStarts))
+	names, starts := splitIncarnations([]endpointIncarnation{{"e1", 0}})
 	require.Equal(t, []string{"e1"}, names)
 	require.Nil(t, starts)
 }
--- a/daemon/settingsdelay_test.go
+++ b/daemon/settingsdelay_test.go
@@ -123,8 +123,8 @@
 	f := &settingsFleet{store: newStaleStore(staleAnswers), storeLink: &sharedLink{bytesPerSecond: 1000 * bytesPerMbit}}
 	f.store.record(store.EventModified, store.Object{Kind: "settings", Metadata: store.Metadata{Name: "main"}, Spec: json.RawMessage(`{}`)})
 	f.busyPlacer = &placer{
-		events: ring.New[counted.Event](placerEvents, ring.Block), runner: lease.NewRunner(lease.RunnerConfig{}), log: logr.Discard(),
-		controller: counted.NewController(counted.Config{}), place: func([]outgoingPlacement) {},
+		events: ring.New[counted.Event](placerEventsCapacity, ring.Block), runner: lease.NewRunner(lease.RunnerConfig{}), log: logr.Discard(),
+		controller: counted.NewController(counted.Config{}), announce: func([]outgoingPlacement) {},
 		now: func() time.Time {
 			time.Sleep(busyStep)
 			return time.Now()
@@ -283,7 +283,7 @@
 				f.requireInTime(t, began)
 				stop()
 				// The placer ends when its ring is empty.
-				time.Sleep(reportEvery + (placerEvents+2)*busyStep)
+				time.Sleep(reportEvery + (placerEventsCapacity+2)*busyStep)
 				synctest.Wait()
 			})
 		})
--- a/daemon/stalestore_test.go
+++ b/daemon/stalestore_test.go
@@ -288,7 +288,7 @@
 			i.mesh.endpointsDigest.Store(i.list.Digest())
 			for _, c := range changes {
 				if c.Member.State != membership.Live {
-					i.mesh.recordWithdrawal(endpointStart{name: c.Member.Name})
+					i.mesh.recordWithdrawal(endpointIncarnation{name: c.Member.Name})
 					i.markLeaving(c.Member.Name)
 				}
 			}
--- a/daemon/suspension.go
+++ b/daemon/suspension.go
@@ -42,7 +42,7 @@
 // served by them.
 func (i *Instance) handleSuspensions(ctx context.Context) {
 	for {
-		slept, err := i.wakes.Take(ctx)
+		slept, err := i.suspensions.Take(ctx)
 		if err != nil {
 			return
 		}
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -37,7 +37,7 @@
 	updatePeers func(*membership.List)
 	notify      func()
 	// onLeaving is called for each endpoint that begins to leave; may be nil.
-	onLeaving func(endpoint endpointStart)
+	onLeaving func(endpoint endpointIncarnation)
 	// listDiffers reports whether the lease holder is known to list other endpoints than this
 	// instance; nil means that this is not known.
 	listDiffers func() bool
@@ -70,7 +70,7 @@
 	changedEndpoints []string
 	fullRebuild      bool
 	// replicas holds the endpoints that serve each unit.
-	replicas replicas
+	replicas replicaIndex
 }
 
 func (d *viewDuty) run(ctx context.Context) {
@@ -175,12 +175,12 @@
 		return d.accept(e) && d.informDuties()
 	case domainsEvacuated:
 		d.platformEvacuated = e.domains
-		return d.evacuate() && d.informDuties()
+		return d.applyEvacuations() && d.informDuties()
 	case membersListed:
 		changes := d.list.Step(d.now(), membership.Listed{Listing: e.listing})
 		for _, c := range changes {
 			d.reportLeaving(c)
-			d.noteCold(c)
+			d.noteColdEntry(c)
 			d.log.V(1).Info("member", "name", c.Member.Name, "pool", c.Member.Pool, "state", c.Member.State, "address", c.Member.Address)
 		}
 		if len(changes) > 0 && d.onDigest != nil {
@@ -216,7 +216,7 @@
 	}
 	d.accepted = a
 	d.resolved = d.resolve(a)
-	d.evacuate()
+	d.applyEvacuations()
 	values := []any{"revision", a.Entry.Revision, "author", a.Entry.Author}
 	if !e.receivedAt.IsZero() {
 		values = append(values, "by", e.source, "waited_ms", d.now().Sub(e.receivedAt).Milliseconds(), "heard_ms", d.revisionSeenMS(a.Entry.Revision))
@@ -246,7 +246,7 @@
 			ready = append(ready, u.Name)
 		}
 	}
-	changed := d.residency.reported(e.endpoint, ready)
+	changed := d.residency.applyReport(e.endpoint, ready)
 	if changed {
 		d.changedEndpoints = append(d.changedEndpoints, e.endpoint)
 	}
@@ -260,11 +260,11 @@
 
 // applyWithdrawals applies another instance's report of leaving endpoints. It also counts for
 // an endpoint that is not listed yet: an older answer may still list it as live.
-func (d *viewDuty) applyWithdrawals(starts []endpointStart) bool {
+func (d *viewDuty) applyWithdrawals(starts []endpointIncarnation) bool {
 	changed := false
 	for _, s := range starts {
 		e, listed := d.endpoints[s.name]
-		if listed && !s.concerns(e.StartedAtMS) {
+		if listed && !s.includes(e.StartedAtMS) {
 			// It has been restarted since.
 			continue
 		}
@@ -280,7 +280,7 @@
 // withheld reports whether another instance's report keeps requests from a member.
 func (d *viewDuty) withheld(m membership.Member) bool {
 	w, known := d.withdrawnUntil[m.Name]
-	return known && endpointStart{m.Name, w.startedAtMS}.concerns(m.StartedAtMS)
+	return known && endpointIncarnation{m.Name, w.startedAtMS}.includes(m.StartedAtMS)
 }
 
 // reportLeaving reports an endpoint that has begun to leave or has gone.
@@ -290,7 +290,7 @@
 	}
 	d.log.Info("endpoint leaves", "endpoint", c.Member.Name, "by", "its entry", "state", c.Member.State)
 	if d.onLeaving != nil {
-		d.onLeaving(endpointStart{c.Member.Name, c.Member.StartedAtMS})
+		d.onLeaving(endpointIncarnation{c.Member.Name, c.Member.StartedAtMS})
 	}
 }
 
@@ -298,7 +298,7 @@
 func (d *viewDuty) applyPlacements(e placementsReceived) bool {
 	known := len(d.changedEndpoints)
 	for _, p := range e.placements {
-		if _, listed := d.endpoints[p.Endpoint]; listed && d.residency.placed(p) {
+		if _, listed := d.endpoints[p.Endpoint]; listed && d.residency.applyPlacement(p) {
 			d.changedEndpoints = append(d.changedEndpoints, p.Endpoint)
 		}
 	}
@@ -326,7 +326,7 @@
 		d.replicas.set(d.endpoints[name], d.residency.serving(name))
 	}
 	v := *d.router.View()
-	v.Replicas = d.replicas.give()
+	v.Replicas = d.replicas.share()
 	d.router.SetView(&v)
 }
 
@@ -349,10 +349,10 @@
 		}
 		e := d.endpoint(m, cmp.Or(m.Slots, pool.Concurrency))
 		v.ByName[m.Name] = e
-		d.residency.listed(m)
+		d.residency.applyEntry(m)
 		v.Pools[m.Pool] = append(v.Pools[m.Pool], e)
-		noteOpen(v, m, e)
-		d.tellCold(m, e, pool)
+		noteOpenRegion(v, m, e)
+		d.reportCold(m, e, pool)
 		d.replicas.set(e, d.residency.serving(m.Name))
 	}
 	for name := range d.endpoints {
@@ -363,8 +363,8 @@
 		}
 	}
 	d.warming, d.coldReported = nil, nil
-	d.replicas.keep(v.ByName)
-	v.Replicas = d.replicas.give()
+	d.replicas.retain(v.ByName)
+	v.Replicas = d.replicas.share()
 	if len(d.router.View().ByName) == 0 && len(v.ByName) > 0 {
 		d.log.Info("endpoints known", "endpoints", len(v.ByName), "units", len(v.Replicas))
 	}
@@ -382,7 +382,7 @@
 		}
 		d.logRestart(d.endpoints[m.Name], e)
 		d.endpoints[m.Name] = e
-		d.residency.begin(m)
+		d.residency.startIncarnation(m)
 	}
 	e.SetLeaving(!m.AcceptsWork() || d.withheld(m))
 	return e
--- a/daemon/view_test.go
+++ b/daemon/view_test.go
@@ -77,7 +77,7 @@
 func TestWithdrawalOfAnUnlistedEndpointCounts(t *testing.T) {
 	h := newViewHarness()
 	h.listing("e1")
-	h.step(endpointsWithdrawn{[]endpointStart{{name: "e2"}}})
+	h.step(endpointsWithdrawn{[]endpointIncarnation{{name: "e2"}}})
 	h.clock = h.clock.Add(time.Second)
 	h.listing("e1", "e2")
 	require.True(t, h.acceptsRequests("e1"))
@@ -93,7 +93,7 @@
 		h.viewDuty.now, h.events = time.Now, ring.New[event](eventsCapacity, ring.Block)
 		h.listing("e1")
 		go h.run(ctx)
-		require.NoError(t, h.events.Put(ctx, endpointsWithdrawn{[]endpointStart{{name: "e1"}}}))
+		require.NoError(t, h.events.Put(ctx, endpointsWithdrawn{[]endpointIncarnation{{name: "e1"}}}))
 		time.Sleep(withdrawalLifetime - time.Second)
 		require.False(t, h.acceptsRequests("e1"))
 		time.Sleep(time.Second + withdrawalCheckInterval)
@@ -109,7 +109,7 @@
 	h := newViewHarness()
 	h.listing("e1", "e2")
 	h.listing("e1")
-	require.Equal(t, []endpointStart{{name: "e2"}}, h.announcer.recentlyWithdrawn())
+	require.Equal(t, []endpointIncarnation{{name: "e2"}}, h.announcer.recentlyWithdrawn())
 	h.clock = h.clock.Add(time.Second)
 	h.listing("e1", "e2")
 	require.Empty(t, h.announcer.recentlyWithdrawn())
@@ -133,7 +133,7 @@
 			}
 			h.listing(names...)
 		case 1:
-			h.step(endpointsWithdrawn{[]endpointStart{{name: fmt.Sprintf("e%d", random.IntN(endpoints))}}})
+			h.step(endpointsWithdrawn{[]endpointIncarnation{{name: fmt.Sprintf("e%d", random.IntN(endpoints))}}})
 		default:
 			p := peer.Placement{Epoch: 1, Endpoint: fmt.Sprintf("e%d", random.IntN(endpoints)), Units: drawUnits(random, units)}
 			if len(p.Units) > 0 && random.IntN(2) == 0 {
--- a/daemon/evacuated.go
+++ b/daemon/viewevacuation.go
@@ -12,7 +12,7 @@
 
 // evacuate puts in force which failure domains are evacuated, and tells whether others are
 // than before.
-func (d *viewDuty) evacuate() bool {
+func (d *viewDuty) applyEvacuations() bool {
 	next := make(map[string]bool, len(d.platformEvacuated))
 	for _, domain := range d.platformEvacuated {
 		next[domain] = true
@@ -27,7 +27,7 @@
 	}
 	for domain := range d.evacuated {
 		if !next[domain] {
-			d.comeBack(domain)
+			d.noteRestored(domain)
 		}
 	}
 	d.evacuated = next
@@ -37,7 +37,7 @@
 }
 
 // comeBack notes that a failure domain is evacuated no longer: its endpoints may be cold.
-func (d *viewDuty) comeBack(domain string) {
+func (d *viewDuty) noteRestored(domain string) {
 	if d.warming == nil {
 		d.warming = map[string]bool{}
 	}
@@ -45,7 +45,7 @@
 }
 
 // noteCold notes that an endpoint's entry says anew that it is cold.
-func (d *viewDuty) noteCold(c membership.Change) {
+func (d *viewDuty) noteColdEntry(c membership.Change) {
 	if c.Member.ColdMS == 0 || c.Member.State == membership.Gone {
 		return
 	}
@@ -57,7 +57,7 @@
 
 // tellCold tells of an endpoint that it is cold, by its entry or as its failure domain has
 // just come back.
-func (d *viewDuty) tellCold(m membership.Member, e *routing.Endpoint, pool *settings.Pool) {
+func (d *viewDuty) reportCold(m membership.Member, e *routing.Endpoint, pool *settings.Pool) {
 	remaining := time.Duration(d.coldReported[m.Name]) * time.Millisecond
 	if d.warming[m.FailureDomain] {
 		remaining = max(remaining, pool.ColdStart())
@@ -68,7 +68,7 @@
 }
 
 // noteOpen notes in which region an endpoint can be reached that is not evacuated.
-func noteOpen(v *routing.View, m membership.Member, e *routing.Endpoint) {
+func noteOpenRegion(v *routing.View, m membership.Member, e *routing.Endpoint) {
 	if v.OpenRegions[m.Pool] == nil {
 		v.OpenRegions[m.Pool] = map[string]bool{}
 	}
