--- a/daemon/allowances.go
+++ b/daemon/allowances.go
@@ -13,12 +13,12 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// AllowanceConfig is by how much the accounts' allowances may be exceeded for moments.
+// AllowanceConfig bounds by how much accounts may exceed their allowances for short times.
 type AllowanceConfig struct {
-	// WindowS is the window in which they are counted, in seconds.
+	// WindowS is the window over which requests are counted, in seconds.
 	WindowS float64 `json:"windowS"`
-	// Over is the part of the allowance by which it may be exceeded in a window, and Slack
-	// what may come on top, in the allowance's unit.
+	// OverFraction is the fraction of the allowance by which a window may exceed it, and
+	// Slack an additional amount, in the allowance's unit.
 	OverFraction float64 `json:"over"`
 	Slack        float64 `json:"slack"`
 }
@@ -27,30 +27,31 @@
 	return allowance.Tolerance{Window: time.Duration(c.WindowS * float64(time.Second)), OverFraction: c.OverFraction, Slack: c.Slack}
 }
 
-// allowances is a node's part in the accounts' allowances, and the ledger while it adds up.
-// Nil ones tell and hear nothing.
+// allowances enforces the accounts' allowances at one node, and holds the aggregator of
+// usage while this node aggregates for all. A nil value reports and receives nothing.
 type allowances struct {
 	limiter   *allowance.Limiter
 	tolerance allowance.Tolerance
 	process   string
-	// holds tells whether this instance holds the lease, and so is to add up; listed returns
-	// how many instances there are.
+	// holdsLease tells whether this instance holds the lease and so must aggregate;
+	// instanceCount returns the number of listed instances.
 	holdsLease    func() bool
 	instanceCount func() int
 	now           func() time.Time
 
 	mu     sync.Mutex
 	limits allowance.Limits
-	// ledger is nil while another instance adds up; adder stands for it, reign counts how
-	// often this process has begun to add up.
+	// aggregator is nil while another instance aggregates. aggregatorID identifies this
+	// process in its latest term as aggregator, and terms counts those terms.
 	aggregator   *allowance.Aggregator
 	aggregatorID allowance.AggregatorID
 	terms        int
-	// orphans holds when each instance last told that it had never heard an adder; standsIn
-	// is set while this one adds up for them, until a holder of the lease does.
+	// noAggregatorAt holds when each instance last reported that it had never had contact
+	// with an aggregator. standIn is set while this instance aggregates as a stand-in, until
+	// a holder of the lease does.
 	noAggregatorAt map[string]time.Time
 	standIn        bool
-	// adderAddress is where the process that adds up receives packets, heard at adderAt.
+	// lastAggregatorAddress is where the aggregator receives packets, as of its last contact.
 	lastAggregatorAddress string
 	lastAggregatorContact time.Time
 }
@@ -63,7 +64,7 @@
 	}
 }
 
-// adopt takes the allowances of settings.
+// setLimits applies the allowances of the settings.
 func (a *allowances) setLimits(t *settings.Tree) {
 	limits := allowance.LimitsOf(t)
 	a.limiter.SetLimits(limits)
@@ -75,13 +76,14 @@
 	}
 }
 
-// maxUsages and maxWords bound what one packet tells.
+// maxUsagesPerPacket and maxSharesPerPacket bound the entries of one packet.
 const (
 	maxUsagesPerPacket = 8
 	maxSharesPerPacket = 30
 )
 
-// tell adds to a packet of this instance what accounts have asked of it, in so many bytes.
+// addUsage adds the pending usage of accounts at this instance to a packet, in at most room
+// bytes.
 func (a *allowances) addUsage(p *peer.Packet, room int) {
 	if a == nil {
 		return
@@ -90,7 +92,7 @@
 	p.Usage, p.UsageFor = a.limiter.PendingUsage(min(maxUsagesPerPacket, room/allowance.UsageBytes))
 }
 
-// heard takes what a packet tells, also one of this instance's own.
+// receive applies a packet of any instance, including this one.
 func (a *allowances) receive(p peer.Packet) {
 	if a == nil {
 		return
@@ -117,7 +119,8 @@
 	a.aggregator.RecordUsage(a.now(), p.From, p.Process, usage)
 }
 
-// heardAdder takes the words of a process that adds up. One that stands in gives way.
+// receiveAggregator applies the shares that an aggregator announces. A stand-in steps down for
+// an aggregator with a smaller ID.
 func (a *allowances) receiveAggregator(p peer.Packet) {
 	a.limiter.ReceiveShares(a.now(), p.Aggregator, p.Allowances)
 	a.mu.Lock()
@@ -128,7 +131,8 @@
 	}
 }
 
-// orphan tells whether this instance has never heard a process that adds up, and needs one.
+// lacksAggregator tells whether this instance has limits to enforce and has never had contact
+// with an aggregator.
 func (a *allowances) lacksAggregator() bool {
 	a.mu.Lock()
 	needed := len(a.limits) > 0
@@ -136,10 +140,12 @@
 	return needed && a.limiter.NoAggregator()
 }
 
-// adderHeard is for how long the address of the process that adds up counts.
+// aggregatorTimeout is for how long after the last contact the aggregator's address is valid,
+// and a report of an instance that lacks an aggregator counts.
 const aggregatorTimeout = 1500 * time.Millisecond
 
-// address is where the process that adds up receives packets, empty if none was heard lately.
+// aggregatorAddress returns where the aggregator receives packets; empty if there was no
+// contact with one within aggregatorTimeout.
 func (a *allowances) aggregatorAddress() string {
 	if a == nil {
 		return ""
@@ -152,7 +158,7 @@
 	return a.lastAggregatorAddress
 }
 
-// newAdder returns what stands for this process from now on.
+// newAggregatorID returns the ID under which this process aggregates during a term.
 func (a *allowances) newAggregatorID(term string) allowance.AggregatorID {
 	if a.standIn {
 		return allowance.StandInAggregatorID(term)
@@ -160,12 +166,14 @@
 	return allowance.HolderAggregatorID(term)
 }
 
-// mostOrphans is the part of the instances that must never have heard an adder for one to
-// stand in before there is a holder of the lease: all have started together. Others would go
-// on with their parts of the limits, which one that stands in knows nothing of.
+// standInQuorum is the fraction of the instances that must lack an aggregator before one
+// stands in while nobody holds the lease. Such a fraction means that all have started
+// together. Instances that had contact with an earlier aggregator continue with their shares
+// of the limits, which a stand-in does not know.
 const standInQuorum = 0.8
 
-// adds tells whether this instance is to add up; mu must be held.
+// aggregates tells whether this instance must aggregate, and decides whether it becomes a
+// stand-in. mu must be held.
 func (a *allowances) aggregates(now time.Time) bool {
 	if a.holdsLease() {
 		a.standIn = false
@@ -184,7 +192,7 @@
 	return a.standIn
 }
 
-// packets returns what is to be told to all, while this instance adds up.
+// announcements returns the packets to send to all instances while this one aggregates.
 func (a *allowances) announcements() []peer.Packet {
 	if a == nil {
 		return nil
@@ -213,22 +221,22 @@
 		packets = append(packets, peer.Packet{Allowances: part, Aggregator: a.aggregatorID})
 	}
 	if len(packets) == 0 {
-		// Who adds up is told also while there is nothing to tell.
+		// The aggregator announces itself even without shares to announce.
 		packets = append(packets, peer.Packet{Aggregator: a.aggregatorID})
 	}
 	return packets
 }
 
-// maxAccountsShown bounds the accounts that the metrics list.
+// maxAccountsShown bounds the accounts listed in the metrics.
 const maxAccountsShown = 100
 
-// allowanceStats is what an instance shows of the allowances.
+// allowanceStats is the metric on allowances.
 type allowanceStats struct {
 	Rejected int64                             `json:"rejected"`
 	Accounts map[string]allowance.AccountStats `json:"accounts"`
 }
 
-// stats returns the state of accounts here, of maxAccountsShown at most.
+// stats returns the state of at most maxAccountsShown accounts at this instance.
 func (a *allowances) stats(c *settings.Catalog) allowanceStats {
 	if c == nil {
 		return allowanceStats{}
--- a/daemon/batch.go
+++ b/daemon/batch.go
@@ -2,11 +2,10 @@
 
 import "github.com/eiderspring/eiderspring/store"
 
-// batch keeps of the changes that one answer of the store brings the newest of each
-// object, and before a removal what the object said last. An instance that could not
-// reach the store gets the changes of many seconds at once; applied one by one, on a
-// weak instance they filled its memory (190 MB in place of 24 MB, 90 instances, 9 s
-// without the store).
+// eventBatch coalesces the events of one watch response: it keeps the newest event of each
+// object and, before a deletion, the object's last state. An instance that could not reach
+// the store receives the changes of many seconds at once. Applied one by one, they took
+// 190 MB of memory in place of 24 MB on a weak instance (90 instances, 9 s without the store).
 type eventBatch struct {
 	order  []string
 	newest map[string][]store.Event
@@ -28,7 +27,8 @@
 	b.newest[name] = []store.Event{e}
 }
 
-// take empties the batch: its answer is over.
+// take returns the coalesced events in the order in which their objects first appeared, and
+// empties the batch for the next response.
 func (b *eventBatch) take() []store.Event {
 	events := make([]store.Event, 0, len(b.order))
 	for _, name := range b.order {
--- a/daemon/cell.go
+++ b/daemon/cell.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	// cellEvents bounds the events that wait for a cell's controller.
+	// cellEventsCapacity bounds the events queued for a cell's controller.
 	cellEventsCapacity = 1024
-	// cellTick is the time between ticks of a controller that decides, cellIdle
-	// that of one that does not.
+	// cellTick is the tick interval of a controller that makes placement decisions,
+	// cellIdle that of one that does not.
 	cellTick = 100 * time.Millisecond
 	cellIdle = time.Second
-	// orderTimeout bounds one sending of an order, inventoryTimeout one
-	// inventory.
+	// orderTimeout bounds one attempt to send an order, inventoryTimeout one
+	// inventory request.
 	orderTimeout     = 2 * time.Second
 	inventoryTimeout = 2 * time.Second
 )
 
-// cellDuty feeds the controller of one cell and carries its actions out.
+// cellDuty feeds events to the controller of one cell and executes its actions.
 type cellDuty struct {
 	cell       string
 	client     store.Client
@@ -41,7 +41,7 @@
 	now        func() time.Time
 	controller *placement.Controller
 	events     *ring.Ring[placement.Event]
-	// running is whether the controller decides, for the ticks.
+	// running tells whether the controller makes decisions; it selects the tick interval.
 	running atomic.Bool
 }
 
@@ -125,7 +125,8 @@
 	d.put(placement.LedgerRead{Ledger: l, Version: o.Metadata.ResourceVersion})
 }
 
-// commit does not resolve a lost answer: the controller reads the ledger again.
+// commit writes the ledger once. It does not find out whether a write without a response
+// took effect: the controller reads the ledger again.
 func (d *cellDuty) commit(ctx context.Context, c placement.Commit) {
 	o, err := store.NewObject(store.KindLedger, d.cell, c.Ledger)
 	if err != nil {
--- a/daemon/cells.go
+++ b/daemon/cells.go
@@ -20,11 +20,11 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// campaigners is how many instances campaign for the lease of a cell. It does
-// not grow with the fleet, so neither do the store calls for leases.
+// maxCampaigners is how many instances campaign for the lease of a cell. It does not
+// grow with the fleet, so neither does the number of store calls for leases.
 const maxCampaigners = 3
 
-// cells runs a controller for each cell. Today a pool of engines is a cell.
+// cells runs a controller for each cell. Each pool of engines is one cell.
 type cells struct {
 	ctx    context.Context
 	name   string
@@ -34,7 +34,7 @@
 	log    logr.Logger
 	now    func() time.Time
 	done   *sync.WaitGroup
-	// stopping tells whether a planned stop has begun.
+	// stopping tells whether a planned stop has begun; this instance then campaigns no more.
 	stopping func() bool
 
 	mu        sync.Mutex
@@ -42,8 +42,8 @@
 	instances []string
 }
 
-// update gives the settings and the list to every cell, and starts cells that
-// are new. A cell that the settings no longer name plans nothing more.
+// update passes the settings and the member list to every cell and starts new cells.
+// A cell that the settings no longer name gets no further settings.
 func (c *cells) update(catalog *settings.Catalog, list *membership.List) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,12 +78,12 @@
 	return pools
 }
 
-// campaigns tells whether this instance should hold the lease of a cell: it is
-// among the first by rendezvous hashing over the live instances.
+// campaigns tells whether this instance campaigns for the lease of a cell: it does if it
+// ranks among the first maxCampaigners by rendezvous hashing over the live instances.
 func (c *cells) campaigns(cell string) bool { return !c.stopping() && c.rankOf(cell) < maxCampaigners }
 
-// ahead returns how many live instances go before this one for a task; as many
-// as there can be if this one is not live.
+// rankOf returns the 0-based rank of this instance among the live ones for a task, or
+// math.MaxInt if this instance is not live.
 func (c *cells) rankOf(task string) int {
 	if rank := slices.Index(c.ranked(task), c.name); rank >= 0 {
 		return rank
@@ -91,7 +91,7 @@
 	return math.MaxInt
 }
 
-// choice returns the n-th live instance for a task.
+// nthInstance returns the live instance of 0-based rank n for a task.
 func (c *cells) nthInstance(task string, n int) (string, bool) {
 	ranked := c.ranked(task)
 	if n >= len(ranked) {
@@ -100,8 +100,8 @@
 	return ranked[n], true
 }
 
-// ranked returns the live instances in the order of rendezvous hashing for a
-// task: when one comes or goes, the others keep their order.
+// ranked returns the live instances in rendezvous hashing order for a task: when an
+// instance is added or removed, the others keep their relative order.
 func (c *cells) ranked(task string) []string {
 	c.mu.Lock()
 	ranked := slices.Clone(c.instances)
@@ -110,7 +110,7 @@
 	return ranked
 }
 
-// rendezvous puts instances in the order of rendezvous hashing for a task.
+// sortByRendezvous sorts instances by rendezvous hash weight for a task, highest first.
 func sortByRendezvous(task string, instances []string) {
 	weight := func(name string) uint64 { return xxhash.Sum64String(task + "\x00" + name) }
 	slices.SortFunc(instances, func(a, b string) int { return cmp.Compare(weight(b), weight(a)) })
@@ -132,7 +132,8 @@
 	return d
 }
 
-// configured is what the settings say of a cell.
+// cellSettings returns the controller settings of a pool's cell. The weight store's limits
+// are divided evenly among the cells.
 func cellSettings(catalog *settings.Catalog, pool string, cells int) placement.CellSettings {
 	p := catalog.Tree.Pools[pool]
 	c := placement.CellSettings{
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -11,8 +11,8 @@
 	"github.com/eiderspring/eiderspring/revision"
 )
 
-// claimAsker asks the n-th instance by rendezvous hashing for a shard, over
-// the peers' link, or this instance itself.
+// claimSubmitter returns a function that submits an operation to the n-th instance by
+// rendezvous hashing for a shard: over the peer stream, or directly if that is this instance.
 func (i *Instance) claimSubmitter(owner *claim.Owner) claim.SubmitFunc {
 	return func(ctx context.Context, shard, n int, op claim.Op) (claim.Reply, error) {
 		name, found := i.cells.nthInstance(fmt.Sprintf("claims-%03d", shard), n)
@@ -42,8 +42,8 @@
 	return reply, cbor.Unmarshal(data, &reply)
 }
 
-// answerPeer answers a peer's question: about the revision in force, or about
-// an entry of a shard that the peer takes this instance to run.
+// handlePeerRequest answers a peer's request for a part of the settings revision in force,
+// or for an operation on a claim shard that the peer believes this instance owns.
 func (i *Instance) handlePeerRequest(ctx context.Context, req peer.Request) peer.Reply {
 	if req.Claim != nil {
 		return i.handleClaim(ctx, req.Claim)
@@ -76,7 +76,7 @@
 	return peer.Reply{Found: err == nil, Data: data}
 }
 
-// shardConfig is how the shards of keys are run, by the settings in force.
+// shardConfig returns the configuration of claim shards from the settings in force.
 func (i *Instance) shardConfig() claim.ShardConfig {
 	var a *revision.Accepted
 	if a = i.current.Load(); a == nil {
--- a/daemon/evacuations.go
+++ b/daemon/evacuations.go
@@ -15,10 +15,10 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// evacuations is what this instance knows of the failure domains that the platform has
-// evacuated. A nil one knows of none.
+// evacuations tracks the failure domains that the platform has evacuated. A nil value has
+// none.
 type evacuations struct {
-	// changed is told, in order, of the domains that are evacuated from now on.
+	// onChange is called with each new set of evacuated domains, in order, with mu held.
 	onChange func(domains []string)
 	log      logr.Logger
 
@@ -26,7 +26,7 @@
 	tracker evacuation.Tracker
 }
 
-// step passes an event on.
+// step applies an event; by names its source in the log.
 func (s *evacuations) step(e evacuation.Event, by string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,7 +38,7 @@
 	s.onChange(set.Domains)
 }
 
-// inForce returns the domains that are evacuated.
+// inForce returns the evacuated domains.
 func (s *evacuations) inForce() []string {
 	if s == nil {
 		return nil
@@ -48,11 +48,11 @@
 	return slices.Clone(s.tracker.InForce().Domains)
 }
 
-// maxEvacuatedBytes bounds what one packet tells of evacuated domains.
+// maxEvacuatedBytes bounds the encoded domain names in one packet.
 const maxEvacuatedBytes = 300
 
-// tell adds what is known to a packet. It reports false if that does not fit, so that the
-// others must look themselves.
+// addTo adds the set in force to a packet. It reports false if the set does not fit; the
+// other instances must then watch the store themselves.
 func (s *evacuations) addTo(p *peer.Packet) bool {
 	if s == nil {
 		return true
@@ -71,7 +71,7 @@
 	return true
 }
 
-// heard takes the word of another instance.
+// receive applies the set announced in another instance's packet.
 func (s *evacuations) receive(p peer.Packet) {
 	if s == nil || p.EvacuatedRevision == 0 {
 		return
@@ -80,24 +80,24 @@
 	s.step(evacuation.Announced{Set: evacuation.Set{Version: version, Domains: p.Evacuated}}, p.From)
 }
 
-// evacuationsDuty follows the objects of evacuated failure domains in the store, unless the
-// holder of the lease tells.
+// evacuationsDuty watches the objects of evacuated failure domains in the store while the
+// holder of the lease does not announce them.
 type evacuationsDuty struct {
 	client store.Client
 	kind   store.Kind
-	// version reads a version of the store.
+	// version parses a resource version of the store.
 	version     func(resourceVersion string) (evacuation.Version, error)
 	evacuations *evacuations
-	// told tells whether the holder of the lease tells what is new in time.
+	// announced tells whether the holder of the lease announces changes in time.
 	announced func() bool
-	// wait is how long the store may hold a call.
+	// wait returns how long the store may hold a watch call open.
 	wait func() time.Duration
 	now  func() time.Time
 	link *storeLink
 	log  logr.Logger
 }
 
-// byStore names the own watch in the log.
+// byStore names this instance's own watch as the source in the log.
 const byStore = "the store"
 
 func (d *evacuationsDuty) run(ctx context.Context) {
@@ -127,7 +127,8 @@
 	r.Run(ctx)
 }
 
-// rest waits for as long as there is nothing to ask for. It reports false if ctx ended.
+// waitWhileAnnounced waits for as long as the holder of the lease announces changes. It
+// reports false if ctx ended.
 func (d *evacuationsDuty) waitWhileAnnounced(ctx context.Context) bool {
 	for ctx.Err() == nil && d.announced() {
 		wait.While(ctx, maxStalePause, d.announced)
--- a/daemon/holds.go
+++ b/daemon/holds.go
@@ -16,40 +16,41 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// heldRequest is the spec of the object of a request that is held back, whose name is its
-// fingerprint.
+// heldRequest is the spec of a hold object: one request in quarantine. The object's name is
+// the request's fingerprint in hexadecimal digits.
 type heldRequest struct {
-	// Endpoints are marks of the endpoints that ended under it, in hexadecimal digits, as
-	// not every store keeps 64 bits of a number; EndedMS is when, in Unix milliseconds.
+	// Endpoints identifies the endpoint incarnations that terminated while running the
+	// request, as hexadecimal strings because not every store keeps 64-bit numbers exact.
+	// EndedMS is when each terminated, in Unix milliseconds.
 	Endpoints []string `json:"endpoints"`
 	EndedMS   []int64  `json:"endedMS"`
 }
 
-// holdsDuty keeps requests that are held back in the store, for those whom no instance
-// tells: all that start when none is left who knows, and one that is cut off from the
-// others and not from the store.
+// holdsDuty persists requests in quarantine in the store, for instances that receive no
+// reports from others: those that start when no instance is left that knows of the hold,
+// and one that is cut off from the other instances but not from the store.
 type holdsDuty struct {
 	client  store.Client
 	manager *quarantine.Manager
-	// words holds requests that have come to be held here.
+	// reports queues the requests quarantined at this instance that are not yet written.
 	reports *ring.Ring[quarantine.Report]
-	// isolated tells whether this instance hears none of the others.
+	// isolated tells whether this instance has contact with none of the others.
 	isolated  func() bool
 	retention time.Duration
 	log       logr.Logger
-	// timeOfDay is the time of day, by which instances tell each other's writes apart.
+	// timeOfDay returns the wall-clock time: stored times must be comparable between instances.
 	timeOfDay func() time.Time
 }
 
 const (
-	// holdsWaiting bounds the requests that wait to be written.
+	// pendingHoldsCapacity bounds the requests queued to be written.
 	pendingHoldsCapacity = 64
-	// holdsLook is the time between two looks of an instance that is isolated, and the
-	// pause before a call that failed is made again.
+	// holdsReadInterval is the time between two reads of an isolated instance, and the
+	// delay before a failed read is retried.
 	holdsReadInterval = time.Second
 )
 
-// run reads what is held when the instance starts, and again while it is isolated.
+// run reads the holds once when the instance starts, and periodically while it is isolated.
 func (d *holdsDuty) run(ctx context.Context) {
 	readOnce := false
 	for ctx.Err() == nil {
@@ -64,7 +65,8 @@
 	}
 }
 
-// read takes what the store knows. A start may go by an old answer.
+// read passes the stored holds to the quarantine manager. With stale set, the store may answer
+// with data that is not current, which suffices at a start.
 func (d *holdsDuty) read(ctx context.Context, stale bool) error {
 	list, err := d.list(ctx, stale)
 	if err != nil {
@@ -88,7 +90,7 @@
 	return d.client.List(ctx, store.KindHold)
 }
 
-// write writes requests as they come to be held.
+// write stores requests as they enter quarantine.
 func (d *holdsDuty) write(ctx context.Context) {
 	for {
 		report, err := d.reports.Take(ctx)
@@ -101,8 +103,7 @@
 	}
 }
 
-// put writes a request, over what was written when it was held before, and removes those
-// that count no more.
+// put writes a request, replacing the object of an earlier hold, and removes expired objects.
 func (d *holdsDuty) put(ctx context.Context, report quarantine.Report) error {
 	o, err := store.NewObject(store.KindHold, hex.EncodeToString(report.Fingerprint), d.encode(report))
 	if err != nil {
@@ -123,7 +124,7 @@
 	return d.prune(ctx)
 }
 
-// prune removes requests whose endings are too old to count.
+// prune removes the requests whose terminations have all expired.
 func (d *holdsDuty) prune(ctx context.Context) error {
 	list, err := d.list(ctx, true)
 	if err != nil {
@@ -150,13 +151,14 @@
 	return h
 }
 
-// Errors of reading a request that is held back.
+// Errors of decode.
 var (
-	errHoldExpired    = errors.New("its endings are too old to count")
-	errHoldMismatched = errors.New("endpoints and times do not match")
+	errHoldExpired    = errors.New("all terminations have expired")
+	errHoldMismatched = errors.New("endpoints and endedMS differ in length")
 )
 
-// decode reads a request; endings that are too old to count are left out.
+// decode reads a hold object, leaving out terminations older than the retention. It returns
+// errHoldExpired if none is left, and errHoldMismatched if the lists differ in length.
 func (d *holdsDuty) decode(o store.Object) (quarantine.Report, error) {
 	var h heldRequest
 	if err := json.Unmarshal(o.Spec, &h); err != nil {
@@ -176,7 +178,7 @@
 		if err != nil {
 			return quarantine.Report{}, err
 		}
-		// Clocks of instances differ a little.
+		// The writer's clock may be ahead of this one.
 		age := max(now-h.EndedMS[i], 0)
 		if age >= d.retention.Milliseconds() {
 			continue
--- a/daemon/incarnations.go
+++ b/daemon/incarnations.go
@@ -2,29 +2,31 @@
 
 import "time"
 
-// endpointStart is one start of an endpoint's process, of which an instance tells.
+// endpointIncarnation identifies one incarnation of an endpoint's process in reports of
+// instances.
 type endpointIncarnation struct {
 	name string
-	// startedAtMS is when it was started, by its own clock; 0 where nobody knows.
+	// startedAtMS is when the process started, in Unix milliseconds of its own clock; 0 where
+	// unknown.
 	startedAtMS int64
 }
 
-// concerns tells whether a word on this start concerns an endpoint that was started at
-// startedAtMS: it says nothing of one that was started again since.
+// includes tells whether a report on this incarnation applies to an endpoint that was started
+// at startedAtMS. It does not apply to one that was restarted since.
 func (s endpointIncarnation) includes(startedAtMS int64) bool {
 	return s.startedAtMS == 0 || startedAtMS <= s.startedAtMS
 }
 
-// withdrawal is the word that a start of an endpoint takes no more work.
+// withdrawal is a notice that an incarnation of an endpoint takes no more work.
 type withdrawal struct {
 	startedAtMS int64
-	// at is when it was told first by an own list, or until when another instance's
-	// word counts.
+	// at is when this instance's own list first showed the withdrawal, or, for a notice of
+	// another instance, when the notice expires.
 	at time.Time
 }
 
-// startsOf joins the names of endpoints in a packet with their starts, which a sender
-// may leave out.
+// incarnationsOf combines the endpoint names of a packet with their start times, which a sender
+// may omit.
 func incarnationsOf(names []string, startedAtMS []int64) []endpointIncarnation {
 	incarnations := make([]endpointIncarnation, len(names))
 	for i, name := range names {
@@ -36,7 +38,8 @@
 	return incarnations
 }
 
-// namesOf takes endpoints apart for a packet; the starts are nil where none is known.
+// splitIncarnations returns names and start times for a packet; the times are nil if none is
+// known.
 func splitIncarnations(incarnations []endpointIncarnation) (names []string, startedAtMS []int64) {
 	known := false
 	for _, s := range incarnations {
--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -35,39 +35,40 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// Deps is what an instance takes from outside, so that tests can replace it.
-// Zero fields get what the operating system provides.
+// Deps holds the external dependencies of an instance, so that tests can replace them.
+// Zero fields default to what the operating system provides.
 type Deps struct {
 	Callers, Operators net.Listener
 	// Dial opens every connection to endpoints and to the platform.
 	Dial engine.Dialer
-	// Now is a time that goes on while the machine is suspended.
+	// Now is a clock that continues while the machine is suspended.
 	Now func() time.Time
 	Log logr.Logger
 }
 
-// Instance is one instance of the system.
+// Instance is one instance of the fleet: listeners, routing, and the links to the platform and
+// to the other instances.
 type Instance struct {
 	cfg  Config
 	deps Deps
 	log  logr.Logger
 	vars *expvar.Map
-	// exact is the time where a right to order rests on it; wakes holds suspensions that
-	// were noticed and not acted on yet.
+	// exact is the clock for leases and orders; suspensions queues the detected suspensions
+	// of the machine that are not handled yet.
 	exact       func() time.Time
 	suspensions *ring.Ring[time.Duration]
-	// overdue ends requests whose deadline has passed.
+	// overdue cancels requests whose deadline has passed.
 	overdue func()
 	engine  *engine.Client
-	// control carries reports and orders, apart from callers' requests.
+	// control carries reports and orders, on connections apart from callers' requests.
 	control *engine.Client
 	router  *routing.Router
 	cells   *cells
 	claims  *claim.Owner
 	gates   *pipeline.Gates
-	// quarantine holds back requests that end endpoints.
+	// quarantine holds back requests that terminate endpoints.
 	quarantine *quarantine.Manager
-	// allowances is this instance's even part of the callers' allowances.
+	// allowances enforces this instance's even share of the callers' allowances.
 	allowances   *allowance.Limiter
 	events       *ring.Ring[event]
 	catalog      atomic.Pointer[settings.Catalog]
@@ -76,11 +77,11 @@
 	peers        *peersDuty
 	streams      *peer.StreamServer
 	streamClient *peer.StreamClient
-	// settings fetches revisions.
+	// settings fetches settings revisions.
 	settings *settingsFetcher
 	// draining is set once a planned stop has begun.
 	draining atomic.Bool
-	// process tells this process from any other of the same instance.
+	// process distinguishes this process from any other of the same instance.
 	process string
 
 	callers, operators *http.Server
@@ -91,10 +92,10 @@
 	done sync.WaitGroup
 }
 
-// eventsCapacity bounds the events that wait for the view duty.
+// eventsCapacity bounds the events queued for the view duty.
 const eventsCapacity = 1024
 
-// New returns an instance that has its listeners but serves nothing yet.
+// New returns an instance that has opened its listeners but does not serve yet; Run serves.
 func New(cfg Config, deps Deps) (*Instance, error) {
 	suspensions := ring.New[time.Duration](suspensionsCapacity, ring.DropOldest)
 	exact := deps.Now
@@ -107,11 +108,11 @@
 	}
 	var err error
 	if deps.Callers, err = listen(deps.Callers, cfg.Callers); err != nil {
-		return nil, trace.Wrap(err, "callers' address")
+		return nil, trace.Wrap(err, "listen for callers")
 	}
 	if deps.Operators, err = listen(deps.Operators, cfg.Operators); err != nil {
 		deps.Callers.Close()
-		return nil, trace.Wrap(err, "operators' address")
+		return nil, trace.Wrap(err, "listen for operators")
 	}
 	i := &Instance{
 		cfg: cfg, deps: deps, exact: exact, suspensions: suspensions, log: deps.Log.WithValues("instance", cfg.Instance), vars: new(expvar.Map).Init(),
@@ -133,7 +134,7 @@
 	if err := i.openPeers(); err != nil {
 		deps.Callers.Close()
 		deps.Operators.Close()
-		return nil, trace.Wrap(err, "peers")
+		return nil, trace.Wrap(err, "open peer links")
 	}
 	i.build()
 	return i, nil
@@ -170,8 +171,8 @@
 	return nil
 }
 
-// peerKeys returns the keys of the settings, then those of the configuration.
-// Both have been checked where they were read.
+// peerKeys returns the peer keys of the settings, then those of the configuration. Both were
+// validated where they were read, so keys that do not parse are skipped.
 func (i *Instance) peerKeys(t *settings.Tree) [][]byte {
 	var encoded []string
 	if t != nil {
@@ -247,7 +248,7 @@
 // platformConns bounds the idle connections to the platform.
 const platformConns = 8
 
-// counted returns the dialler, counting the bytes of its connections under
+// counted returns a dialer that counts the bytes of its connections in the metrics
 // NAME_bytes_in and NAME_bytes_out.
 func (i *Instance) counted(name string) engine.Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -259,8 +260,8 @@
 	}
 }
 
-// holder names this process among all that ever run: the instance and the
-// incarnation as the platform lists them, and a part that no other process has.
+// holder returns a name that no other process ever has: the instance and the incarnation as
+// the platform lists them, and a random part.
 func (i *Instance) holder() string {
 	return i.cfg.Instance + "/" + i.cfg.Incarnation + "/" + i.process
 }
@@ -269,14 +270,14 @@
 	return &http.Server{
 		Handler: h, MaxHeaderBytes: i.cfg.Limits.HeaderBytes,
 		ReadHeaderTimeout: milliseconds(i.cfg.Limits.ReadMS), ReadTimeout: milliseconds(i.cfg.Limits.ReadMS),
-		// Callers' connections rest for as long as idleConns allows.
+		// idleConns closes idle connections of callers earlier.
 		IdleTimeout: maxConnIdle,
 	}
 }
 
-// guard refuses callers while there are no settings to serve them by, or none
-// that are known to be current. An instance that wakes from a pause must not
-// serve by what it knew, so it confirms first.
+// guard refuses callers while there are no settings in force, or none known to be current. An
+// instance that resumes from a pause must not serve by stale settings, so it confirms them
+// first.
 func (i *Instance) guard(d pipeline.Dialect, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		current := i.freshness.fresh() || i.settings.confirm(r.Context())
@@ -288,7 +289,7 @@
 	})
 }
 
-// closing ends connections with their answers once the instance drains.
+// closeWhileDraining closes connections after their responses once the instance drains.
 func (i *Instance) closeWhileDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		next.ServeHTTP(&closingWriter{ResponseWriter: w, stopping: i.draining.Load}, r)
@@ -329,14 +330,14 @@
 	}
 }
 
-// idleShare divides the rate of load reports while no requests come.
+// idleLoadPollDivisor divides the rate of load polls while no requests arrive.
 const idleLoadPollDivisor = 4
 
 const (
-	// kickInterval is how often waiting requests are offered to the router
-	// apart from the events that are known to free a place.
+	// waitingPollInterval is how often waiting requests are offered to the router, besides
+	// after the events known to free capacity.
 	waitingPollInterval = 50 * time.Millisecond
-	// kickIdle is the same while nothing waits.
+	// waitingPollIdleInterval is the same while nothing waits.
 	waitingPollIdleInterval = 250 * time.Millisecond
 )
 
@@ -353,8 +354,8 @@
 	}
 }
 
-// Run serves until ctx ends, then makes a planned stop: not ready at once, no
-// new work, everything in progress finished.
+// Run serves until ctx ends, then makes a planned stop: the instance is not ready from then on,
+// takes no new work, and finishes everything in progress.
 func (i *Instance) Run(ctx context.Context) error {
 	failed := make(chan error, 2)
 	for _, serve := range []func() error{
@@ -380,9 +381,9 @@
 	return trace.Wrap(err)
 }
 
-// drain makes a planned stop. Not ready comes first; callers that the balancer
-// sends until it has noticed are still served, on connections that end with
-// their answer. Then the listener closes and what is in progress is finished.
+// drain makes a planned stop. The instance first reports not ready; callers that the balancer
+// still sends are served for DrainGraceMS, on connections that close after their response.
+// Then the listener closes, and requests in progress finish within DrainMS.
 func (i *Instance) drain() error {
 	i.draining.Store(true)
 	_ = i.peers.events.Put(i.work, peer.Leave{})
@@ -397,7 +398,7 @@
 	return nil
 }
 
-// Kill stops at once, as a crash would: connections are cut.
+// Kill stops at once and closes all connections, as a crash would.
 func (i *Instance) Kill() {
 	i.stop()
 	i.callers.Close()
@@ -409,12 +410,12 @@
 	i.streamClient.Close()
 }
 
-// Ready tells whether the instance takes callers.
+// Ready tells whether the instance accepts callers.
 func (i *Instance) Ready() bool {
 	return i.catalog.Load() != nil && i.router.View().Instances > 0 && !i.draining.Load() && i.freshness.fresh()
 }
 
-// Revision returns the revision of the settings in force, 0 for none.
+// Revision returns the revision of the settings in force; 0 if there are none.
 func (i *Instance) Revision() int64 {
 	if a := i.current.Load(); a != nil {
 		return a.Entry.Revision
@@ -428,10 +429,10 @@
 // OperatorsAddr returns the address for operators.
 func (i *Instance) OperatorsAddr() string { return i.deps.Operators.Addr().String() }
 
-// ReachableUnits returns how many units this instance knows an endpoint for.
+// ReachableUnits returns the number of units for which this instance knows an endpoint.
 func (i *Instance) ReachableUnits() int { return len(i.router.View().Replicas) }
 
-// Counter returns one of the instance's counters, 0 if it has not counted yet.
+// Counter returns the value of a counter of the instance; 0 if it does not exist yet.
 func (i *Instance) Counter(name string) int64 {
 	if v, ok := i.vars.Get(name).(*expvar.Int); ok {
 		return v.Value()
--- a/daemon/keyauthority.go
+++ b/daemon/keyauthority.go
@@ -12,31 +12,32 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// keyRights is a node's right to go by the keys of accounts, and what it answers to others
-// that ask whether they may. A nil keyRights hears and asks nothing.
+// keyAuthority tracks whether a node may accept the account keys in its settings, and answers
+// the confirmation requests of other instances. A nil keyAuthority receives and sends nothing.
 type keyAuthority struct {
 	tracker *authority.Tracker
-	// now stamps what is asked and heard; exact is for the right itself.
+	// now stamps requests and replies; exact is the clock that decides whether keys are valid.
 	now, exact func() time.Time
-	// revision is that of the settings in force here.
+	// revision returns the revision of the settings in force at this instance.
 	revision func() int64
-	// answers tells whether this instance answers those that ask.
+	// responds tells whether this instance answers confirmation requests.
 	responds func() bool
 	send     func(p peer.Packet, addresses []string)
 	log      logr.Logger
 
 	mu        sync.Mutex
 	responder authority.Responder
-	// doubtful is until when what the store shows proves nothing.
+	// distrustUntil is until when a call to the store confirms nothing.
 	distrustUntil time.Time
 }
 
-// current tells whether keys in the settings of a revision may be gone by.
+// current tells whether the account keys in the settings of a revision may be accepted.
 func (r *keyAuthority) current(revision int64) bool {
 	return !r.tracker.Bounded() || r.tracker.Current(r.exact(), revision)
 }
 
-// ageMS is the age of the right for the log, in milliseconds; -1 if there is none.
+// ageMS returns the age of the last confirmation in milliseconds, for the log; -1 if there is
+// none.
 func (r *keyAuthority) ageMS() int64 {
 	age, known := r.tracker.Age(r.now(), r.revision())
 	if !known {
@@ -45,8 +46,8 @@
 	return age.Milliseconds()
 }
 
-// heard takes what a packet of another instance asks or answers. It tells whether the
-// packet was an answer, which tells nothing else.
+// receive handles the confirmation request or reply in a packet of another instance. It
+// reports whether the packet was a reply, which carries nothing else.
 func (r *keyAuthority) receive(p peer.Packet, process string) (reply bool) {
 	if r == nil {
 		return false
@@ -66,7 +67,8 @@
 	return false
 }
 
-// ask returns the token to ask another instance with; 0 if it is not time to ask.
+// nextRequest returns the token of a confirmation request to another instance; 0 if none is
+// due.
 func (r *keyAuthority) nextRequest() uint64 {
 	if r == nil {
 		return 0
@@ -74,16 +76,16 @@
 	return r.tracker.NextRequest(r.now())
 }
 
-// doubt takes what the store shows for no proof, for so long: it may lack settings that it
-// had acknowledged before it came back from a copy.
+// distrustStore ignores confirmations by the store for d: a store restored from a copy may
+// lack settings that it had acknowledged.
 func (r *keyAuthority) distrustStore(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.distrustUntil = r.now().Add(d)
 }
 
-// confirmed notes that a call to the store, begun at a moment, has shown a revision to be
-// the newest, and answers those who asked before.
+// storeConfirmed records that a call to the store begun at a time has shown a revision to be
+// the newest, and answers the confirmation requests received before that time.
 func (r *keyAuthority) storeConfirmed(begun time.Time, revision int64) {
 	r.mu.Lock()
 	distrusted := begun.Before(r.distrustUntil)
@@ -104,16 +106,17 @@
 }
 
 const (
-	// rightsLook is the time between two looks at the age of the right.
+	// authorityCheckInterval is the time between two checks of the age of the confirmation.
 	authorityCheckInterval = 100 * time.Millisecond
-	// askStorePart is the part of the bound at which an instance asks the store itself, as
-	// no other has answered; askStorePause is the time between two such calls.
+	// storeRequestFraction is the fraction of the bound after which an instance that got no
+	// confirmation reply calls the store itself; storeRequestPause is the time between two
+	// such calls.
 	storeRequestFraction = 0.5
 	storeRequestPause    = 500 * time.Millisecond
 )
 
-// keep asks the store itself where nobody else answers in time, and logs when the right is
-// lost and regained.
+// monitor calls askStore where no other instance confirms in time, and logs when the keys
+// become unusable and usable again. bound is the greatest age of a valid confirmation.
 func (r *keyAuthority) monitor(ctx context.Context, bound time.Duration, askStore func(context.Context)) {
 	if !r.tracker.Bounded() {
 		return
@@ -124,7 +127,7 @@
 		age, known := r.tracker.Age(r.exact(), revision)
 		usable := known && age < bound
 		if usable != wasUsable {
-			r.log.Info("keys of accounts", "usable", usable, "age_ms", r.ageMS(), "revision", revision)
+			r.log.Info("account keys", "usable", usable, "age_ms", r.ageMS(), "revision", revision)
 			wasUsable = usable
 		}
 		if revision == 0 || known && float64(age) < storeRequestFraction*float64(bound) {
--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -12,32 +12,32 @@
 	"github.com/eiderspring/eiderspring/routing"
 )
 
-// permits is a node's part in the limits that endpoints name for all nodes: it asks other
-// instances for permits, and answers them. A nil one does nothing.
+// permits enforces at one node the rate limits that endpoints set for all nodes together: it
+// requests permits from other instances and grants permits to them. A nil value does nothing.
 type permits struct {
 	limiter *permit.Limiter
-	// wake holds at most one wish for a permit.
+	// requested holds at most one signal that a request needs a permit.
 	requested chan struct{}
 	router    *routing.Router
-	// fleet is what is known of the other instances.
+	// fleet returns what is known of the other instances.
 	fleet func() permit.Fleet
-	// tell sends a packet to an instance, by name, answer to an address.
+	// sendTo sends a packet to an instance by name, reply to an address.
 	sendTo func(p peer.Packet, instance string)
 	reply  func(p peer.Packet, address string)
-	// kick lets requests go on that waited for a permit.
+	// wakeWaiting wakes the requests that wait for a permit.
 	wakeWaiting func()
 	log         logr.Logger
 	now         func() time.Time
 }
 
 const (
-	// permitTick is the time between two looks at what is to be asked.
+	// permitTick is the longest time between two checks for permits to request.
 	permitTick = 20 * time.Millisecond
-	// permitForget is the time between two looks at what endpoints are gone.
+	// permitForgetInterval is the time between two removals of limits of unlisted endpoints.
 	permitForgetInterval = 5 * time.Second
-	// maxLimitsShown bounds the limits that the metrics list.
+	// maxLimitsShown bounds the limits listed in the metrics.
 	maxLimitsShown = 100
-	// maxLimitBytes bounds what one packet tells of limits.
+	// maxLimitBytes bounds the limit reports in one packet.
 	maxLimitBytes = 500
 )
 
@@ -47,13 +47,13 @@
 	return p
 }
 
-// connect joins the part to the link between instances.
+// connect sets the mesh over which p exchanges packets with other instances.
 func (p *permits) connect(m *mesh, wakeWaiting func()) {
 	p.fleet, p.sendTo, p.wakeWaiting = m.permitIssuers, m.sendTo, wakeWaiting
 	p.reply = func(packet peer.Packet, address string) { m.send(m.stamp(packet), []string{address}) }
 }
 
-// wanted is told that a request wants a permit.
+// signalRequest wakes run because a request needs a permit. It never blocks.
 func (p *permits) signalRequest() {
 	select {
 	case p.requested <- struct{}{}:
@@ -61,7 +61,7 @@
 	}
 }
 
-// run asks for what is wanted.
+// run requests the permits that requests wait for, and advances the warm-up of cold endpoints.
 func (p *permits) run(ctx context.Context) {
 	prunedAt := p.now()
 	for ctx.Err() == nil {
@@ -85,7 +85,8 @@
 	}
 }
 
-// await returns when a permit is wanted, or after a while if one may have been.
+// awaitRequest returns when a request needs a permit, or after permitTick while any limit is
+// known.
 func (p *permits) awaitRequest(ctx context.Context) {
 	if p.limiter.AnyLimit() {
 		ctx, cancel := context.WithTimeout(ctx, permitTick)
@@ -103,14 +104,14 @@
 	}
 }
 
-// listed tells whether an endpoint is listed as it was started.
+// isListed tells whether the view lists this incarnation of an endpoint.
 func (p *permits) isListed(e permit.LimitKey) bool {
 	known := p.router.View().ByName[e.Name]
 	return known != nil && known.StartedAtMS == e.StartedAtMS
 }
 
-// heard takes what a packet of another instance asks, answers or tells of limits. It tells
-// whether the packet was an ask or an answer, which tells nothing else.
+// receive handles the permit requests, grants and limit reports in a packet of another
+// instance. It reports whether the packet held requests or grants, and so nothing else.
 func (p *permits) receive(packet peer.Packet) (consumed bool) {
 	if p == nil {
 		return false
@@ -129,7 +130,7 @@
 	return true
 }
 
-// told takes the words of another instance on limits.
+// receiveLimits applies another instance's limit reports.
 func (p *permits) receiveLimits(packet peer.Packet) {
 	for _, report := range p.limiter.ReceiveReports(p.now(), packet.Limits) {
 		if report.Ended {
@@ -140,7 +141,7 @@
 	}
 }
 
-// grant answers what another instance asks.
+// answerRequests grants the permits that another instance requests.
 func (p *permits) answerRequests(packet peer.Packet) {
 	var grants []permit.Grant
 	for _, request := range packet.PermitRequests {
@@ -153,7 +154,7 @@
 	}
 }
 
-// words returns what is to be told of limits, in so many bytes.
+// pendingLimits returns the limit reports to send, in at most room bytes.
 func (p *permits) pendingLimits(room int) []permit.LimitReport {
 	if p == nil {
 		return nil
@@ -161,5 +162,5 @@
 	return p.limiter.PendingReports(p.now(), min(room, maxLimitBytes))
 }
 
-// stats returns the limits that are known here.
+// stats returns the limits known to this instance, at most maxLimitsShown.
 func (p *permits) stats() permit.Stats { return p.limiter.Stats(p.now(), maxLimitsShown) }
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -21,41 +21,42 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// EngineControl reads reports of engines and sends them orders. Send's error is for the log; the result alone
-// says what became of the order.
+// EngineControl reads reports of engines and sends orders to them. The error of Send is only
+// for the log; the result alone tells what became of the order.
 type EngineControl interface {
 	Report(ctx context.Context, endpoint, address string) (*counted.Report, error)
 	Send(ctx context.Context, endpoint, address string, o counted.Order) (counted.Result, error)
 }
 
 const (
-	// placerEvents bounds the events that wait for a placer's controller.
+	// placerEventsCapacity bounds the events queued for a placer's controller.
 	placerEventsCapacity = 1024
-	// placerTick is the time between ticks of a controller that may order,
-	// placerIdle that of one that may not.
+	// placerTick is the tick interval of a controller that may send orders, placerIdle
+	// that of one that may not.
 	placerTick = 50 * time.Millisecond
 	placerIdle = 500 * time.Millisecond
-	// leaseDuration is how long a placer's lease lasts, leaseRenewal the time
-	// between renewals. Short ones keep the time without a holder short.
+	// leaseDuration is how long a placer's lease lasts, leaseRenewal the time between
+	// renewals. Both are short to keep the time without a holder short.
 	leaseDuration = 1800 * time.Millisecond
 	leaseRenewal  = 500 * time.Millisecond
-	// leaseDrift is what a challenger waits longer, and a holder stops earlier.
+	// leaseDrift bounds the clock drift: a challenger waits that much longer, and a holder
+	// stops that much earlier.
 	leaseDrift = 200 * time.Millisecond
-	// leaseLook is the time between two looks at the lease.
+	// leaseCheckInterval is the time between two checks of the lease.
 	leaseCheckInterval = 100 * time.Millisecond
-	// orderMargin is how long before the end of its lease a holder stops to
-	// order: an order takes a moment to arrive, and a successor waits from there.
+	// orderMargin is how long before the end of its lease a holder stops sending orders: an
+	// order takes time to arrive, and a successor counts its delay from there.
 	orderMargin = 300 * time.Millisecond
-	// reportTimeout bounds one report.
+	// reportTimeout bounds one report request.
 	reportTimeout = time.Second
-	// orderAnswer bounds the wait for the answer to an order, which comes within
-	// milliseconds. Whatever becomes of one that was not answered, its count lets at
-	// most one order take effect, so the next may be sent at once.
+	// orderReplyTimeout bounds the wait for the reply to an order, which usually takes
+	// milliseconds. The next order may follow an unanswered one at once: the endpoint lets
+	// at most one order with the same count take effect.
 	orderReplyTimeout = 300 * time.Millisecond
 )
 
-// placer runs the controller of one pool of engines, and the lease by which at
-// most one instance orders there.
+// placer runs the controller of one pool of engines, and the lease that lets at most one
+// instance send orders to it.
 type placer struct {
 	pool       string
 	controls   EngineControl
@@ -65,20 +66,20 @@
 	inputs     placerInputs
 	log        logr.Logger
 	now        func() time.Time
-	// place tells all instances what endpoints hold.
+	// announce announces to all instances which units endpoints hold.
 	announce func([]outgoingPlacement)
-	// orderLease is how long an endpoint must have had no order of another
-	// holder.
+	// orderLease is how long an endpoint must have received no order of another holder
+	// before it gets the first of this one.
 	orderLease time.Duration
 }
 
-// put adds an event of the placer's own doing.
+// put queues an event that the placer itself caused, and blocks while the ring is full.
 func (p *placer) put(e counted.Event) { _ = p.events.Put(context.Background(), e) }
 
-// tell tells the placer news from outside, and never waits.
+// notify passes an event from outside to the placer, and never blocks.
 func (p *placer) notify(e counted.Event) {
 	p.inputs.add(e)
-	// A full ring means that the placer is busy and looks at its news next.
+	// If the ring is full, the placer is busy and takes its inputs with the next event.
 	p.events.Offer(counted.Tick{})
 }
 
@@ -93,13 +94,13 @@
 	}
 }
 
-// orderFlight is how long an order may be on its way.
+// maxOrderFlight bounds how long an order may be in flight.
 const maxOrderFlight = 200 * time.Millisecond
 
-// takeoverWait is how long a successor waits with its first order, so that the
-// former holder's last one is orderLease old. A lease that was handed over may
-// have been used until then. One that lapsed was used for orders until
-// orderMargin before its end, and was taken a drift of either clock behind it.
+// takeoverWait returns how long a successor delays its first order, so that the last order of
+// the previous holder is orderLease old. A lease that was handed over may have been used until
+// the handover. One that lapsed was used for orders until orderMargin before its end, and was
+// acquired leaseDrift of either clock after its end.
 func (p *placer) takeoverWait(lapsed bool) time.Duration {
 	wait := p.orderLease + maxOrderFlight
 	if lapsed {
@@ -160,7 +161,7 @@
 	}
 }
 
-// urgencyOf is how soon the others need to know.
+// urgencyOf returns how soon the other instances must receive a change.
 func urgencyOf(change counted.Change) broadcast.Urgency {
 	switch change {
 	case counted.UnitsWithdrawn:
@@ -183,18 +184,18 @@
 	requestedAt := p.now()
 	r, err := p.controls.Report(ctx, a.Endpoint, a.Address)
 	if err != nil {
-		p.log.V(1).Info("no report", "endpoint", a.Endpoint, "error", err.Error())
+		p.log.V(1).Info("endpoint report failed", "endpoint", a.Endpoint, "error", err.Error())
 	}
 	p.put(counted.ReportReply{
 		Endpoint: a.Endpoint, StartedAtMS: a.StartedAtMS, RequestedAt: requestedAt, Report: r, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED),
 	})
 }
 
-// errNotHeld keeps back an order for which the lease no longer stands.
-var errLeaseEnding = errors.New("the lease does not last long enough")
+// errLeaseEnding reports an order that was not sent because the lease is lost or ends too soon.
+var errLeaseEnding = errors.New("lease lost or about to end")
 
-// send sends an order if the lease stands, by this instance's clock right
-// before the send: the process may have been paused since the decision.
+// send sends an order if the lease still allows it. It checks this instance's clock right
+// before sending, as the process may have been paused since the decision.
 func (p *placer) send(ctx context.Context, s counted.SendOrder) {
 	result, err := counted.Refused, errLeaseEnding
 	hold, held := p.runner.Hold()
@@ -220,23 +221,23 @@
 	log      logr.Logger
 	now      func() time.Time
 	done     *sync.WaitGroup
-	// campaigns tells whether this instance should hold the lease of a pool, which
-	// it may hold already.
+	// campaigns tells whether this instance should hold the lease of a pool; held is whether
+	// it does already.
 	campaigns func(pool string, held bool) bool
-	// looks tells whether it is about to campaign for it.
+	// observes tells whether this instance should watch a lease for which it will soon campaign.
 	observes func(pool string) bool
 	announce func([]outgoingPlacement)
-	// era returns the store's newest era.
+	// era returns the newest era of the store.
 	era func() int64
 
 	mu      sync.Mutex
 	running map[string]*placer
-	// isAlone is what alone was told last.
+	// isolated is the state that setIsolated set last.
 	isolated bool
 }
 
-// update gives the settings and the list to every placer, and starts placers of
-// pools that are new.
+// update passes the settings and the member list to every placer, and starts the placers of
+// new pools.
 func (p *placers) update(catalog *settings.Catalog, list *membership.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -253,7 +254,7 @@
 	}
 }
 
-// holds tells whether this instance places units of some pool.
+// holds tells whether this instance holds the lease of any pool.
 func (p *placers) holds() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -265,7 +266,7 @@
 	return false
 }
 
-// suspected passes endpoints on at which requests have failed.
+// requestsFailed passes on the endpoints at which requests have failed.
 func (p *placers) requestsFailed(endpoints []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -274,7 +275,7 @@
 	}
 }
 
-// alone passes on whether this instance hears none of the others.
+// setIsolated passes on whether this instance has contact with none of the others.
 func (p *placers) setIsolated(isolated bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -282,13 +283,13 @@
 		return
 	}
 	p.isolated = isolated
-	p.log.Info("others heard", "any", !isolated)
+	p.log.Info("contact with other instances", "any", !isolated)
 	for _, placer := range p.running {
 		placer.notify(counted.IsolationChanged{Isolated: isolated})
 	}
 }
 
-// gone passes endpoints on at whose addresses others have answered.
+// endpointsReplaced passes on the endpoints at whose addresses other incarnations have answered.
 func (p *placers) endpointsReplaced(incarnations []endpointIncarnation) {
 	replaced := counted.EndpointsReplaced{StartedAtMS: map[string]int64{}}
 	for _, s := range incarnations {
@@ -302,7 +303,7 @@
 	}
 }
 
-// demanded passes the demand of all instances on.
+// demandReported passes on the demand of all instances.
 func (p *placers) demandReported(demands map[string]peer.Demand) {
 	report := counted.DemandReport{Rate: map[string]float64{}, Waiting: map[string]int{}, LastRequestAt: map[string]time.Time{}}
 	for unit, d := range demands {
@@ -339,7 +340,7 @@
 	return pl
 }
 
-// countedCell is what the settings say of a pool.
+// countedCellSettings returns the controller settings of a pool.
 func countedCellSettings(catalog *settings.Catalog, pool string) counted.CellSettings {
 	t := catalog.Tree.Pools[pool]
 	c := counted.CellSettings{
--- a/daemon/placerinputs.go
+++ b/daemon/placerinputs.go
@@ -8,21 +8,22 @@
 	"github.com/eiderspring/eiderspring/placement/counted"
 )
 
-// placerNews holds what a placer is told from outside until it takes it: of each kind the last
-// word counts. Those who tell never wait for the placer, whose plan may take long: behind one
-// that did, duties of the whole instance stood still.
+// placerInputs buffers events from outside until a placer takes them, keeping the last of each
+// kind. Senders never wait for the placer, whose planning may take long: a sender that waited
+// blocked the duties of the whole instance.
 type placerInputs struct {
 	mu        sync.Mutex
 	settings  *counted.CellSettings
 	members   *counted.MemberList
 	isolation *counted.IsolationChanged
 	demand    *counted.DemandReport
-	// gone are endpoints, and when each was started; suspected are endpoints.
+	// replaced maps endpoints to the start time of the replaced incarnation, in Unix
+	// milliseconds; failed holds the endpoints at which requests failed.
 	replaced map[string]int64
 	failed   map[string]bool
 }
 
-// tell adds news.
+// add records an event, replacing an earlier one of its kind. Sets of endpoints are merged.
 func (n *placerInputs) add(e counted.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -56,7 +57,7 @@
 	}
 }
 
-// take returns what was told since, in the order in which it is to be applied.
+// take returns the events added since the last call, in the order in which to apply them.
 func (n *placerInputs) take() []counted.Event {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/daemon/quarantineconfig.go
+++ b/daemon/quarantineconfig.go
@@ -6,18 +6,18 @@
 	"github.com/eiderspring/eiderspring/quarantine"
 )
 
-// QuarantineConfig says when a request that ends endpoints is held back.
+// QuarantineConfig configures when a request that terminates endpoints is quarantined.
 type QuarantineConfig struct {
-	// Endings is how many endpoints must have ended under a request for it to be held
-	// back; 0 holds none, and a reload with it releases all.
+	// Terminations is how many endpoints must have terminated while running a request for it
+	// to be quarantined. 0 quarantines none, and a reload with 0 releases all.
 	Terminations int `json:"endings"`
-	// HoldS is for how long it is held at first, in seconds.
+	// HoldS is the duration of the first hold, in seconds.
 	HoldS float64 `json:"holdS"`
 }
 
-// Bounds of QuarantineConfig: fewer than two endings would hold whatever ran beside one
-// crash, and more than six are not worth a hold. HoldS is bounded so that the longest
-// hold is a day.
+// Bounds of QuarantineConfig. With fewer than two terminations, every request that ran during
+// a single crash would be held; a hold that takes more than six is not worth having. HoldS is
+// bounded so that the longest hold is a day.
 const (
 	minTerminations, maxTerminations = 2, 6
 	maxHoldS                         = 60 * 60
--- a/daemon/replicaindex.go
+++ b/daemon/replicaindex.go
@@ -8,26 +8,26 @@
 	"github.com/eiderspring/eiderspring/routing"
 )
 
-// replicas is which endpoints serve each unit, kept from view to view: of hundreds of
-// endpoints few change at a time, and to index all units anew took two thirds of an
+// replicaIndex maps each unit to the endpoints that serve it, and is updated from view to view:
+// few of hundreds of endpoints change at a time, and rebuilding the index took two thirds of an
 // instance's own processor time with 245 endpoints.
 //
-// Invariant: a map or slice that a view was given is never changed.
+// Invariant: a map or slice shared with a view is never modified.
 type replicaIndex struct {
 	byUnit map[string][]*routing.Endpoint
-	// served is what each endpoint, by name, is entered with.
+	// served holds the units under which each endpoint is indexed, by endpoint name.
 	served map[string]servedUnits
-	// given is set while a view has byUnit.
+	// shared is set while a view refers to byUnit.
 	shared bool
 }
 
-// servedUnits is an endpoint with the units that it serves.
+// servedUnits is an endpoint and the units that it serves.
 type servedUnits struct {
 	endpoint *routing.Endpoint
 	units    []string
 }
 
-// set enters an endpoint with the units that it serves, in place of what it had.
+// set indexes an endpoint under the units that it serves, replacing its previous ones.
 func (r *replicaIndex) set(e *routing.Endpoint, units []string) {
 	previous := r.served[e.Name]
 	if previous.endpoint == e && slices.Equal(previous.units, units) {
@@ -44,7 +44,7 @@
 
 func byName(e *routing.Endpoint, name string) int { return cmp.Compare(e.Name, name) }
 
-// remove takes an endpoint out.
+// remove removes an endpoint from the index.
 func (r *replicaIndex) remove(name string) {
 	previous, known := r.served[name]
 	if !known {
@@ -62,7 +62,7 @@
 	delete(r.served, name)
 }
 
-// keep takes all endpoints out that are not among those.
+// retain removes all endpoints that are not in present.
 func (r *replicaIndex) retain(present map[string]*routing.Endpoint) {
 	for name := range r.served {
 		if present[name] == nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// own makes sure that byUnit may be changed.
+// makeWritable copies byUnit if a view shares it, so that it may be modified.
 func (r *replicaIndex) makeWritable() {
 	switch {
 	case r.byUnit == nil:
@@ -82,7 +82,7 @@
 	r.shared = false
 }
 
-// give returns the index for a view.
+// share returns the index for a view, which must not modify it.
 func (r *replicaIndex) share() map[string][]*routing.Endpoint {
 	if r.byUnit == nil {
 		r.makeWritable()
--- a/daemon/residency.go
+++ b/daemon/residency.go
@@ -7,30 +7,31 @@
 	"github.com/eiderspring/eiderspring/peer"
 )
 
-// residency is which units each endpoint holds, by whichever word came last:
-// the endpoint's report, its entry in the platform's list, or that of the
+// residency tracks which units each endpoint holds, from whichever source reported last: the
+// endpoint's load report, its entry in the platform's list, or the placement announced by the
 // instance that places units, which knows first.
 type residency struct {
 	units map[string]heldUnits
 }
 
-// heldUnits is what is known of one endpoint.
+// heldUnits is the state of one endpoint.
 type heldUnits struct {
 	ready []string
-	// going are those that get no new requests.
+	// draining are the units that get no new requests.
 	draining []string
-	// entry is what its entry told last; nil if it told nothing yet.
+	// entry holds the units in the endpoint's last list entry; nil if no entry named any.
 	entry []string
-	// epoch is the newest whose word was taken.
+	// epoch is the lease epoch of the last placement applied.
 	epoch int64
-	// startedAtMS is the start of the endpoint that all this is told of: one that is
-	// started again holds nothing of before. 0 where nobody tells.
+	// startedAtMS identifies the incarnation that this state belongs to, by its start time
+	// in Unix milliseconds; 0 where unknown. A restarted endpoint holds no units of its
+	// previous incarnation.
 	startedAtMS int64
 }
 
 func newResidency() residency { return residency{units: map[string]heldUnits{}} }
 
-// reported takes an endpoint's report and tells whether it was news.
+// applyReport applies an endpoint's load report and tells whether the units changed.
 func (r residency) applyReport(endpoint string, ready []string) bool {
 	h := r.units[endpoint]
 	changed := !sameSet(h.ready, ready)
@@ -39,16 +40,16 @@
 	return changed
 }
 
-// begin forgets what was known of an endpoint that is another than before, unless the
-// instance that places units has told of this start already.
+// startIncarnation discards the state of an endpoint's previous incarnation, unless a placement
+// for the new one was applied already.
 func (r residency) startIncarnation(m membership.Member) {
 	if h := r.units[m.Name]; h.startedAtMS == 0 || h.startedAtMS != m.StartedAtMS {
 		r.units[m.Name] = heldUnits{startedAtMS: m.StartedAtMS}
 	}
 }
 
-// listed takes an endpoint's entry. One that has not changed may be behind what
-// was told since, and is no news; nor is one of a former start.
+// applyEntry applies an endpoint's list entry. An unchanged entry is ignored, since it may be
+// older than a report or placement applied since; so is an entry of a previous incarnation.
 func (r residency) applyEntry(m membership.Member) {
 	h := r.units[m.Name]
 	if m.StartedAtMS < h.startedAtMS {
@@ -61,8 +62,8 @@
 	r.units[m.Name] = h
 }
 
-// placed takes the word of an instance that places units, unless a later one's
-// was taken or it tells of a former start, and tells whether it was news.
+// applyPlacement applies a placement announced by a lease holder, unless one of a later epoch
+// was applied or it is about a previous incarnation. It tells whether the units changed.
 func (r residency) applyPlacement(p peer.Placement) bool {
 	h := r.units[p.Endpoint]
 	if p.Epoch < h.epoch || p.StartedAtMS != 0 && p.StartedAtMS < h.startedAtMS {
@@ -77,8 +78,8 @@
 	return changed
 }
 
-// serving returns the units that an endpoint takes requests for, which must not be
-// changed.
+// serving returns the units for which an endpoint takes requests. The caller must not modify
+// the slice.
 func (r residency) serving(endpoint string) []string {
 	h := r.units[endpoint]
 	if len(h.draining) == 0 {
--- a/daemon/viewevacuation.go
+++ b/daemon/viewevacuation.go
@@ -10,8 +10,8 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// evacuate puts in force which failure domains are evacuated, and tells whether others are
-// than before.
+// applyEvacuations merges the failure domains evacuated by the platform and by the settings
+// into the view, and reports whether the set changed.
 func (d *viewDuty) applyEvacuations() bool {
 	next := make(map[string]bool, len(d.platformEvacuated))
 	for _, domain := range d.platformEvacuated {
@@ -36,7 +36,7 @@
 	return true
 }
 
-// comeBack notes that a failure domain is evacuated no longer: its endpoints may be cold.
+// noteRestored records that the evacuation of a failure domain ended: its endpoints may be cold.
 func (d *viewDuty) noteRestored(domain string) {
 	if d.warming == nil {
 		d.warming = map[string]bool{}
@@ -44,7 +44,7 @@
 	d.warming[domain] = true
 }
 
-// noteCold notes that an endpoint's entry says anew that it is cold.
+// noteColdEntry records an endpoint entry that newly reports the endpoint as cold.
 func (d *viewDuty) noteColdEntry(c membership.Change) {
 	if c.Member.ColdMS == 0 || c.Member.State == membership.Gone {
 		return
@@ -55,8 +55,8 @@
 	d.coldReported[c.Member.Name] = c.Member.ColdMS
 }
 
-// tellCold tells of an endpoint that it is cold, by its entry or as its failure domain has
-// just come back.
+// reportCold reports an endpoint as cold if its entry says so or if the evacuation of its
+// failure domain has just ended.
 func (d *viewDuty) reportCold(m membership.Member, e *routing.Endpoint, pool *settings.Pool) {
 	remaining := time.Duration(d.coldReported[m.Name]) * time.Millisecond
 	if d.warming[m.FailureDomain] {
@@ -67,7 +67,7 @@
 	}
 }
 
-// noteOpen notes in which region an endpoint can be reached that is not evacuated.
+// noteOpenRegion marks the region of an endpoint that is not evacuated as open for its pool.
 func noteOpenRegion(v *routing.View, m membership.Member, e *routing.Endpoint) {
 	if v.OpenRegions[m.Pool] == nil {
 		v.OpenRegions[m.Pool] = map[string]bool{}
@@ -77,15 +77,15 @@
 	}
 }
 
-// evacuationStats is what operators see of evacuated failure domains.
+// evacuationStats is the operators' metric on evacuated failure domains.
 type evacuationStats struct {
 	FailureDomains []string `json:"failure_domains"`
-	// Running is how many requests of this instance still run there: a domain is empty once all
-	// instances show none.
+	// Running counts the requests of this instance that still run in those domains. A domain
+	// is empty once all instances report 0.
 	Running int64 `json:"running"`
 }
 
-// evacuationStats tells which failure domains are evacuated, by the platform or by the settings.
+// evacuationStats returns the failure domains evacuated by the platform or by the settings.
 func (n *Node) evacuationStats() evacuationStats {
 	s := evacuationStats{FailureDomains: n.mesh.evacuations.inForce()}
 	if c := n.catalog.Load(); c != nil {
