--- a/daemon/allowances_test.go
+++ b/daemon/allowances_test.go
@@ -22,93 +22,98 @@
 	}}
 }
 
-// fleetOfTwo is an instance that adds up and one that does not.
-func fleetOfTwo(now func() time.Time) (adder, other *allowances) {
+// fleetOfTwo returns an instance that aggregates and one that does not.
+func fleetOfTwo(now func() time.Time) (aggregating, other *allowances) {
 	c := AllowanceConfig{WindowS: 8, OverFraction: 0.1}
 	two := func() int { return 2 }
-	adder = newAllowances(c, "p1", func() bool { return true }, two, now)
+	aggregating = newAllowances(c, "p1", func() bool { return true }, two, now)
 	other = newAllowances(c, "p2", func() bool { return false }, two, now)
-	for _, a := range []*allowances{adder, other} {
+	for _, a := range []*allowances{aggregating, other} {
 		a.limiter.SetInstanceCount(2)
 		a.setLimits(limitedTree())
 	}
-	return adder, other
+	return aggregating, other
 }
 
-// exchange carries the adder's words to both, and what both have been asked to the adder.
-func exchange(adder, other *allowances) {
-	for _, p := range adder.announcements() {
-		adder.receive(p)
+// exchange delivers the aggregator's announcements to both instances, and the usage of both to
+// the aggregator.
+func exchange(aggregating, other *allowances) {
+	for _, p := range aggregating.announcements() {
+		aggregating.receive(p)
 		other.receive(p)
 	}
-	for name, a := range map[string]*allowances{"a": adder, "b": other} {
+	for name, a := range map[string]*allowances{"a": aggregating, "b": other} {
 		p := peer.Packet{From: name, Process: "p" + name}
 		a.addUsage(&p, peer.MaxPacketBytes)
-		adder.receive(p)
+		aggregating.receive(p)
 	}
 }
 
-// TestSharesReachTheOthers lets callers of one instance use up what both may admit.
+// TestSharesReachTheOthers overloads one instance. The other must admit only the share that the
+// aggregator announces, not its even part of the limit.
 func TestSharesReachTheOthers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	adder, other := fleetOfTwo(func() time.Time { return now })
+	aggregating, other := fleetOfTwo(func() time.Time { return now })
 	for range 40 {
-		exchange(adder, other)
+		exchange(aggregating, other)
 		for range 30 {
-			adder.limiter.Admit(now, "desk", 1)
+			aggregating.limiter.Admit(now, "desk", 1)
 		}
 		now = now.Add(100 * time.Millisecond)
 	}
-	exchange(adder, other)
+	exchange(aggregating, other)
 	admitted := 0
 	for range 100 {
 		if ok, _ := other.limiter.Admit(now, "desk", 1); ok {
 			admitted++
 		}
 	}
-	require.Less(t, admitted, 20, "the other instance goes by the share of all")
-	stats := adder.stats(&settings.Catalog{Tree: limitedTree()})
+	require.Less(t, admitted, 20, "the other instance applies the announced share")
+	stats := aggregating.stats(&settings.Catalog{Tree: limitedTree()})
 	require.EqualValues(t, 40*30, stats.Accounts["desk"].Offered)
 	require.Positive(t, stats.Rejected)
 }
 
-// TestWordsOfAllowancesFitADatagram has more accounts than one packet tells.
-func TestWordsOfAllowancesFitADatagram(t *testing.T) {
-	var words []allowance.Share
+// TestSharesFitADatagram fills a packet with as many shares as it may carry.
+func TestSharesFitADatagram(t *testing.T) {
+	var shares []allowance.Share
 	for i := range maxSharesPerPacket {
-		words = append(words, allowance.Share{Account: allowance.AccountHash(1<<63 + uint64(i)), Permille: 999, Level: -1 << 40, Rate: 1 << 40})
+		shares = append(shares, allowance.Share{Account: allowance.AccountHash(1<<63 + uint64(i)), Permille: 999, Level: -1 << 40, Rate: 1 << 40})
 	}
 	p := peer.Packet{
 		Version: peer.PacketVersion, From: "edge-hall-outremeuse-12", Process: "ABCDEFGHIJKLMNOPQRSTUVWXYZ", Address: "10.200.100.100:17380",
-		Seq: 1 << 40, Revision: 1 << 30, Instances: 390, EndingsDigest: 1 << 63, Aggregator: 1 << 63, Era: 1 << 20, Allowances: words,
+		Seq: 1 << 40, Revision: 1 << 30, Instances: 390, EndingsDigest: 1 << 63, Aggregator: 1 << 63, Era: 1 << 20, Allowances: shares,
 	}
 	data, err := peer.EncodePacket(p)
 	require.NoError(t, err)
 	require.LessOrEqual(t, len(data), peer.MaxPacketBytes)
 	back, err := peer.DecodePacket(data)
 	require.NoError(t, err)
-	require.Equal(t, words, back.Allowances)
+	require.Equal(t, shares, back.Allowances)
 }
 
-// TestHolderAnswersWhoMayGoByKeys asks, lets the store confirm, and carries the answer back.
-func TestHolderAnswersWhoMayGoByKeys(t *testing.T) {
+// TestHolderConfirmsKeysOfOthers sends a confirmation request, lets the store confirm the
+// holder's settings, and delivers the reply. Only a call to the store begun after the request
+// may be answered, and the reply counts only for the requesting process, from the time of its
+// request.
+func TestHolderConfirmsKeysOfOthers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
-	rights := func(answers bool, sent *[]peer.Packet) *keyAuthority {
+	newAuthority := func(responds bool, sent *[]peer.Packet) *keyAuthority {
 		return &keyAuthority{
 			tracker: authority.NewTracker(4 * time.Second), now: clock, exact: clock, revision: func() int64 { return 7 }, log: logr.Discard(),
-			responds: func() bool { return answers }, send: func(p peer.Packet, _ []string) { *sent = append(*sent, p) },
+			responds: func() bool { return responds }, send: func(p peer.Packet, _ []string) { *sent = append(*sent, p) },
 		}
 	}
 	var sent []peer.Packet
-	holder, other := rights(true, &sent), rights(false, &sent)
+	holder, other := newAuthority(true, &sent), newAuthority(false, &sent)
 	require.False(t, other.current(7))
-	ask := peer.Packet{From: "b", Process: "pb", Address: "addr", ConfirmRequest: other.nextRequest(), Revision: 7}
-	require.NotZero(t, ask.ConfirmRequest)
+	request := peer.Packet{From: "b", Process: "pb", Address: "addr", ConfirmRequest: other.nextRequest(), Revision: 7}
+	require.NotZero(t, request.ConfirmRequest)
 	now = now.Add(time.Second)
-	require.False(t, holder.receive(ask, "pa"))
+	require.False(t, holder.receive(request, "pa"))
 	holder.storeConfirmed(now.Add(-time.Millisecond), 7)
-	require.Empty(t, sent, "the call began before the ask was heard")
+	require.Empty(t, sent, "the call began before the request was received")
 	holder.storeConfirmed(now.Add(time.Millisecond), 7)
 	require.Len(t, sent, 1)
 	require.True(t, other.receive(sent[0], "another process"))
@@ -116,70 +121,72 @@
 	require.True(t, other.receive(sent[0], "pb"))
 	require.True(t, other.current(7))
 	now = now.Add(3 * time.Second)
-	require.False(t, other.current(7), "it counts from the ask")
+	require.False(t, other.current(7), "the age counts from the request")
 
 	holder.distrustStore(eraSettleTime)
 	holder.storeConfirmed(now, 7)
 	age, known := holder.tracker.Age(now, 7)
 	require.True(t, known)
-	require.Greater(t, age, 2*time.Second, "the store has come back from a copy: what it shows proves nothing yet")
+	require.Greater(t, age, 2*time.Second, "the store was restored from a copy: its answers confirm nothing yet")
 }
 
-// TestRightIsAskedOfTheStoreIfNobodyAnswers lets half of the bound pass.
-func TestRightIsAskedOfTheStoreIfNobodyAnswers(t *testing.T) {
-	r := &keyAuthority{
+// TestStoreConfirmsKeysIfNoInstanceDoes sends no confirmation reply. The instance must call the
+// store itself once half of the bound has passed.
+func TestStoreConfirmsKeysIfNoInstanceDoes(t *testing.T) {
+	authority := &keyAuthority{
 		tracker: authority.NewTracker(time.Second), now: time.Now, exact: time.Now, revision: func() int64 { return 7 }, log: logr.Discard(),
 		responds: func() bool { return false },
 	}
 	ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
 	defer stop()
-	asked := 0
-	r.monitor(ctx, time.Second, func(context.Context) {
-		asked++
-		r.storeConfirmed(time.Now(), 7)
-		if asked == 2 {
+	calls := 0
+	authority.monitor(ctx, time.Second, func(context.Context) {
+		calls++
+		authority.storeConfirmed(time.Now(), 7)
+		if calls == 2 {
 			stop()
 		}
 	})
-	require.Equal(t, 2, asked)
-	require.True(t, r.current(7))
+	require.Equal(t, 2, calls)
+	require.True(t, authority.current(7))
 }
 
-// TestOneStandsInWhereAllHaveStarted has no holder of the lease yet. Once there is one, it
-// adds up in place of the other.
-func TestOneStandsInWhereAllHaveStarted(t *testing.T) {
+// TestOneStandsInWhereAllLackAnAggregator has no holder of the lease at first. A stand-in must
+// aggregate until there is one, and then step down.
+func TestOneStandsInWhereAllLackAnAggregator(t *testing.T) {
 	now := time.Unix(1000, 0)
 	holds := false
 	two := func() int { return 2 }
-	begun := func(process string, holds func() bool) *allowances {
+	start := func(process string, holds func() bool) *allowances {
 		a := newAllowances(AllowanceConfig{WindowS: 8, OverFraction: 0.1}, process, holds, two, func() time.Time { return now })
 		a.setLimits(limitedTree())
 		return a
 	}
-	strong, other := begun("p1", func() bool { return false }), begun("p2", func() bool { return holds })
-	require.Empty(t, strong.announcements(), "nobody needs it yet")
+	strong, other := start("p1", func() bool { return false }), start("p2", func() bool { return holds })
+	require.Empty(t, strong.announcements(), "no instance has reported the lack of an aggregator")
 	exchange(strong, other)
 	now = now.Add(100 * time.Millisecond)
-	words := strong.announcements()
-	require.NotEmpty(t, words, "all have told that they have never heard an adder")
-	other.receive(words[0])
+	packets := strong.announcements()
+	require.NotEmpty(t, packets, "all have reported that they lack an aggregator")
+	other.receive(packets[0])
 	require.False(t, other.lacksAggregator())
 	require.Empty(t, other.announcements())
 
 	holds = true
-	words = other.announcements()
-	if len(words) == 0 {
+	packets = other.announcements()
+	if len(packets) == 0 {
 		p := peer.Packet{From: "a", Process: "pa"}
 		other.receive(p)
-		words = other.announcements()
+		packets = other.announcements()
 	}
-	require.NotEmpty(t, words)
-	strong.receive(words[0])
-	require.Empty(t, strong.announcements(), "the holder of the lease adds up now")
+	require.NotEmpty(t, packets)
+	strong.receive(packets[0])
+	require.Empty(t, strong.announcements(), "the holder of the lease aggregates now")
 }
 
-// TestNobodyStandsInForOthersThatGoOn hears few that have never heard an adder.
-func TestNobodyStandsInForOthersThatGoOn(t *testing.T) {
+// TestNoStandInWhereMostHaveHadAnAggregator receives reports of a missing aggregator from only
+// half of the instances. The others still use shares that a stand-in does not know.
+func TestNoStandInWhereMostHaveHadAnAggregator(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := newAllowances(AllowanceConfig{WindowS: 8, OverFraction: 0.1}, "p1", func() bool { return false }, func() int { return 10 }, func() time.Time { return now })
 	a.setLimits(limitedTree())
@@ -189,10 +196,11 @@
 	require.Empty(t, a.announcements())
 }
 
-// TestOneOfTwoThatStandInGivesWay lets two instances be told that nobody adds up.
-func TestOneOfTwoThatStandInGivesWay(t *testing.T) {
+// TestOneOfTwoStandInsStepsDown lets two instances become stand-ins at the same time. Exactly one
+// must continue.
+func TestOneOfTwoStandInsStepsDown(t *testing.T) {
 	now := time.Unix(1000, 0)
-	begun := func(process string) *allowances {
+	standIn := func(process string) *allowances {
 		a := newAllowances(AllowanceConfig{WindowS: 8, OverFraction: 0.1}, process, func() bool { return false }, func() int { return 2 }, func() time.Time { return now })
 		a.setLimits(limitedTree())
 		for _, from := range []string{"a", "b"} {
@@ -204,16 +212,17 @@
 		}
 		return a
 	}
-	first, second := begun("p1"), begun("p2")
+	first, second := standIn("p1"), standIn("p2")
 	one, two := first.announcements(), second.announcements()
 	require.NotEmpty(t, one)
 	require.NotEmpty(t, two)
 	first.receive(two[0])
 	second.receive(one[0])
-	require.NotEqual(t, len(first.announcements()) == 0, len(second.announcements()) == 0, "one goes on")
+	require.NotEqual(t, len(first.announcements()) == 0, len(second.announcements()) == 0, "one continues")
 }
 
-// TestStrongestAreAskedToStandIn knows a machine that is gone among them.
+// TestStrongestAreAskedToStandIn lists more strong instances than are asked: entries of machines
+// that are gone may be among them.
 func TestStrongestAreAskedToStandIn(t *testing.T) {
 	m := &mesh{instance: "d", now: time.Now, listed: map[string]presence{}, onInstanceCount: func(int) {}}
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
@@ -223,43 +232,43 @@
 	require.Equal(t, []string{"a", "b", "c"}, m.strongestAddresses())
 }
 
-// countedLink counts what waits on a link, and keeps the most that waited when a packet went
-// out that tells of allowances.
+// countedLink counts the bytes queued on a link, and records the most that were queued when a
+// packet with shares was sent.
 type countedLink struct {
-	sealer          *peer.Sealer
-	waiting, behind int
-	// sums holds the endpoints of which a packet has told.
-	sums map[string]bool
+	sealer              *peer.Sealer
+	waiting, maxWaiting int
+	// announced holds the endpoints whose totals a packet has announced.
+	announced map[string]bool
 }
 
-// drain is what the link carries meanwhile.
+// drain removes the bytes that the link has carried meanwhile.
 func (l *countedLink) drain(bytes float64) { l.waiting = max(l.waiting-int(bytes), 0) }
 
 func (l *countedLink) Send(_ string, sealed []byte) {
 	l.waiting += len(sealed)
 	plain, err := l.sealer.Open(sealed)
 	if err != nil {
-		// The same packet goes to many; only the first is taken.
+		// The same packet is sent to many addresses; only the first copy opens.
 		return
 	}
 	p, err := peer.DecodePacket(plain)
-	for _, sum := range p.Totals {
-		l.sums[sum.Endpoint] = true
+	for _, total := range p.Totals {
+		l.announced[total.Endpoint] = true
 	}
 	if err == nil && p.Aggregator != 0 {
-		l.behind = max(l.behind, l.waiting)
+		l.maxWaiting = max(l.maxWaiting, l.waiting)
 	}
 }
 
 func (l *countedLink) Close() {}
 
-// goes is how often the hub tells all sums in a test: what is left on the link of one go adds up
-// in the next ones.
-const goes = 20
+// announceRounds is how often the coordinator announces all totals in a test: bytes left on the
+// link from one round delay the next ones.
+const announceRounds = 20
 
-// secondsUntilTold is how long the words of allowances wait at most on a link of so many Mbit/s
-// behind what the holder of the lease has sent before, over some rounds of sums.
-func secondsUntilTold(t *testing.T, instances, endpoints int, mbits float64) float64 {
+// announcementDelay returns for how many seconds shares wait at most on a link of mbits Mbit/s
+// for what the holder of the lease has sent before, over announceRounds rounds.
+func announcementDelay(t *testing.T, instances, endpoints int, mbits float64) float64 {
 	t.Helper()
 	key := make([]byte, peer.KeyBytes)
 	sealer, err := peer.NewSealer([][]byte{key})
@@ -270,7 +279,7 @@
 	holds := func() bool { return true }
 	a := newAllowances(AllowanceConfig{WindowS: 8, OverFraction: 0.1}, "p", holds, func() int { return instances }, now)
 	a.setLimits(limitedTree())
-	link := &countedLink{sealer: opener, sums: map[string]bool{}}
+	link := &countedLink{sealer: opener, announced: map[string]bool{}}
 	m := &mesh{
 		instance: "edge-pnw-hillsboro-13", process: "4KXDQ7A2Z3LRWV6YBTGM5NPHCE", address: "10.1.0.138:7380", now: now, listed: map[string]presence{}, onInstanceCount: func(int) {}, allowances: a,
 		router: routing.NewRouter(routing.Policies()[routing.PolicyTimely], func() float64 { return 0 }), isHolder: holds,
@@ -284,34 +293,35 @@
 	for i := range endpoints {
 		m.fleetTotals = append(m.fleetTotals, peer.EndpointLoad{Endpoint: fmt.Sprintf("i-%010x", i), Running: 40, PrefillMicros: 90_000})
 	}
-	for range goes {
+	for range announceRounds {
 		m.announceAll()
 		link.drain(m.linkBytesPerSecond * m.announceInterval().Seconds())
 	}
-	require.NotZero(t, link.behind)
-	require.Len(t, link.sums, endpoints, "all sums are told")
-	return float64(link.behind) / m.linkBytesPerSecond
+	require.NotZero(t, link.maxWaiting)
+	require.Len(t, link.announced, endpoints, "all totals are announced")
+	return float64(link.maxWaiting) / m.linkBytesPerSecond
 }
 
-// mostUntilTold is half of the time for which a word counts, in seconds: instances go without
-// a word, and refuse what is within the limits, if two in a row come too late.
-const mostUntilTold = 0.45
+// maxAnnouncementDelay is half of the time for which shares are valid, in seconds. If two
+// announcements in a row come too late, instances have no shares and refuse requests that are
+// within the limits.
+const maxAnnouncementDelay = 0.45
 
-// TestAllowancesAreToldInTimeAtTheTarget has the sizes of the two-year target.
-func TestAllowancesAreToldInTimeAtTheTarget(t *testing.T) {
-	require.LessOrEqual(t, secondsUntilTold(t, 390, 720, 200), mostUntilTold)
+// TestSharesArriveInTimeWith390Instances has the sizes of the largest planned fleet.
+func TestSharesArriveInTimeWith390Instances(t *testing.T) {
+	require.LessOrEqual(t, announcementDelay(t, 390, 720, 200), maxAnnouncementDelay)
 }
 
-// TestAllowancesAreToldInTimeInTheSweep has those of the sweep's largest day, which is to
-// serve at least 0.7 of what the one at 30 instances serves.
-func TestAllowancesAreToldInTimeInTheSweep(t *testing.T) {
-	require.LessOrEqual(t, secondsUntilTold(t, 300, 3000, 200), mostUntilTold)
+// TestSharesArriveInTimeWith3000Endpoints has a fleet of 300 instances, which must serve at least
+// 0.7 of what one of 30 instances serves.
+func TestSharesArriveInTimeWith3000Endpoints(t *testing.T) {
+	require.LessOrEqual(t, announcementDelay(t, 300, 3000, 200), maxAnnouncementDelay)
 }
 
-// TestAllSumsAreTold has links on which several packets of sums go in one tick: each must fit
-// its datagram, as one that does not is not sent.
-func TestAllSumsAreTold(t *testing.T) {
+// TestAllTotalsAreSent sends several packets of totals in one tick. Each must fit its datagram, as
+// a larger one is not sent.
+func TestAllTotalsAreSent(t *testing.T) {
 	for _, size := range []struct{ instances, endpoints int }{{20, 300}, {90, 140}, {295, 720}} {
-		secondsUntilTold(t, size.instances, size.endpoints, 1000)
+		announcementDelay(t, size.instances, size.endpoints, 1000)
 	}
 }
--- a/daemon/backlog_test.go
+++ b/daemon/backlog_test.go
@@ -16,26 +16,21 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// Two instances of 90 ended as they had more memory than they may, half a second
-// after the store had let them in again, and every request on them was cut:
-//
-//	msg="store regained" away_ms=9232
-//	msg="settings in force" revision=6, 9 and 13 within the same millisecond
-//	memory over the limit (184 MB; 24 MB are usual)
-//
-// One answer brought all changes of those nine seconds. Each change of an entry was
-// made into a list of all endpoints, and each list copied for the controller of the
-// engines, faster than either was used: memory grew with changes times endpoints.
-// Each of several settings was decoded whole, though only the newest counts.
+// These tests guard against running out of memory after an outage of the store. The first
+// watch response then brings all changes of the outage. If each changed entry yields a list of
+// all endpoints, and each list is copied for the engines' controller, memory grows with changes
+// times endpoints: with 90 instances and an outage of 9 s, it reached 184 MB in place of 24 MB
+// and instances were killed with their requests. Of several settings only the newest may be
+// decoded.
 
-// backlogStore has a watch whose first answer brings many changes.
+// backlogStore serves watches whose first response brings many changes.
 type backlogStore struct {
 	store.Client
 	list    []store.Object
 	backlog []store.Event
 	answers int
-	// told is set once the whole backlog was taken.
-	told bool
+	// consumed is set once the whole backlog was handled.
+	consumed bool
 }
 
 func (s *backlogStore) List(context.Context, store.Kind) (store.List, error) {
@@ -49,7 +44,7 @@
 			handle(e)
 		}
 		handle(bookmark("2"))
-		s.told = true
+		s.consumed = true
 	}
 	<-ctx.Done()
 	return ctx.Err()
@@ -74,7 +69,7 @@
 			inputs: ring.New[membership.EntryEvent](entryInputCapacity, ring.Block), events: ring.New[event](eventsCapacity, ring.Block),
 			allowStale: func() bool { return false }, holderStoreBackSince: func() time.Time { return time.Time{} },
 			decode: func(o store.Object) (membership.Member, error) {
-				// Each change is one.
+				// Make each decoded entry differ from the previous ones.
 				slots++
 				m, err := liveMember(o)
 				m.Slots = slots
@@ -85,14 +80,14 @@
 		go d.run(ctx)
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		require.True(t, s.told, "the watch waits for the view")
-		require.LessOrEqual(t, d.events.Len(), 2, "lists that wait for the view")
+		require.True(t, s.consumed, "the watch must not wait for the view")
+		require.LessOrEqual(t, d.events.Len(), 2, "lists queued for the view")
 		stop()
 		synctest.Wait()
 	})
 }
 
-func TestBacklogOfSettingsBringsTheNewest(t *testing.T) {
+func TestBacklogOfSettingsYieldsTheNewest(t *testing.T) {
 	const versions = 50
 	s := &backlogStore{}
 	for v := range versions {
--- a/daemon/holds_test.go
+++ b/daemon/holds_test.go
@@ -17,7 +17,7 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// holdStore holds the objects of requests that are held back.
+// holdStore is a store of hold objects.
 type holdStore struct {
 	store.Client
 	mu      sync.Mutex
@@ -25,7 +25,7 @@
 	lists   int
 }
 
-// listed is how often the objects were listed.
+// listed returns how often the objects were listed.
 func (s *holdStore) listed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,14 +79,14 @@
 		retention: quarantine.DefaultLimits.Retention(), log: logr.Discard(), timeOfDay: time.Now,
 	}
 	d.manager = quarantine.NewManager(quarantine.Config{
-		Limits: quarantine.DefaultLimits, Now: time.Now, Log: logr.Discard(), Persist: func(w quarantine.Report) { _ = d.reports.Put(context.Background(), w) },
+		Limits: quarantine.DefaultLimits, Now: time.Now, Log: logr.Discard(), Persist: func(report quarantine.Report) { _ = d.reports.Put(context.Background(), report) },
 	})
 	return d
 }
 
-// TestIsolatedInstanceLearnsFromTheStore holds a request at one instance while another
-// hears none of the others: that one has it from the store within two looks, and asks
-// no more once it hears them.
+// TestIsolatedInstanceLearnsFromTheStore quarantines a request at one instance while another has
+// contact with none. That one must learn of the hold from the store within three read
+// intervals, and must stop reading once it has contact again.
 func TestIsolatedInstanceLearnsFromTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -95,7 +95,7 @@
 		here, there := newHoldsDuty(s, func() bool { return false }), newHoldsDuty(s, isolated.Load)
 		go there.run(ctx)
 		time.Sleep(time.Minute)
-		require.Equal(t, 1, s.listed(), "once at the start")
+		require.Equal(t, 1, s.listed(), "one read at the start")
 		isolated.Store(true)
 		f := quarantine.Fingerprint{1, 2, 3}
 		for i := range int64(3) {
@@ -115,8 +115,8 @@
 	})
 }
 
-// TestOldHoldsAreRemoved writes a request, again when it is held again, and others whose
-// endings are too old, or that are none.
+// TestOldHoldsAreRemoved writes a request twice, beside objects whose terminations have expired
+// and objects that cannot be read. The expired ones must be removed and the others kept.
 func TestOldHoldsAreRemoved(t *testing.T) {
 	s := &holdStore{objects: map[string]store.Object{}}
 	d := newHoldsDuty(s, func() bool { return false })
@@ -130,15 +130,15 @@
 		o.Metadata.Name = name
 		s.objects[name] = o
 	}
-	w := quarantine.Report{Fingerprint: make([]byte, quarantine.FingerprintBytes), Incarnations: []uint64{1 << 63}, AgesMS: []int64{5}}
-	require.NoError(t, d.put(context.Background(), w))
-	w.Incarnations, w.AgesMS = append(w.Incarnations, 2), append(w.AgesMS, 1)
-	require.NoError(t, d.put(context.Background(), w))
+	report := quarantine.Report{Fingerprint: make([]byte, quarantine.FingerprintBytes), Incarnations: []uint64{1 << 63}, AgesMS: []int64{5}}
+	require.NoError(t, d.put(context.Background(), report))
+	report.Incarnations, report.AgesMS = append(report.Incarnations, 2), append(report.AgesMS, 1)
+	require.NoError(t, d.put(context.Background(), report))
 	require.NotContains(t, s.objects, "00000000000000000000000000000001")
-	require.Len(t, s.objects, 4, "what cannot be read is left alone")
+	require.Len(t, s.objects, 4, "unreadable objects are kept")
 	require.NoError(t, d.read(context.Background(), false))
 	require.Equal(t, 1, d.manager.Stats().Known)
 	got, err := d.decode(s.objects["00000000000000000000000000000000"])
 	require.NoError(t, err)
-	require.Equal(t, w.Incarnations, got.Incarnations)
+	require.Equal(t, report.Incarnations, got.Incarnations)
 }
--- a/daemon/restart_test.go
+++ b/daemon/incarnations_test.go
@@ -11,20 +11,20 @@
 	"github.com/eiderspring/eiderspring/routing"
 )
 
-// started is a live endpoint of the start that holds the units.
+// started returns a live endpoint that was started at a time and holds the units.
 func started(name string, at int64, units ...string) membership.Member {
 	return membership.Member{
 		Name: name, StartedAtMS: at, Incarnation: name + "@" + time.UnixMilli(at).String(), Pool: "plain", State: membership.Live, Resident: units,
 	}
 }
 
-// list brings a list of members.
+// list delivers a new member list to the view.
 func (h *viewHarness) list(members ...membership.Member) {
 	h.version++
 	h.step(membersListed{membership.Listing{Version: h.version, Members: members}})
 }
 
-// endpoint is the endpoint that requests go to.
+// endpointNamed returns the view's endpoint of a name, or nil.
 func (h *viewHarness) endpointNamed(name string) *routing.Endpoint {
 	for _, e := range h.router.View().Pools["plain"] {
 		if e.Name == name {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// serves tells whether an endpoint gets requests for a unit.
+// serves tells whether the view routes requests for a unit to an endpoint.
 func (h *viewHarness) serves(name, unit string) bool {
 	for _, e := range h.router.View().Replicas[unit] {
 		if e.Name == name {
@@ -44,8 +44,9 @@
 	return false
 }
 
-// Whatever was known of an endpoint ends with its start: its entry changes without a gap.
-func TestNothingOfAFormerStartIsKept(t *testing.T) {
+// A restarted endpoint must not inherit anything from its previous incarnation, also if its entry
+// changes without being removed in between.
+func TestStateOfPreviousIncarnationIsDropped(t *testing.T) {
 	h := newViewHarness()
 	h.list(started("e1", 100, "m1"))
 	e := h.endpointNamed("e1")
@@ -62,12 +63,12 @@
 	require.NotSame(t, e, again)
 	require.False(t, again.Replaced() || again.Ejected(h.clock))
 	require.Zero(t, again.Estimate())
-	require.True(t, h.acceptsRequests("e1"), "the word was on the former start")
+	require.True(t, h.acceptsRequests("e1"), "the withdrawal was of the previous incarnation")
 	require.False(t, h.serves("e1", "m1") || h.serves("e1", "m2"))
 }
 
-// Words that others have sent before they knew of the new start change nothing.
-func TestWordsOnAFormerStartChangeNothing(t *testing.T) {
+// Reports that other instances sent before they knew of the new incarnation must change nothing.
+func TestReportsOnPreviousIncarnationAreIgnored(t *testing.T) {
 	h := newViewHarness()
 	h.list(started("e1", 200))
 	h.step(endpointsWithdrawn{[]endpointIncarnation{{"e1", 100}}})
@@ -77,14 +78,14 @@
 	require.False(t, endpointIncarnation{"e1", 100}.includes(200))
 
 	h.step(placementsReceived{[]peer.Placement{{Epoch: 3, Endpoint: "e1", StartedAtMS: 200, Units: []string{"m2"}}}})
-	require.True(t, h.serves("e1", "m2"), "an older holder's word on the former start does not outrank it")
+	require.True(t, h.serves("e1", "m2"), "a placement of the previous incarnation with a later epoch does not outrank it")
 	h.step(endpointsWithdrawn{[]endpointIncarnation{{"e1", 200}}})
 	require.False(t, h.acceptsRequests("e1"))
 }
 
-// The instance that places units may hear of a new start before the own list tells:
-// the old entry does not bring back what the former start held.
-func TestPlacementOfANewStartOutranksTheOldEntry(t *testing.T) {
+// The instance that places units may learn of a new incarnation before the own list shows it.
+// The old entry must not bring back the units of the previous incarnation.
+func TestPlacementOfNewIncarnationOutranksOldEntry(t *testing.T) {
 	h := newViewHarness()
 	h.list(started("e1", 100, "m1"), started("e2", 100))
 	h.step(placementsReceived{[]peer.Placement{{Epoch: 4, Endpoint: "e1", StartedAtMS: 200, Units: []string{"m2"}}}})
@@ -93,11 +94,12 @@
 	h.list(started("e1", 100, "m1", "m3"), started("e2", 100))
 	require.False(t, h.serves("e1", "m1") || h.serves("e1", "m3"))
 	h.list(started("e1", 200), started("e2", 100))
-	require.True(t, h.serves("e1", "m2"), "what was told of this start holds")
+	require.True(t, h.serves("e1", "m2"), "the placement of this incarnation is kept")
 }
 
-// Starts go with words through packets; a packet without any is as short as before.
-func TestStartsGoWithWords(t *testing.T) {
+// Packets carry start times beside placements and replaced endpoints, and no bytes for them where
+// none is known.
+func TestPacketsCarryStartTimes(t *testing.T) {
 	plain, err := peer.EncodePacket(peer.Packet{Version: peer.PacketVersion, Placements: []peer.Placement{{Endpoint: "e1"}}, Replaced: []string{"e1"}})
 	require.NoError(t, err)
 	p := peer.Packet{Version: peer.PacketVersion, Placements: []peer.Placement{{Endpoint: "e1", StartedAtMS: 7}, {Endpoint: "e2"}}}
@@ -110,7 +112,7 @@
 	require.EqualValues(t, 7, got.Placements[0].StartedAtMS)
 	require.Zero(t, got.Placements[1].StartedAtMS)
 	require.Equal(t, []endpointIncarnation{{"e1", 7}, {"e3", 0}}, incarnationsOf(got.Replaced, got.ReplacedStarts))
-	names, starts := splitIncarnations([]endpointIncarnation{{"e1", 0}})
+	names, startedAtMS := splitIncarnations([]endpointIncarnation{{"e1", 0}})
 	require.Equal(t, []string{"e1"}, names)
-	require.Nil(t, starts)
+	require.Nil(t, startedAtMS)
 }
--- a/daemon/meshannounce_test.go
+++ b/daemon/meshannounce_test.go
@@ -154,7 +154,7 @@
 			}
 			t.Logf("announcements of allowances reach all at most %v apart", gap)
 			require.NotZero(t, gap)
-			require.Less(t, gap.Seconds(), 2*mostUntilTold)
+			require.Less(t, gap.Seconds(), 2*maxAnnouncementDelay)
 			backlog := f.link.idleAt.Sub(f.clock)
 			t.Logf("%v of datagrams are queued on the link at the end", backlog)
 			require.Less(t, backlog, maxAnnounceInterval, "the backlog does not grow")
--- a/daemon/nodecampaign.go
+++ b/daemon/nodecampaign.go
@@ -33,7 +33,7 @@
 		return false
 	}
 	rank := n.rank(pool)
-	return rank < maxNodeCampaigners || n.noCoordinatorHeard(time.Duration(rank)*campaignRankDelay)
+	return rank < maxNodeCampaigners || n.noCoordinatorContact(time.Duration(rank)*campaignRankDelay)
 }
 
 // observesLease tells whether this instance, in a new process, will soon campaign for the lease
@@ -90,7 +90,7 @@
 // noCoordinatorHeard tells whether there was no contact with an instance that places units for
 // coordinatorSilence plus delay. A new process could not have had contact before its start, so
 // it must also have waited for coordinatorSilenceAtStart plus delay.
-func (n *Node) noCoordinatorHeard(delay time.Duration) bool {
+func (n *Node) noCoordinatorContact(delay time.Duration) bool {
 	sinceStart := n.now().Sub(n.startedAt) - campaignDelay - joinQuietTime
 	return n.mesh.coordinatorSilence() >= coordinatorSilence+delay && sinceStart >= coordinatorSilenceAtStart+delay
 }
--- a/daemon/campaign_test.go
+++ b/daemon/nodecampaign_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// campaigner is a node that started at a moment and has listed instances since.
+// campaigner returns a node that starts at *now and has listed no instances yet.
 func campaigner(cores float64, now *time.Time) *Node {
 	n := &Node{now: func() time.Time { return *now }, startedAt: *now}
 	n.cfg.Instance = "self"
@@ -17,26 +17,27 @@
 	return n
 }
 
-// All of 295 instances campaigned 1.5 s behind a common start, as each had listed nobody
-// but itself, and a weak one took the lease.
+// With 295 instances that started together, all campaigned 1.5 s after the start, as each had
+// listed only itself, and a weak one acquired the lease.
 func TestNobodyCampaignsWhileInstancesAreNew(t *testing.T) {
 	now := time.Unix(1000, 0)
 	n := campaigner(0.2, &now)
 	now = now.Add(campaignDelay - 200*time.Millisecond)
 	n.mesh.updateInstance("strong1", &presence{Cores: 0.8})
 	now = now.Add(200 * time.Millisecond)
-	require.False(t, n.campaigns("pool", false), "more may come")
+	require.False(t, n.campaigns("pool", false), "more instances may appear")
 	n.mesh.updateInstance("strong2", &presence{Cores: 0.8})
 	now = now.Add(joinQuietTime)
 	require.False(t, n.campaigns("pool", false), "two rank before it")
 	now = now.Add(coordinatorSilenceAtStart + 2*campaignRankDelay)
-	require.True(t, n.campaigns("pool", false), "they were not heard")
+	require.True(t, n.campaigns("pool", false), "there was no contact with them")
 	now = now.Add(maxJoinWait)
 	n.mesh.updateInstance("late", &presence{Cores: 0.1})
-	require.True(t, n.campaigns("pool", false), "it does not wait for ever")
+	require.True(t, n.campaigns("pool", false), "the wait is bounded")
 }
 
-// A holder that is too weak for a large fleet hands over to one that it hears.
+// A holder that is too weak for a large fleet hands the lease over to a stronger instance with
+// which it is in contact.
 func TestWeakHolderOfALargeFleetHandsOver(t *testing.T) {
 	now := time.Unix(1000, 0)
 	n := campaigner(0.2, &now)
--- a/daemon/placer_test.go
+++ b/daemon/placer_test.go
@@ -13,9 +13,10 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// TestBusyPlacerHoldsNobodyUp fills the ring of a placer that plans for long, and tells it
-// more. Whoever told waited, with the lock that all duties of the holder ask for the lease.
-func TestBusyPlacerHoldsNobodyUp(t *testing.T) {
+// TestBusyPlacerDoesNotBlockSenders fills the ring of a placer that plans for long, and sends it
+// more inputs. A sender that waits would hold the lock that all duties of the holder need to
+// check the lease.
+func TestBusyPlacerDoesNotBlockSenders(t *testing.T) {
 	busy := &placer{events: ring.New[counted.Event](placerEventsCapacity, ring.Block), runner: lease.NewRunner(lease.RunnerConfig{})}
 	for range placerEventsCapacity {
 		busy.put(counted.Tick{})
@@ -30,7 +31,7 @@
 	}
 	require.False(t, p.holds())
 	events := busy.inputs.take()
-	require.Len(t, events, 5, "of each kind the last word")
+	require.Len(t, events, 5, "the last event of each kind")
 	require.Equal(t, counted.EndpointsReplaced{Endpoints: []string{"e3"}, StartedAtMS: map[string]int64{"e3": 2}}, events[2])
 	require.Equal(t, counted.RequestsFailed{Endpoints: []string{"e1", "e2"}}, events[3])
 	require.Equal(t, 2, events[4].(counted.DemandReport).Waiting["m"])
--- a/daemon/endings_test.go
+++ b/daemon/quarantinereports_test.go
@@ -12,7 +12,7 @@
 	"github.com/eiderspring/eiderspring/quarantine"
 )
 
-// gossipFleet is instances of serve in virtual time, which tell a few others each.
+// gossipFleet runs Instances in virtual time, each of which sends gossip to a few others.
 type gossipFleet struct {
 	now   time.Time
 	names []string
@@ -31,7 +31,7 @@
 	return f
 }
 
-// start runs a new process of an instance.
+// start starts a new process of an instance.
 func (f *gossipFleet) start(name string) {
 	f.seq++
 	d := &peersDuty{
@@ -44,7 +44,8 @@
 	f.peers[name] = d
 }
 
-// tick lets every instance tell and hear. What one tells is heard in the same tick.
+// tick advances time by one tick for every instance. Gossip is received in the tick in which it
+// is sent.
 func (f *gossipFleet) tick(t *testing.T) {
 	t.Helper()
 	f.now = f.now.Add(peerTickInterval)
@@ -57,11 +58,11 @@
 	t.Helper()
 	d := f.peers[name]
 	actions := d.gossip.Step(f.now, d.markForReply(e))
-	words := d.endingsToSend(actions)
+	reports := d.endingsToSend(actions)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case peer.Send:
-			a.Hint.Endings, a.Hint.EndingsDigest = words, d.quarantine.Digest()
+			a.Hint.Endings, a.Hint.EndingsDigest = reports, d.quarantine.Digest()
 			data, err := peer.EncodeHint(a.Hint)
 			require.NoError(t, err)
 			require.LessOrEqual(t, len(data), peer.MaxHintBytes)
@@ -74,9 +75,10 @@
 	}
 }
 
-// TestHintsBringEndingsToAll ends endpoints under requests at three instances of serve: in
-// 3 s all hold them, also one that starts behind the news.
-func TestHintsBringEndingsToAll(t *testing.T) {
+// TestGossipSpreadsHoldsToAllInstances terminates endpoints under requests at up to three
+// instances. Within 3 s all must hold the requests, and an instance that starts afterwards
+// within 4 s.
+func TestGossipSpreadsHoldsToAllInstances(t *testing.T) {
 	const requests = 20
 	for _, n := range []int{2, 6, 18, 63} {
 		f := newGossipFleet(n)
@@ -100,16 +102,17 @@
 	}
 }
 
-// TestEndingsFitThePacket fills packets with loads and demands, and has many requests to
-// tell of: none is too large, and each has news in it that was not told before.
-func TestEndingsFitThePacket(t *testing.T) {
+// TestQuarantineReportsFitThePacket fills packets with loads and demands while many requests are
+// to be reported. No packet may be too large, and each must carry only requests that were not
+// reported before, until all 200 were.
+func TestQuarantineReportsFitThePacket(t *testing.T) {
 	now := time.Unix(1_000, 0)
-	keeper := quarantine.NewManager(quarantine.Config{Limits: quarantine.DefaultLimits, Now: func() time.Time { return now }, Log: logr.Discard()})
+	manager := quarantine.NewManager(quarantine.Config{Limits: quarantine.DefaultLimits, Now: func() time.Time { return now }, Log: logr.Discard()})
 	for r := range 200 {
-		keeper.RecordTermination(quarantine.Fingerprint{byte(r)}, "account", "e", int64(r))
+		manager.RecordTermination(quarantine.Fingerprint{byte(r)}, "account", "e", int64(r))
 	}
-	m := &mesh{quarantine: keeper}
-	told := map[string]bool{}
+	m := &mesh{quarantine: manager}
+	reported := map[string]bool{}
 	for load := 0; load < maxLoads; load++ {
 		p := peer.Packet{Version: peer.PacketVersion, From: "instance-with-a-long-name-1", Address: "10.0.0.1:12345", Seq: 1 << 40}
 		for i := range load {
@@ -118,18 +121,18 @@
 		for i := range maxDemands {
 			p.Demands = append(p.Demands, peer.UnitDemand{Unit: fmt.Sprintf("model-%d/adapter", i), Work: 1e9, Waiting: 100})
 		}
-		p.EndingsDigest = keeper.Digest()
-		p.Endings = keeper.PendingReports(m.endingsRoom(p))
+		p.EndingsDigest = manager.Digest()
+		p.Endings = manager.PendingReports(m.endingsRoom(p))
 		data, err := peer.EncodePacket(p)
 		require.NoError(t, err)
 		require.LessOrEqual(t, len(data), peer.MaxPacketBytes)
 		decoded, err := peer.DecodePacket(data)
 		require.NoError(t, err)
 		require.Equal(t, p.Endings, decoded.Endings)
-		before := len(told)
+		before := len(reported)
 		for _, w := range decoded.Endings {
-			told[string(w.Fingerprint)] = true
+			reported[string(w.Fingerprint)] = true
 		}
-		require.Equal(t, min(before+len(decoded.Endings), 200), len(told))
+		require.Equal(t, min(before+len(decoded.Endings), 200), len(reported))
 	}
 }
--- a/daemon/returngrace_test.go
+++ b/daemon/removedentry_test.go
@@ -15,36 +15,28 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// An instance sent requests to an endpoint 2.0 s after the store had acknowledged
-// that it was gone; all others had stopped within 0.4 s. The store had been silent
-// until 11.0 s. The instance's watch of endpoints had begun in the silence, and as
-// nobody answers such a call it was given up only at 13.9 s, though the store had
-// answered the instance's lease since 12.1 s:
-//
-//	12.1166 msg="lease acquired" epoch=2
-//	13.8966 msg="watch ended" kind=servers confirmed_ms=8241 error="... context deadline exceeded"
-//	14.0169 msg="store regained" away_ms=120
-//	14.3651 msg="endpoint leaves" by="its entry" state=gone        (another instance)
-//	16.4246 msg="endpoint leaves" by="its entry" state=gone        (this one)
-//
-// It took the return of its own watch for the return of the store. So it took the
-// entry that was removed at 14.3 s for one that had lapsed while the store was away,
-// and kept the endpoint for the two seconds that such an entry has to come back.
-
-// watchSession answers the watches of one kind as the session above has it.
-type watchSession struct {
+// These tests guard against an instance that routes requests to an endpoint for 2 s after the
+// store acknowledged its removal. An entry that lapsed while the store was unreachable is kept
+// for two seconds, so that its member can renew it. If a watch that began in the outage hangs
+// until after its end, and the instance takes the return of its own watch for the return of the
+// store, it mistakes a later removal for such a lapse. In the script below the store does not
+// answer until 11.0 s, a watch that began in the outage fails at 13.9 s, and the entry is removed
+// at 14.3 s. The store answers the instance's lease calls from the end of the outage on.
+
+// watchScript answers the watches of one kind with the timing above.
+type watchScript struct {
 	store.Client
-	began   time.Time
-	watches int
+	startedAt time.Time
+	watches   int
 }
 
-func (s *watchSession) List(context.Context, store.Kind) (store.List, error) {
+func (s *watchScript) List(context.Context, store.Kind) (store.List, error) {
 	return store.List{ResourceVersion: "1", Items: []store.Object{memberObject("e1"), memberObject("e2")}}, nil
 }
 
 var errSilent = errors.New("no answer")
 
-func (s *watchSession) Watch(ctx context.Context, _ store.Kind, _ string, _ store.WatchOptions, handle func(store.Event)) error {
+func (s *watchScript) Watch(ctx context.Context, _ store.Kind, _ string, _ store.WatchOptions, handle func(store.Event)) error {
 	s.watches++
 	switch s.watches {
 	case 1:
@@ -62,21 +54,21 @@
 	return ctx.Err()
 }
 
-// until waits for a moment of the session.
-func (s *watchSession) until(ctx context.Context, at time.Duration) {
+// until waits until a time after the start of the script.
+func (s *watchScript) until(ctx context.Context, at time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(time.Until(s.began.Add(at))):
+	case <-time.After(time.Until(s.startedAt.Add(at))):
 	}
 }
 
-// lapseSession is a short outage in which the entry of e1 lapses.
-type lapseSession struct {
-	watchSession
+// lapseScript has a short outage in which the entry of e1 lapses.
+type lapseScript struct {
+	watchScript
 	link *storeLink
 }
 
-func (s *lapseSession) Watch(ctx context.Context, _ store.Kind, _ string, _ store.WatchOptions, handle func(store.Event)) error {
+func (s *lapseScript) Watch(ctx context.Context, _ store.Kind, _ string, _ store.WatchOptions, handle func(store.Event)) error {
 	s.watches++
 	if s.watches == 1 {
 		s.until(ctx, 5*time.Second)
@@ -101,8 +93,8 @@
 	return membership.Member{Name: o.Metadata.Name, Incarnation: o.Metadata.Name, Pool: "plain", State: membership.Live}, nil
 }
 
-// namesListed returns the names of the newest listing.
-func namesListed(events *ring.Ring[event], last []string) []string {
+// lastListedNames returns the names of the newest queued listing; last if none is queued.
+func lastListedNames(events *ring.Ring[event], last []string) []string {
 	for events.Len() > 0 {
 		e, err := events.Take(context.Background())
 		if err != nil {
@@ -116,17 +108,18 @@
 	return last
 }
 
-// entriesOf returns a duty that follows the entries of a session.
-func entriesOf(session store.Client, link *storeLink) *entriesDuty {
+// newEntriesDuty returns a duty that follows the entries of a store.
+func newEntriesDuty(client store.Client, link *storeLink) *entriesDuty {
 	return &entriesDuty{
-		client: session, decode: liveMember, entries: membership.NewEntries(), link: link, log: logr.Discard(), now: time.Now,
+		client: client, decode: liveMember, entries: membership.NewEntries(), link: link, log: logr.Discard(), now: time.Now,
 		inputs: ring.New[membership.EntryEvent](entryInputCapacity, ring.Block), events: ring.New[event](eventsCapacity, ring.Block),
 		allowStale: func() bool { return false }, holderStoreBackSince: func() time.Time { return time.Time{} },
 	}
 }
 
-// renew answers the lease, on another connection, but for the time of an outage.
-func (s *watchSession) renew(ctx context.Context, link *storeLink, from, to time.Duration) {
+// renew makes the store answer lease calls, on another connection, except during an outage
+// between two times.
+func (s *watchScript) renew(ctx context.Context, link *storeLink, from, to time.Duration) {
 	for at := range 40 {
 		moment := time.Duration(at) * leaseRenewal
 		s.until(ctx, moment)
@@ -137,45 +130,45 @@
 	}
 }
 
-func TestEndpointThatLeavesBehindAnOutageIsNotTakenForLapsed(t *testing.T) {
+func TestEndpointThatLeavesAfterAnOutageIsNotTakenForLapsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		session := &watchSession{began: time.Now()}
+		session := &watchScript{startedAt: time.Now()}
 		link := &storeLink{log: logr.Discard(), now: time.Now}
-		d := entriesOf(session, link)
+		d := newEntriesDuty(session, link)
 		go d.watch(ctx)
 		go d.run(ctx)
 		go session.renew(ctx, link, 6*time.Second, 11*time.Second)
 		session.until(ctx, 14200*time.Millisecond)
 		synctest.Wait()
-		live := namesListed(d.events, nil)
+		live := lastListedNames(d.events, nil)
 		require.ElementsMatch(t, []string{"e1", "e2"}, live)
 		session.until(ctx, 15*time.Second)
 		synctest.Wait()
-		require.Equal(t, []string{"e2"}, namesListed(d.events, live))
+		require.Equal(t, []string{"e2"}, lastListedNames(d.events, live))
 		stop()
 		synctest.Wait()
 	})
 }
 
-// An entry that lapsed while the store was away for some seconds is kept until its
-// member has had the time to renew it, and then goes.
+// An entry that lapsed while the store was unreachable for some seconds is kept until its
+// member has had the time to renew it, and is then removed.
 func TestEntryThatLapsedInAnOutageIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		link := &storeLink{log: logr.Discard(), now: time.Now}
-		session := &lapseSession{watchSession{began: time.Now()}, link}
-		d := entriesOf(session, link)
+		session := &lapseScript{watchScript{startedAt: time.Now()}, link}
+		d := newEntriesDuty(session, link)
 		go d.watch(ctx)
 		go d.run(ctx)
 		go session.renew(ctx, link, 2*time.Second, 5*time.Second)
 		session.until(ctx, 7500*time.Millisecond)
 		synctest.Wait()
-		live := namesListed(d.events, nil)
+		live := lastListedNames(d.events, nil)
 		require.ElementsMatch(t, []string{"e1", "e2"}, live)
 		session.until(ctx, 9*time.Second)
 		synctest.Wait()
-		require.Equal(t, []string{"e2"}, namesListed(d.events, live))
+		require.Equal(t, []string{"e2"}, lastListedNames(d.events, live))
 		stop()
 		synctest.Wait()
 	})
--- a/daemon/replicaindex_test.go
+++ b/daemon/replicaindex_test.go
@@ -12,7 +12,7 @@
 	"github.com/eiderspring/eiderspring/routing"
 )
 
-// drawUnits draws some of the units that there are.
+// drawUnits returns a random subset of the units.
 func drawUnits(random *rand.Rand, of int) []string {
 	var units []string
 	for i := range of {
@@ -23,15 +23,15 @@
 	return units
 }
 
-// TestReplicasAreThoseOfAnIndexMadeAnew lets endpoints come, change, be replaced under
-// their names and go. The index is that of a view made from nothing, and those that
-// were given to earlier views stay as they were.
-func TestReplicasAreThoseOfAnIndexMadeAnew(t *testing.T) {
+// TestReplicaIndexMatchesARebuiltOne adds, changes, replaces and removes endpoints at random. The
+// index must equal one built from scratch, and an index shared with an earlier view must not
+// change.
+func TestReplicaIndexMatchesARebuiltOne(t *testing.T) {
 	const endpoints, units, rounds = 12, 8, 3000
 	random := rand.New(rand.NewPCG(1, 1))
 	var r replicaIndex
 	present, serves := map[string]*routing.Endpoint{}, map[string][]string{}
-	var given, copied map[string][]*routing.Endpoint
+	var shared, copyOfShared map[string][]*routing.Endpoint
 	for range rounds {
 		name := fmt.Sprintf("e%02d", random.IntN(endpoints))
 		switch {
@@ -51,18 +51,18 @@
 			}
 		}
 		r.retain(present)
-		require.Equal(t, copied, given, "an earlier view has changed")
-		given = r.share()
-		require.Equal(t, want, given)
-		copied = map[string][]*routing.Endpoint{}
-		for u, list := range given {
-			copied[u] = slices.Clone(list)
+		require.Equal(t, copyOfShared, shared, "an earlier view has changed")
+		shared = r.share()
+		require.Equal(t, want, shared)
+		copyOfShared = map[string][]*routing.Endpoint{}
+		for u, list := range shared {
+			copyOfShared[u] = slices.Clone(list)
 		}
 	}
 }
 
-// BenchmarkViewOfALargeFleet builds the views of an instance before 245 endpoints, of
-// which one changes what it holds each time.
+// BenchmarkViewOfALargeFleet updates the index of 245 endpoints, one of which changes its units
+// each time.
 func BenchmarkViewOfALargeFleet(b *testing.B) {
 	const endpoints, held = 245, 11
 	var r replicaIndex
--- a/daemon/retryshare_test.go
+++ b/daemon/retryshare_test.go
@@ -10,12 +10,12 @@
 	"github.com/eiderspring/eiderspring/pipeline"
 )
 
-// retryFleet is instances that share one bound on retries, and what they do in
-// steps of a tenth of a window.
+// retryFleet is a fleet whose instances share one bound on retries. It records their requests
+// and retries in steps of a tenth of a window.
 type retryFleet struct {
 	settings NodeRetry
 	budgets  []*pipeline.RetryBudgets
-	// requests and retries are those of all instances in each step.
+	// requests and retries are the sums over all instances, by step.
 	requests, retries []float64
 }
 
@@ -24,16 +24,15 @@
 	stepsOfWindow = 10
 )
 
-// restart gives an instance a new process, which does not know how many instances
-// there are.
+// restart starts a new process of an instance, which does not know the number of instances.
 func (f *retryFleet) restart(i int) {
 	f.budgets[i] = pipeline.NewRetryBudgets(f.settings.instanceLimits(0))
 }
 
-// learn tells an instance how many there are.
+// learn sets the number of instances at an instance.
 func (f *retryFleet) learn(i int) { f.budgets[i].SetLimits(f.settings.instanceLimits(len(f.budgets))) }
 
-// step lets an instance have requests, and retry as often as it may if greedy.
+// step adds requests at an instance, and retries as often as the budget allows if greedy.
 func (f *retryFleet) step(i, requests int, greedy bool) {
 	now := len(f.requests) - 1
 	f.requests[now] += float64(requests)
@@ -53,8 +52,8 @@
 	return total
 }
 
-// check compares each window with the bound: the slack, and the ratio of the
-// requests of that window or of the one before, whichever holds more.
+// check compares the retries of each window with the bound: the slack plus the ratio times the
+// requests of that window or of the one before, whichever had more.
 func (f *retryFleet) check(t *rapid.T) {
 	for end := stepsOfWindow; end <= len(f.requests); end++ {
 		from := end - stepsOfWindow
@@ -64,10 +63,10 @@
 	}
 }
 
-// TestAllInstancesTogetherKeepToTheRetryBound plays 1 to 90 instances that are
-// killed and come back, alone or all at once, do not know of each other at first,
-// and retry all that they may whenever something fails. The slack is that of the
-// platform's sheets: 52 at 6 instances, 220 at 90.
+// TestAllInstancesTogetherKeepToTheRetryBound simulates 1 to 90 instances that are killed and
+// restarted, all at once at random times, that do not know the number of instances at first,
+// and that make every retry they may while requests fail. The slack is that of the platform's
+// specification: 52 at 6 instances, 220 at 90.
 func TestAllInstancesTogetherKeepToTheRetryBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 90).Draw(t, "instances")
@@ -93,9 +92,9 @@
 	})
 }
 
-// TestRestartsEarnNothing lets all instances spend what they have saved, be killed
-// and spend what they begin with, with no request in that window.
-func TestRestartsEarnNothing(t *testing.T) {
+// TestRestartsAddNoRetries lets all instances use up their retry budgets, restarts them, and lets
+// them use up their initial budgets in the same window, without any request.
+func TestRestartsAddNoRetries(t *testing.T) {
 	const n = 88
 	f := &retryFleet{settings: NodeRetry{Ratio: 0.2, Slack: 220}, budgets: make([]*pipeline.RetryBudgets, n), requests: []float64{0}, retries: []float64{0}}
 	for i := range n {
--- a/daemon/owncut_test.go
+++ b/daemon/storecut_test.go
@@ -13,25 +13,26 @@
 	"github.com/eiderspring/eiderspring/store"
 )
 
-// An instance that alone cannot reach the store, while endpoints leave, knows of them
-// once it counts as in contact again. It counted the time that lapsed entries have to
-// come back from its own first answer, though the store had been there for all others,
-// as the holder of the lease went on to say.
+// An instance that alone cannot reach the store, while endpoints leave, must know of them once
+// it counts as in contact again. The test fails if the time for which lapsed entries are kept is
+// measured from the instance's own first answer, although the store was reachable for all
+// others, as the holder of the lease continued to announce.
 
-// ownCut is one instance's way to the store being cut off.
-type ownCut struct {
-	// phase is when it begins, in the instance's round of calls.
+// storeCut is a loss of one instance's connection to the store.
+type storeCut struct {
+	// phase is when the cut begins within the instance's cycle of calls.
 	phase time.Duration
-	// words tells whether the holder's word comes through meanwhile.
-	words bool
-	// says tells whether the endpoint says that it leaves before its entry goes.
-	says bool
+	// announced tells whether the holder's announcements arrive meanwhile.
+	announced bool
+	// leaving tells whether the endpoint reports that it leaves before its entry is removed.
+	leaving bool
 }
 
-// known is how long behind the end of the cut the instance knows of the endpoint.
-func (c ownCut) known(t *testing.T) time.Duration {
+// detectionDelay returns how long after the end of the cut the instance knows that the endpoint
+// is gone.
+func (c storeCut) detectionDelay(t *testing.T) time.Duration {
 	t.Helper()
-	var late time.Duration
+	var delay time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		s := newStaleStore(staleAnswers)
@@ -41,11 +42,11 @@
 		settings := &staleStoreClient{store: newStaleStore(staleAnswers), link: i.link, fresh: i.client.fresh, cut: make(chan struct{})}
 		go store.NewReflector(settings, "settings", store.WatchOptions{}, func(store.List) {}, func(store.Event) {}, func(error) {}).Run(ctx)
 		go s.churn(ctx)
-		var hear atomic.Bool
-		hear.Store(true)
+		var receiving atomic.Bool
+		receiving.Store(true)
 		go func() {
 			for ctx.Err() == nil {
-				if hear.Load() {
+				if receiving.Load() {
 					i.mesh.totals.receive(time.Now(), holderAnnouncement(true))
 				}
 				time.Sleep(minAnnounceInterval)
@@ -54,9 +55,9 @@
 		time.Sleep(6*time.Second + c.phase)
 		settings.set(false, true, false)
 		i.client.set(false, true, false)
-		hear.Store(c.words)
+		receiving.Store(c.announced)
 		time.Sleep(1200 * time.Millisecond)
-		if c.says {
+		if c.leaving {
 			s.put("e", membership.Leaving)
 			time.Sleep(2300 * time.Millisecond)
 		}
@@ -64,48 +65,49 @@
 		time.Sleep(2500 * time.Millisecond)
 		settings.set(false, false, false)
 		i.client.set(false, false, false)
-		hear.Store(true)
+		receiving.Store(true)
 		healed := time.Now()
 		time.Sleep(10 * time.Second)
-		late = i.lateness(t, "e", healed)
+		delay = i.lateness(t, "e", healed)
 		stop()
 		time.Sleep(time.Second)
 		synctest.Wait()
 	})
-	return late
+	return delay
 }
 
-func TestEndpointThatGoesBehindAnOwnCutIsKnownInContact(t *testing.T) {
+func TestEndpointRemovedDuringAStoreCutIsKnownInTime(t *testing.T) {
 	const phases, phase = 60, 37 * time.Millisecond
-	for _, c := range []ownCut{{}, {words: true}, {says: true}, {says: true, words: true}} {
+	for _, c := range []storeCut{{}, {announced: true}, {leaving: true}, {leaving: true, announced: true}} {
 		var worst time.Duration
 		for n := range phases {
 			c.phase = time.Duration(n) * phase
-			worst = max(worst, c.known(t))
+			worst = max(worst, c.detectionDelay(t))
 		}
-		t.Logf("words=%v says=%v: %v behind the cut", c.words, c.says, worst)
+		t.Logf("announced=%v leaving=%v: %v after the cut", c.announced, c.leaving, worst)
 		require.Less(t, worst, milliseconds(DefaultNodeConfig().Fresh.ContactMS))
 	}
 }
 
-// A holder of the lease that was cut off itself vouched as soon as its watches were
-// answered, while it still kept an endpoint whose entry had gone for one that lapsed.
-// The others, whose watches it let be behind, were told nothing.
-func TestHolderBehindAnOwnCutVouchesForNothingThatItKeeps(t *testing.T) {
+// A holder of the lease that was itself cut off from the store must not attest as soon as its
+// watches are answered, while it still keeps an endpoint whose removed entry it takes for a
+// lapsed one. The others would rely on its attestation in place of their own lagging watches,
+// and would not learn of the removal.
+func TestHolderAfterAStoreCutDoesNotAttestKeptEntries(t *testing.T) {
 	const step = 50 * time.Millisecond
 	var worst time.Duration
 	for after := time.Duration(0); after < 3*time.Second; after += step {
-		worst = max(worst, goneBehindTheHoldersCut(t, after))
+		worst = max(worst, removalDelayAfterHolderCut(t, after))
 	}
 	t.Logf("worst %v", worst)
 	require.Less(t, worst, milliseconds(DefaultNodeConfig().Fresh.LeavingMS))
 }
 
-// goneBehindTheHoldersCut is how late a follower knows of an endpoint that goes so long
-// behind a cut of the holder's way to the store.
-func goneBehindTheHoldersCut(t *testing.T, after time.Duration) time.Duration {
+// removalDelayAfterHolderCut returns how late a follower learns of the removal of an endpoint,
+// which comes a time after the end of a cut of the holder's connection to the store.
+func removalDelayAfterHolderCut(t *testing.T, after time.Duration) time.Duration {
 	t.Helper()
-	var late time.Duration
+	var delay time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		s := newStaleStore(staleAnswers)
@@ -121,13 +123,13 @@
 		time.Sleep(2500 * time.Millisecond)
 		holder.client.set(false, false, false)
 		time.Sleep(after)
-		began := time.Now()
+		removedAt := time.Now()
 		s.remove("e")
 		time.Sleep(15 * time.Second)
-		late = follower.lateness(t, "e", began)
+		delay = follower.lateness(t, "e", removedAt)
 		stop()
 		time.Sleep(time.Second)
 		synctest.Wait()
 	})
-	return late
+	return delay
 }
--- a/daemon/evacuated_test.go
+++ b/daemon/viewevacuation_test.go
@@ -12,9 +12,10 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// TestEvacuatedDomainsOfPlatformAndSettings evacuates one domain by the platform's word and
-// another by the settings. The placer sees both as leaving; one that is taken back is cold at
-// first, and one whose entry says so for as long as that says.
+// TestEvacuatedDomainsOfPlatformAndSettings evacuates one domain by the platform and another by
+// the settings. The placer must see the endpoints of both as leaving. An endpoint whose
+// evacuation ends counts as cold for the pool's cold start time, and one whose entry reports it
+// cold for the time in the entry.
 func TestEvacuatedDomainsOfPlatformAndSettings(t *testing.T) {
 	h := newViewHarness()
 	cold := map[string]time.Duration{}
