--- a/daemon/allowances_test.go
+++ b/daemon/allowances_test.go
@@ -101,7 +101,7 @@
 	clock := func() time.Time { return now }
 	newAuthority := func(responds bool, sent *[]peer.Packet) *keyAuthority {
 		return &keyAuthority{
-			tracker: authority.NewTracker(4 * time.Second), now: clock, exact: clock, revision: func() int64 { return 7 }, log: logr.Discard(),
+			tracker: authority.NewTracker(4 * time.Second), now: clock, exactNow: clock, revision: func() int64 { return 7 }, log: logr.Discard(),
 			responds: func() bool { return responds }, send: func(p peer.Packet, _ []string) { *sent = append(*sent, p) },
 		}
 	}
@@ -133,22 +133,22 @@
 // TestStoreConfirmsKeysIfNoInstanceDoes sends no confirmation reply. The instance must call the
 // store itself once half of the bound has passed.
 func TestStoreConfirmsKeysIfNoInstanceDoes(t *testing.T) {
-	authority := &keyAuthority{
-		tracker: authority.NewTracker(time.Second), now: time.Now, exact: time.Now, revision: func() int64 { return 7 }, log: logr.Discard(),
+	keys := &keyAuthority{
+		tracker: authority.NewTracker(time.Second), now: time.Now, exactNow: time.Now, revision: func() int64 { return 7 }, log: logr.Discard(),
 		responds: func() bool { return false },
 	}
 	ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
 	defer stop()
 	calls := 0
-	authority.monitor(ctx, time.Second, func(context.Context) {
+	keys.monitor(ctx, time.Second, func(context.Context) {
 		calls++
-		authority.storeConfirmed(time.Now(), 7)
+		keys.storeConfirmed(time.Now(), 7)
 		if calls == 2 {
 			stop()
 		}
 	})
 	require.Equal(t, 2, calls)
-	require.True(t, authority.current(7))
+	require.True(t, keys.current(7))
 }
 
 // TestOneStandsInWhereAllLackAnAggregator has no holder of the lease at first. A stand-in must
--- a/daemon/evacuations.go
+++ b/daemon/evacuations.go
@@ -26,15 +26,15 @@
 	tracker evacuation.Tracker
 }
 
-// step applies an event; by names its source in the log.
-func (s *evacuations) step(e evacuation.Event, by string) {
+// step applies an event from a source, which the log names.
+func (s *evacuations) step(e evacuation.Event, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.tracker.Step(e) {
 		return
 	}
 	set := s.tracker.InForce()
-	s.log.Info("evacuations", "failure_domains", set.Domains, "era", set.Version.Era, "revision", set.Version.Revision, "by", by)
+	s.log.Info("evacuations", "failure_domains", set.Domains, "era", set.Version.Era, "revision", set.Version.Revision, "by", source)
 	s.onChange(set.Domains)
 }
 
--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -53,13 +53,13 @@
 	deps Deps
 	log  logr.Logger
 	vars *expvar.Map
-	// exact is the clock for leases and orders; suspensions queues the detected suspensions
+	// exactNow is the clock for leases and orders; suspensions queues the detected suspensions
 	// of the machine that are not handled yet.
-	exact       func() time.Time
+	exactNow    func() time.Time
 	suspensions *ring.Ring[time.Duration]
-	// overdue cancels requests whose deadline has passed.
-	overdue func()
-	engine  *engine.Client
+	// cancelOverdue cancels requests whose deadline has passed.
+	cancelOverdue func()
+	engine        *engine.Client
 	// control carries reports and orders, on connections apart from callers' requests.
 	control *engine.Client
 	router  *routing.Router
@@ -115,13 +115,13 @@
 		return nil, trace.Wrap(err, "listen for operators")
 	}
 	i := &Instance{
-		cfg: cfg, deps: deps, exact: exact, suspensions: suspensions, log: deps.Log.WithValues("instance", cfg.Instance), vars: new(expvar.Map).Init(),
+		cfg: cfg, deps: deps, exactNow: exact, suspensions: suspensions, log: deps.Log.WithValues("instance", cfg.Instance), vars: new(expvar.Map).Init(),
 		engine: engine.NewClient(engine.Config{Dial: deps.Dial}),
 		router: routing.NewRouter(routing.Policies()[cfg.RoutingPolicy], randv2.Float64),
 		events: ring.New[event](eventsCapacity, ring.Block), process: rand.Text(), allowances: allowance.NewEvenLimiter(),
 	}
 	i.gates = pipeline.NewGates(admission.Limits{MaxWaiters: cfg.Limits.QueueRequests, MaxBytes: cfg.Limits.QueueBytes}, deps.Now)
-	i.control = engine.NewClient(engine.Config{Dial: i.counted("engine_control")})
+	i.control = engine.NewClient(engine.Config{Dial: i.countingDialer("engine_control")})
 	i.freshness = newFreshness(deps.Now, milliseconds(cfg.Limits.FreshnessMS), func() {
 		_ = i.peers.events.Put(i.work, peer.StoreAnswered{})
 	})
@@ -227,7 +227,7 @@
 	i.vars.Set("queue_length", expvar.Func(func() any { return i.gates.Len() }))
 	i.vars.Set("events_waiting", expvar.Func(func() any { return i.events.Len() }))
 	i.vars.Set("settings_revision", expvar.Func(func() any { return i.Revision() }))
-	platform := &http.Transport{DialContext: i.counted("platform"), MaxIdleConnsPerHost: platformConns, IdleConnTimeout: time.Minute}
+	platform := &http.Transport{DialContext: i.countingDialer("platform"), MaxIdleConnsPerHost: platformConns, IdleConnTimeout: time.Minute}
 	objects := store.NewHTTPClient(store.Config{URL: i.cfg.Platform.ObjectAPI, Calls: calls, Transport: platform})
 	i.claims = claim.NewOwner(i.work, objects, i.deps.Now, i.shardConfig)
 	dialect := pipeline.NewOpenAI(i.catalog.Load, int64(i.cfg.Limits.BodyBytes))
@@ -238,19 +238,19 @@
 		Engine: i.engine, Metrics: pipeline.NewMetrics(i.vars), Log: i.log, Now: i.deps.Now,
 		FailureDomain: i.cfg.FailureDomain, Quarantine: i.quarantine, Allowances: i.allowances,
 	})
-	i.overdue = handler.CancelOverdue
-	i.callers = i.server(i.closeWhileDraining(i.guard(dialect, dialect.WithModels(handler))))
+	i.cancelOverdue = handler.CancelOverdue
+	i.callers = i.newServer(i.closeWhileDraining(i.guard(dialect, dialect.WithModels(handler))))
 	i.idle = newIdleConns(i.log, i.deps.Now, func() time.Duration { return milliseconds(i.cfg.Limits.IdleMS) })
-	i.operators = i.server(i.operatorHandler())
+	i.operators = i.newServer(i.operatorHandler())
 	i.startDuties(objects, platform)
 }
 
 // platformConns bounds the idle connections to the platform.
 const platformConns = 8
 
-// counted returns a dialer that counts the bytes of its connections in the metrics
+// countingDialer returns a dialer that counts the bytes of its connections in the metrics
 // NAME_bytes_in and NAME_bytes_out.
-func (i *Instance) counted(name string) engine.Dialer {
+func (i *Instance) countingDialer(name string) engine.Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := i.deps.Dial(ctx, network, address)
 		if err != nil {
@@ -266,7 +266,7 @@
 	return i.cfg.Instance + "/" + i.cfg.Incarnation + "/" + i.process
 }
 
-func (i *Instance) server(h http.Handler) *http.Server {
+func (i *Instance) newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler: h, MaxHeaderBytes: i.cfg.Limits.HeaderBytes,
 		ReadHeaderTimeout: milliseconds(i.cfg.Limits.ReadMS), ReadTimeout: milliseconds(i.cfg.Limits.ReadMS),
@@ -298,7 +298,7 @@
 
 func (i *Instance) startDuties(objects store.Client, platform http.RoundTripper) {
 	i.cells = &cells{
-		ctx: i.work, name: i.cfg.Instance, holder: i.holder(), client: objects, engine: i.control, log: i.log, now: i.exact,
+		ctx: i.work, name: i.cfg.Instance, holder: i.holder(), client: objects, engine: i.control, log: i.log, now: i.exactNow,
 		done: &i.done, stopping: i.draining.Load, running: map[string]*cellDuty{},
 	}
 	view := &viewDuty{
--- a/daemon/instance_test.go
+++ b/daemon/instance_test.go
@@ -39,13 +39,13 @@
 	"callers": {"clerk": {"tokenSHA256": ["TOKEN"], "services": ["*"]}},
 }`
 
-// fleet is one instance with its surroundings on loopback.
+// fleet is one instance with an engine, a service and the platform's interfaces on loopback.
 type fleet struct {
 	instance *Instance
 	engine   *standin.Engine
 	service  *standin.Service
 	objects  *standin.ObjectAPI
-	// stop begins the instance's planned stop.
+	// stop begins a planned stop of the instance.
 	stop context.CancelFunc
 }
 
@@ -54,7 +54,7 @@
 	return startFleetOn(t, nil, adjust...)
 }
 
-// startFleetOn starts an instance that takes callers from a listener; nil means one of
+// startFleetOn starts a fleet whose instance accepts callers on a listener; with nil, it opens
 // its own.
 func startFleetOn(t *testing.T, callers net.Listener, adjust ...func(*Config)) *fleet {
 	t.Helper()
--- a/daemon/keyauthority.go
+++ b/daemon/keyauthority.go
@@ -16,8 +16,8 @@
 // the confirmation requests of other instances. A nil keyAuthority receives and sends nothing.
 type keyAuthority struct {
 	tracker *authority.Tracker
-	// now stamps requests and replies; exact is the clock that decides whether keys are valid.
-	now, exact func() time.Time
+	// now stamps requests and replies; exactNow is the clock that decides whether keys are valid.
+	now, exactNow func() time.Time
 	// revision returns the revision of the settings in force at this instance.
 	revision func() int64
 	// responds tells whether this instance answers confirmation requests.
@@ -33,7 +33,7 @@
 
 // current tells whether the account keys in the settings of a revision may be accepted.
 func (r *keyAuthority) current(revision int64) bool {
-	return !r.tracker.Bounded() || r.tracker.Current(r.exact(), revision)
+	return !r.tracker.Bounded() || r.tracker.Current(r.exactNow(), revision)
 }
 
 // ageMS returns the age of the last confirmation in milliseconds, for the log; -1 if there is
@@ -124,7 +124,7 @@
 	wasUsable := false
 	for wait.For(ctx, authorityCheckInterval) {
 		revision := r.revision()
-		age, known := r.tracker.Age(r.exact(), revision)
+		age, known := r.tracker.Age(r.exactNow(), revision)
 		usable := known && age < bound
 		if usable != wasUsable {
 			r.log.Info("account keys", "usable", usable, "age_ms", r.ageMS(), "revision", revision)
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -227,7 +227,7 @@
 	address, process := net.JoinHostPort(host, strconv.Itoa(n.cfg.PeerPorts[0])), rand.Text()
 	holds := func() bool { return n.placers.holds() }
 	n.rights = &keyAuthority{
-		tracker: authority.NewTracker(n.cfg.Fresh.maxKeysAge()), now: n.now, exact: n.clock.NowExact, revision: n.revision, responds: holds,
+		tracker: authority.NewTracker(n.cfg.Fresh.maxKeysAge()), now: n.now, exactNow: n.clock.NowExact, revision: n.revision, responds: holds,
 		send: func(p peer.Packet, to []string) { n.mesh.send(n.mesh.stamp(p), to) }, log: n.log,
 	}
 	n.allowances = newAllowances(n.cfg.Allowances, process, holds, func() int { return n.mesh.listedCount() }, n.now)
--- a/daemon/nodecampaign.go
+++ b/daemon/nodecampaign.go
@@ -17,7 +17,7 @@
 const campaignDelay = 1500 * time.Millisecond
 
 // campaigns tells whether this instance should hold the lease of a pool: it ranks among the
-// first of the listed instances, or no coordinator has been heard for long enough.
+// first of the listed instances, or there was no contact with a coordinator for long enough.
 //
 // A holder keeps the lease until it stops: each change of holder leaves the pool without
 // orders for seconds, and the first rank changes with each restart. Only a holder that is too
@@ -46,7 +46,7 @@
 // poolRank is this instance's rank for a pool, computed at a version of the known instances.
 type poolRank struct {
 	version int64
-	at      int
+	rank    int
 }
 
 // rank returns this instance's 0-based rank among the campaigners for the lease of a pool. The
@@ -55,7 +55,7 @@
 func (n *Node) rank(pool string) int {
 	version := n.mesh.knownVersion()
 	if r, ranked := n.ranks.Load(pool); ranked && r.(poolRank).version == version {
-		return r.(poolRank).at
+		return r.(poolRank).rank
 	}
 	known := n.mesh.knownInstances()
 	names := slices.Collect(maps.Keys(known))
@@ -63,7 +63,7 @@
 	// Placing units takes processor time, so instances with more cores rank first.
 	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(known[b], known[a]) })
 	rank := slices.Index(names, n.cfg.Instance)
-	n.ranks.Store(pool, poolRank{version: version, at: rank})
+	n.ranks.Store(pool, poolRank{version: version, rank: rank})
 	return rank
 }
 
@@ -87,7 +87,7 @@
 	return age >= campaignDelay && (n.mesh.sinceJoin() >= joinQuietTime || age >= campaignDelay+maxJoinWait)
 }
 
-// noCoordinatorHeard tells whether there was no contact with an instance that places units for
+// noCoordinatorContact tells whether there was no contact with an instance that places units for
 // coordinatorSilence plus delay. A new process could not have had contact before its start, so
 // it must also have waited for coordinatorSilenceAtStart plus delay.
 func (n *Node) noCoordinatorContact(delay time.Duration) bool {
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -100,7 +100,7 @@
 // takeoverWait returns how long a successor delays its first order, so that the last order of
 // the previous holder is orderLease old. A lease that was handed over may have been used until
 // the handover. One that lapsed was used for orders until orderMargin before its end, and was
-// acquired leaseDrift of either clock after its end.
+// acquired at least twice leaseDrift after its end, once for the drift of each clock.
 func (p *placer) takeoverWait(lapsed bool) time.Duration {
 	wait := p.orderLease + maxOrderFlight
 	if lapsed {
--- a/daemon/suspension.go
+++ b/daemon/suspension.go
@@ -50,7 +50,7 @@
 		i.log.Info("woke from suspension", "slept_ms", slept.Milliseconds())
 		i.engine.Close()
 		i.control.Close()
-		i.overdue()
+		i.cancelOverdue()
 		i.gates.Wake()
 	}
 }
