--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -108,7 +108,7 @@
 			mux.HandleFunc("POST /control/copied", func(http.ResponseWriter, *http.Request) { copies.ComeBack() })
 			go func() {
 				for range time.Tick(soak.EntryEvery / 3) {
-					store.Lapse(soak.EntryLapse)
+					store.ExpireEntries(soak.EntryLapse)
 					copies.Take()
 				}
 			}()
