--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -138,7 +138,7 @@
 	w := fake.NewWorkerHandler(fake.RemoteRegistry{URL: c.String("store")}, c.String("id"), c.String("service"), "z1")
 	w.Address = c.String("advertise")
 	recorder := soak.NewRecorder(os.Stdout)
-	w.Observe(c.Float("capacity-mb"), c.Float("model-mb"), func(h fake.Happening) { recorder.Record(w, h) })
+	w.Observe(c.Float("capacity-mb"), c.Float("model-mb"), func(h fake.WorkerEvent) { recorder.Record(w, h) })
 	w.Answer(crashOnRequest(fake.Serve(w, soak.LockedRandom(uint64(time.Now().UnixNano())))))
 	listener, err := net.Listen("tcp", c.String("listen"))
 	if err != nil {
@@ -148,7 +148,7 @@
 	go reportLimits(w, recorder)
 	received := renewEntry(w, signals)
 	drained := time.After(soak.DrainTime)
-	leaveEvent := fake.Happening{What: soak.HappenedLeft}
+	leaveEvent := fake.WorkerEvent{What: soak.HappenedLeft}
 	if received == soak.Gone {
 		w.Leave()
 		recorder.Record(w, leaveEvent)
@@ -168,11 +168,11 @@
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, soak.NameLimit)
 	for range signals {
-		recorder.Record(w, fake.Happening{What: soak.HappenedLimited})
+		recorder.Record(w, fake.WorkerEvent{What: soak.HappenedLimited})
 		w.NameLimit(strconv.Itoa(soak.LimitPerSecond))
 		time.Sleep(soak.LimitTime)
 		w.NameLimit("")
-		recorder.Record(w, fake.Happening{What: soak.HappenedUnlimited})
+		recorder.Record(w, fake.WorkerEvent{What: soak.HappenedUnlimited})
 	}
 }
 
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -51,7 +51,7 @@
 	At      time.Time
 	Worker  string
 	Service string
-	fake.Happening
+	fake.WorkerEvent
 }
 
 // Rules are what the judge must know of the site.
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -30,13 +30,13 @@
 		{Attempt: "c4", Kind: kindUnsafe, Kept: true, Status: http.StatusBadGateway, Sent: start, Ended: start.Add(time.Second), Broken: "EOF"},
 	}
 	ran := func(worker, service, attempt string) Record {
-		return Record{At: start, Worker: worker, Service: service, Happening: fake.Happening{What: fake.HappenedRun, Attempt: attempt}}
+		return Record{At: start, Worker: worker, Service: service, WorkerEvent: fake.WorkerEvent{What: fake.HappenedRun, Attempt: attempt}}
 	}
 	ordered := func(after time.Duration, holder string, fence int64) Record {
-		return Record{At: start.Add(after), Worker: "w2", Happening: fake.Happening{What: fake.HappenedOrder, Holder: holder, Fence: fence}}
+		return Record{At: start.Add(after), Worker: "w2", WorkerEvent: fake.WorkerEvent{What: fake.HappenedOrder, Holder: holder, Fence: fence}}
 	}
 	left := func(worker string, after time.Duration) Record {
-		return Record{At: start.Add(after), Worker: worker, Happening: fake.Happening{What: HappenedLeft}}
+		return Record{At: start.Add(after), Worker: worker, WorkerEvent: fake.WorkerEvent{What: HappenedLeft}}
 	}
 	records := []Record{
 		ran("w1", fake.Plain, "p1"), ran("w1", fake.Plain, "p3"), ran("w2", fake.LLM, "s1"), ran("w2", fake.LLM, "s2"), ran("w3", fake.LLM, "s2"),
@@ -70,7 +70,7 @@
 			}
 			attempt := strings.Repeat("x", i+1)
 			answers = append(answers, Answer{Attempt: attempt, Kind: kindUnsafe, Name: crashing + "1", Sent: at, Ended: at, Status: http.StatusBadGateway})
-			records = append(records, Record{At: at, Worker: "w", Service: fake.Plain, Happening: fake.Happening{What: fake.HappenedRun, Attempt: attempt}})
+			records = append(records, Record{At: at, Worker: "w", Service: fake.Plain, WorkerEvent: fake.WorkerEvent{What: fake.HappenedRun, Attempt: attempt}})
 		}
 		return Judge(answers, records, rules)
 	}
@@ -105,7 +105,7 @@
 			return r
 		},
 		"over memory": func(_ []Answer, r []Record) []Record {
-			return append(r, Record{Happening: fake.Happening{What: fake.HappenedOverload}})
+			return append(r, Record{WorkerEvent: fake.WorkerEvent{What: fake.HappenedOverload}})
 		},
 		"two holders": func(_ []Answer, r []Record) []Record { r[7].Fence = 1; return r },
 		"an old holder": func(_ []Answer, r []Record) []Record {
@@ -215,7 +215,7 @@
 func TestLimitsAreJudged(t *testing.T) {
 	start := time.Unix(1000, 0)
 	record := func(what string, after time.Duration) Record {
-		return Record{At: start.Add(after), Worker: "w1", Service: fake.Plain, Happening: fake.Happening{What: what, Attempt: "r"}}
+		return Record{At: start.Add(after), Worker: "w1", Service: fake.Plain, WorkerEvent: fake.WorkerEvent{What: what, Attempt: "r"}}
 	}
 	play := func(burst time.Duration, n int) []Record {
 		records := []Record{record(HappenedLimited, 0)}
--- a/soak/worker.go
+++ b/soak/worker.go
@@ -57,8 +57,8 @@
 func NewRecorder(out io.Writer) *Recorder { return &Recorder{out: out} }
 
 // Record writes one line, at once: the process may be killed at any moment.
-func (r *Recorder) Record(w *fake.Worker, h fake.Happening) {
-	line, err := json.Marshal(Record{At: time.Now(), Worker: w.ID, Service: w.Service, Happening: h})
+func (r *Recorder) Record(w *fake.Worker, h fake.WorkerEvent) {
+	line, err := json.Marshal(Record{At: time.Now(), Worker: w.ID, Service: w.Service, WorkerEvent: h})
 	if err != nil {
 		slog.Error("not recorded", "error", err.Error())
 		return
