--- a/soak/judge.go
+++ b/soak/judge.go
@@ -121,7 +121,7 @@
 	switch r.What {
 	case fake.HappenedOverload:
 		j.add("over memory: %s at %s by %s", r.Order, r.Worker, r.Holder)
-	case fake.HappenedRun:
+	case fake.EventRun:
 		j.run(r)
 	}
 }
@@ -242,7 +242,7 @@
 	}
 	for _, r := range records {
 		at, leaves := left[r.Worker]
-		if r.What != fake.HappenedRun || !leaves || j.rules.LeavesFrom.IsZero() || at.Before(j.rules.LeavesFrom) {
+		if r.What != fake.EventRun || !leaves || j.rules.LeavesFrom.IsZero() || at.Before(j.rules.LeavesFrom) {
 			continue
 		}
 		if late := r.At.Sub(at); late > j.rules.LeaveBound {
@@ -271,7 +271,7 @@
 	}
 	endings := map[string][]Record{}
 	for _, r := range records {
-		if a, known := repeated[r.Attempt]; known && r.What == fake.HappenedRun {
+		if a, known := repeated[r.Attempt]; known && r.What == fake.EventRun {
 			endings[a.Name] = append(endings[a.Name], r)
 		}
 	}
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -30,7 +30,7 @@
 		{Attempt: "c4", Kind: kindUnsafe, Kept: true, Status: http.StatusBadGateway, Sent: start, Ended: start.Add(time.Second), Broken: "EOF"},
 	}
 	ran := func(worker, service, attempt string) Record {
-		return Record{At: start, Worker: worker, Service: service, WorkerEvent: fake.WorkerEvent{What: fake.HappenedRun, Attempt: attempt}}
+		return Record{At: start, Worker: worker, Service: service, WorkerEvent: fake.WorkerEvent{What: fake.EventRun, Attempt: attempt}}
 	}
 	ordered := func(after time.Duration, holder string, fence int64) Record {
 		return Record{At: start.Add(after), Worker: "w2", WorkerEvent: fake.WorkerEvent{What: fake.HappenedOrder, Holder: holder, Fence: fence}}
@@ -70,7 +70,7 @@
 			}
 			attempt := strings.Repeat("x", i+1)
 			answers = append(answers, Answer{Attempt: attempt, Kind: kindUnsafe, Name: crashing + "1", Sent: at, Ended: at, Status: http.StatusBadGateway})
-			records = append(records, Record{At: at, Worker: "w", Service: fake.Plain, WorkerEvent: fake.WorkerEvent{What: fake.HappenedRun, Attempt: attempt}})
+			records = append(records, Record{At: at, Worker: "w", Service: fake.Plain, WorkerEvent: fake.WorkerEvent{What: fake.EventRun, Attempt: attempt}})
 		}
 		return Judge(answers, records, rules)
 	}
@@ -220,7 +220,7 @@
 	play := func(burst time.Duration, n int) []Record {
 		records := []Record{record(HappenedLimited, 0)}
 		for i := range n {
-			records = append(records, record(fake.HappenedRun, burst+time.Duration(i)*100*time.Millisecond))
+			records = append(records, record(fake.EventRun, burst+time.Duration(i)*100*time.Millisecond))
 		}
 		return append(records, record(HappenedUnlimited, LimitTime))
 	}
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -36,7 +36,7 @@
 			j.limited(r.Worker, runs[r.Worker])
 			delete(limited, r.Worker)
 			delete(runs, r.Worker)
-		case r.What == fake.HappenedRun && is && r.At.Sub(from) >= knownTime && j.inTouch(asked[r.Attempt], from):
+		case r.What == fake.EventRun && is && r.At.Sub(from) >= knownTime && j.inTouch(asked[r.Attempt], from):
 			runs[r.Worker] = append(runs[r.Worker], r.At)
 		}
 	}
--- a/soak/run.go
+++ b/soak/run.go
@@ -386,7 +386,7 @@
 		r.add("not started: %s: %v", w.name, err)
 		return
 	}
-	if !eventually(func() bool { return r.site.happened(w.id(), fake.HappenedRun) }) {
+	if !eventually(func() bool { return r.site.happened(w.id(), fake.EventRun) }) {
 		r.add("not used again: %s", w.id())
 	}
 }
