--- a/soak/judge.go
+++ b/soak/judge.go
@@ -210,7 +210,7 @@
 	last := map[string]Record{}
 	holders := map[string]string{}
 	for _, r := range records {
-		if r.What != fake.HappenedOrder || j.rules.Excused != nil && j.rules.Excused(r) {
+		if r.What != fake.EventOrder || j.rules.Excused != nil && j.rules.Excused(r) {
 			continue
 		}
 		before, known := last[r.Worker]
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -33,7 +33,7 @@
 		return Record{At: start, Worker: worker, Service: service, WorkerEvent: fake.WorkerEvent{What: fake.EventRun, Attempt: attempt}}
 	}
 	ordered := func(after time.Duration, holder string, fence int64) Record {
-		return Record{At: start.Add(after), Worker: "w2", WorkerEvent: fake.WorkerEvent{What: fake.HappenedOrder, Holder: holder, Fence: fence}}
+		return Record{At: start.Add(after), Worker: "w2", WorkerEvent: fake.WorkerEvent{What: fake.EventOrder, Holder: holder, Fence: fence}}
 	}
 	left := func(worker string, after time.Duration) Record {
 		return Record{At: start.Add(after), Worker: worker, WorkerEvent: fake.WorkerEvent{What: HappenedLeft}}
