--- a/soak/judge.go
+++ b/soak/judge.go
@@ -119,7 +119,7 @@
 
 func (j *judge) record(r Record) {
 	switch r.What {
-	case fake.HappenedOverload:
+	case fake.EventOverload:
 		j.add("over memory: %s at %s by %s", r.Order, r.Worker, r.Holder)
 	case fake.EventRun:
 		j.run(r)
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -105,7 +105,7 @@
 			return r
 		},
 		"over memory": func(_ []Answer, r []Record) []Record {
-			return append(r, Record{WorkerEvent: fake.WorkerEvent{What: fake.HappenedOverload}})
+			return append(r, Record{WorkerEvent: fake.WorkerEvent{What: fake.EventOverload}})
 		},
 		"two holders": func(_ []Answer, r []Record) []Record { r[7].Fence = 1; return r },
 		"an old holder": func(_ []Answer, r []Record) []Record {
