--- a/soak/judge.go
+++ b/soak/judge.go
@@ -168,7 +168,7 @@
 	if a.Status != http.StatusOK {
 		return
 	}
-	worker, sealed := strings.CutPrefix(a.Seal, fake.Sealed)
+	worker, sealed := strings.CutPrefix(a.Seal, fake.SealPrefix)
 	if !sealed {
 		j.add("no seal: %s", a.Attempt)
 		return
