--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -104,7 +104,7 @@
 			}
 			mux.HandleFunc("POST /control/forget", func(http.ResponseWriter, *http.Request) { store.Forget() })
 			store.SetEra(1)
-			copies := fake.NewCopies(store, soak.CopyAge)
+			copies := fake.NewSnapshots(store, soak.CopyAge)
 			mux.HandleFunc("POST /control/copied", func(http.ResponseWriter, *http.Request) { copies.ComeBack() })
 			go func() {
 				for range time.Tick(soak.EntryEvery / 3) {
