--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -105,7 +105,7 @@
 			mux.HandleFunc("POST /control/forget", func(http.ResponseWriter, *http.Request) { store.Forget() })
 			store.SetEra(1)
 			copies := fake.NewSnapshots(store, soak.CopyAge)
-			mux.HandleFunc("POST /control/copied", func(http.ResponseWriter, *http.Request) { copies.ComeBack() })
+			mux.HandleFunc("POST /control/copied", func(http.ResponseWriter, *http.Request) { copies.RestoreOldest() })
 			go func() {
 				for range time.Tick(soak.EntryEvery / 3) {
 					store.ExpireEntries(soak.EntryLapse)
