--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -97,7 +97,7 @@
 			mux := http.NewServeMux()
 			mux.Handle("/", store)
 			for path, mode := range map[string]fake.Mode{
-				"up": fake.Up, string(soak.StoreRefusing): fake.Refusing, string(soak.StoreLosing): fake.LosingAnswers,
+				"up": fake.Up, string(soak.StoreRefusing): fake.Refusing, string(soak.StoreLosing): fake.DroppingResponses,
 				string(soak.StoreSilent): fake.Silent,
 			} {
 				mux.HandleFunc("POST /control/mode/"+path, func(http.ResponseWriter, *http.Request) { store.SetMode(mode) })
