--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -102,7 +102,7 @@
 			} {
 				mux.HandleFunc("POST /control/mode/"+path, func(http.ResponseWriter, *http.Request) { store.SetMode(mode) })
 			}
-			mux.HandleFunc("POST /control/forget", func(http.ResponseWriter, *http.Request) { store.Forget() })
+			mux.HandleFunc("POST /control/forget", func(http.ResponseWriter, *http.Request) { store.DropHistory() })
 			store.SetEra(1)
 			copies := fake.NewSnapshots(store, soak.CopyAge)
 			mux.HandleFunc("POST /control/copied", func(http.ResponseWriter, *http.Request) { copies.RestoreOldest() })
