--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -155,7 +155,7 @@
 		<-drained
 		return nil
 	}
-	w.Enter("draining")
+	w.WriteEntry("draining")
 	recorder.Record(w, leaveEvent)
 	renewWhileDraining(w, drained)
 	w.Leave()
@@ -196,7 +196,7 @@
 	ticker := time.NewTicker(soak.EntryEvery)
 	defer ticker.Stop()
 	for {
-		w.Enter("ready")
+		w.WriteEntry("ready")
 		select {
 		case received := <-signals:
 			return received
@@ -214,7 +214,7 @@
 		case <-drained:
 			return
 		case <-ticker.C:
-			w.Enter("draining")
+			w.WriteEntry("draining")
 		}
 	}
 }
