--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -150,7 +150,7 @@
 	drained := time.After(soak.DrainTime)
 	leaveEvent := fake.WorkerEvent{What: soak.HappenedLeft}
 	if received == soak.Gone {
-		w.Leave()
+		w.RemoveEntry()
 		recorder.Record(w, leaveEvent)
 		<-drained
 		return nil
@@ -158,7 +158,7 @@
 	w.WriteEntry("draining")
 	recorder.Record(w, leaveEvent)
 	renewWhileDraining(w, drained)
-	w.Leave()
+	w.RemoveEntry()
 	return nil
 }
 
