--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -169,9 +169,9 @@
 	signal.Notify(signals, soak.NameLimit)
 	for range signals {
 		recorder.Record(w, fake.WorkerEvent{What: soak.HappenedLimited})
-		w.NameLimit(strconv.Itoa(soak.LimitPerSecond))
+		w.AnnounceLimit(strconv.Itoa(soak.LimitPerSecond))
 		time.Sleep(soak.LimitTime)
-		w.NameLimit("")
+		w.AnnounceLimit("")
 		recorder.Record(w, fake.WorkerEvent{What: soak.HappenedUnlimited})
 	}
 }
