--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -139,7 +139,7 @@
 	w.Address = c.String("advertise")
 	recorder := soak.NewRecorder(os.Stdout)
 	w.Observe(c.Float("capacity-mb"), c.Float("model-mb"), func(h fake.WorkerEvent) { recorder.Record(w, h) })
-	w.Answer(crashOnRequest(fake.FaultyHandler(w, soak.LockedRandom(uint64(time.Now().UnixNano())))))
+	w.SetHandler(crashOnRequest(fake.FaultyHandler(w, soak.LockedRandom(uint64(time.Now().UnixNano())))))
 	listener, err := net.Listen("tcp", c.String("listen"))
 	if err != nil {
 		return trace.Wrap(err)
