--- a/soak/callers.go
+++ b/soak/callers.go
@@ -116,7 +116,7 @@
 	name := cmp.Or(a.Name, a.Attempt)
 	req, err := fake.Request{
 		Address: c.site.nodes[a.Node].callers, Method: a.Kind.Method, Path: a.Kind.Path + name, Attempt: a.Attempt,
-		Model: a.Kind.Model, Body: requestBody(name), Patience: patience,
+		Model: a.Kind.Model, Body: requestBody(name), Timeout: patience,
 	}.HTTP(context.Background())
 	if err == nil {
 		err = l.ask(req, &a, a.Sent.Add(patience+answerSlack))
