--- a/soak/site.go
+++ b/soak/site.go
@@ -218,7 +218,7 @@
 		}
 	}
 	write := &configWriter{registry: s.registry, until: time.Now().Add(storePatience)}
-	fake.ConfigureIdle(write, s.version, routes, idleLimit)
+	fake.ConfigureWithIdleTimeout(write, s.version, routes, idleLimit)
 	return write.err
 }
 
