--- a/soak/judge.go
+++ b/soak/judge.go
@@ -88,7 +88,7 @@
 }
 
 // Judge returns the promises that were broken.
-func Judge(answers []Answer, records []Record, rules Rules) []string {
+func Check(answers []Answer, records []Record, rules Rules) []string {
 	j := judge{rules: rules, asked: map[string]Kind{}, runs: map[string]int{}}
 	for _, a := range answers {
 		j.asked[a.Attempt] = a.Kind
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -53,7 +53,7 @@
 
 func TestJudgePassesWhatIsSound(t *testing.T) {
 	answers, records := session()
-	require.Empty(t, Judge(answers, records, sessionRules))
+	require.Empty(t, Check(answers, records, sessionRules))
 }
 
 // TestJudgeSeesARequestThatIsNotHeldBack lets a request end endpoints: three before all
@@ -72,7 +72,7 @@
 			answers = append(answers, Answer{Attempt: attempt, Kind: kindUnsafe, Name: crashing + "1", Sent: at, Ended: at, Status: http.StatusBadGateway})
 			records = append(records, Record{At: at, Worker: "w", Service: fake.Plain, WorkerEvent: fake.WorkerEvent{What: fake.EventRun, Attempt: attempt}})
 		}
-		return Judge(answers, records, rules)
+		return Check(answers, records, rules)
 	}
 	rules := Rules{Known: 3 * time.Second}
 	require.Empty(t, play(3, rules))
@@ -136,7 +136,7 @@
 	} {
 		answers, records := session()
 		records = spoil(answers, records)
-		broken := Judge(answers, records, sessionRules)
+		broken := Check(answers, records, sessionRules)
 		require.NotEmpty(t, broken, want)
 		require.Contains(t, broken[0], want)
 	}
@@ -148,15 +148,15 @@
 	answers[8].Status, answers[8].TimedOut = 0, true
 	rules := sessionRules
 	rules.Patient = false
-	require.Empty(t, Judge(answers, records, rules))
+	require.Empty(t, Check(answers, records, rules))
 	answers[8].TimedOut = false
-	require.Len(t, Judge(answers, records, rules), 1)
+	require.Len(t, Check(answers, records, rules), 1)
 }
 
 func TestLeavesAmongFaultsAreNotJudged(t *testing.T) {
 	answers, records := session()
 	records[0].At = records[9].At.Add(time.Hour)
-	require.Empty(t, Judge(answers, records, sessionRules))
+	require.Empty(t, Check(answers, records, sessionRules))
 }
 
 func TestOrdersRightAfterAWakeAreExcused(t *testing.T) {
@@ -164,7 +164,7 @@
 	records[7].At = records[6].At.Add(time.Second)
 	rules := sessionRules
 	rules.Excused = func(r Record) bool { return r.Holder == "n2" }
-	require.Empty(t, Judge(answers, records, rules))
+	require.Empty(t, Check(answers, records, rules))
 }
 
 func TestSchedulesComeFromTheSeed(t *testing.T) {
@@ -226,10 +226,10 @@
 	}
 	answers := []Answer{{Attempt: "r", Kind: kindSafe, Broken: "gave up"}}
 	rules := Rules{LimitWindow: limitWindow}
-	require.Len(t, Judge(answers, play(knownTime, 18), rules), 1)
-	require.Empty(t, Judge(answers, play(knownTime, 17), rules))
-	require.Empty(t, Judge(answers, play(time.Second, 18), rules), "some came before all knew")
-	require.Empty(t, Judge(answers, append(play(0, 0), play(knownTime, 18)[1:19]...), rules), "it names none any more")
+	require.Len(t, Check(answers, play(knownTime, 18), rules), 1)
+	require.Empty(t, Check(answers, play(knownTime, 17), rules))
+	require.Empty(t, Check(answers, play(time.Second, 18), rules), "some came before all knew")
+	require.Empty(t, Check(answers, append(play(0, 0), play(knownTime, 18)[1:19]...), rules), "it names none any more")
 	rules.InTouch = func(Answer, time.Time) bool { return false }
-	require.Empty(t, Judge(answers, play(knownTime, 18), rules))
+	require.Empty(t, Check(answers, play(knownTime, 18), rules))
 }
--- a/soak/run.go
+++ b/soak/run.go
@@ -427,7 +427,7 @@
 		rules.OrderLease, rules.Known, rules.Crossing, rules.Patient = 0, 0, crossMost, false
 		rules.LimitWindow = 0
 	}
-	report.Broken = append(r.broken, Judge(answers, r.site.records, rules)...)
+	report.Broken = append(r.broken, Check(answers, r.site.records, rules)...)
 	report.Faults, report.Requests = faults, len(answers)
 	for _, a := range answers {
 		if a.Status == http.StatusOK && a.Broken == "" {
