--- a/soak/callers.go
+++ b/soak/callers.go
@@ -57,7 +57,7 @@
 	done sync.WaitGroup
 
 	mu      sync.Mutex
-	answers []Answer
+	answers []Result
 	asked   int
 }
 
@@ -92,26 +92,26 @@
 
 // Ask sends one request to an instance, on a connection of its own, and records the
 // answer.
-func (c *Callers) Ask(node int, kind Kind) Answer {
+func (c *Callers) Ask(node int, kind Kind) Result {
 	l := &line{}
 	defer l.close()
 	return c.ask(l, node, kind, busyCaller.patience)
 }
 
-func (c *Callers) ask(l *line, node int, kind Kind, patience time.Duration) Answer {
-	return c.send(l, Answer{Kind: kind, Node: node}, patience)
+func (c *Callers) ask(l *line, node int, kind Kind, patience time.Duration) Result {
+	return c.send(l, Result{Kind: kind, Node: node}, patience)
 }
 
 // Repeat sends a request under a name of its own, on a connection of its own: whatever has
 // the same name is the same request.
-func (c *Callers) Repeat(node int, kind Kind, name string) Answer {
+func (c *Callers) Repeat(node int, kind Kind, name string) Result {
 	l := &line{}
 	defer l.close()
-	return c.send(l, Answer{Kind: kind, Node: node, Name: name}, busyCaller.patience)
+	return c.send(l, Result{Kind: kind, Node: node, Name: name}, busyCaller.patience)
 }
 
 // send sends a request and records its answer.
-func (c *Callers) send(l *line, a Answer, patience time.Duration) Answer {
+func (c *Callers) send(l *line, a Result, patience time.Duration) Result {
 	a.Attempt, a.Sent = c.nextID(), time.Now()
 	name := cmp.Or(a.Name, a.Attempt)
 	req, err := fake.Request{
@@ -135,7 +135,7 @@
 	return fmt.Sprintf("a%06d", c.asked)
 }
 
-func (c *Callers) record(a Answer) Answer {
+func (c *Callers) record(a Result) Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answers = append(c.answers, a)
@@ -149,7 +149,7 @@
 }
 
 // Answers are all that were recorded.
-func (c *Callers) Answers() []Answer {
+func (c *Callers) Answers() []Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.answers
--- a/soak/crashing.go
+++ b/soak/crashing.go
@@ -66,7 +66,7 @@
 
 // inTouch tells whether an instance was undisturbed for knownTime before it took a
 // request, and since a moment not all instances were killed, who then know nothing.
-func (s *Site) inTouch(a Answer, since time.Time) bool {
+func (s *Site) inTouch(a Result, since time.Time) bool {
 	if s.killedAllSince(since) {
 		return false
 	}
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -25,7 +25,7 @@
 }
 
 // Answer is what a caller got.
-type Answer struct {
+type Result struct {
 	Attempt string
 	Kind    Kind
 	Node    int
@@ -70,12 +70,12 @@
 	// Disturbed tells of a request without an answer whose instance was killed, or
 	// whose way there was disturbed, at that time, or that its caller gave up while
 	// the instance stood still; nil tells of none.
-	Disturbed func(Answer) bool
+	Disturbed func(Result) bool
 	// Known is how long instances in touch have to know that a request ends endpoints;
 	// zero judges none. InTouch tells of a request to an instance that was, all that
 	// time, and since a moment; nil tells of all.
 	Known   time.Duration
-	InTouch func(a Answer, since time.Time) bool
+	InTouch func(a Result, since time.Time) bool
 	// LimitWindow is the time in which requests beyond an endpoint's limit are counted;
 	// zero judges none.
 	LimitWindow time.Duration
@@ -88,7 +88,7 @@
 }
 
 // Judge returns the promises that were broken.
-func Check(answers []Answer, records []Record, rules Rules) []string {
+func Check(answers []Result, records []Record, rules Rules) []string {
 	j := judge{rules: rules, asked: map[string]Kind{}, runs: map[string]int{}}
 	for _, a := range answers {
 		j.asked[a.Attempt] = a.Kind
@@ -148,7 +148,7 @@
 
 // unanswered checks that a request that was sent whole on a kept connection has an
 // answer or a refusal.
-func (j *judge) unanswered(a Answer) {
+func (j *judge) unanswered(a Result) {
 	if !a.Kept || a.Status != 0 || a.TimedOut && !j.rules.Patient || j.rules.Disturbed != nil && j.rules.Disturbed(a) {
 		return
 	}
@@ -160,7 +160,7 @@
 		a.Attempt, a.Kind.Path, a.Node, j.runs[a.Attempt], after, a.Sent.Format(time.StampMilli), a.Broken)
 }
 
-func (j *judge) answer(a Answer) {
+func (j *judge) answer(a Result) {
 	j.unanswered(a)
 	if a.Seal == "" && promisesNotRun(a.Status) && !a.Kind.Repeatable && j.runs[a.Attempt] > 0 {
 		j.add("refused but ran: %s %s with %d from instance %d", a.Attempt, a.Kind.Path, a.Status, a.Node)
@@ -184,7 +184,7 @@
 
 // stream checks the events: each in its place, of this request, and all if the
 // answer looks whole.
-func (j *judge) stream(a Answer) {
+func (j *judge) stream(a Result) {
 	whole := 0
 	for event := range strings.SplitSeq(a.Body, "\n\n") {
 		if event == "" {
@@ -259,11 +259,11 @@
 )
 
 // endings checks that a request which ends endpoints is held back.
-func (j *judge) endings(answers []Answer, records []Record) {
+func (j *judge) endings(answers []Result, records []Record) {
 	if j.rules.Known == 0 {
 		return
 	}
-	repeated := map[string]Answer{}
+	repeated := map[string]Result{}
 	for _, a := range answers {
 		if a.Name != "" {
 			repeated[a.Attempt] = a
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -12,13 +12,13 @@
 )
 
 // session is a run in which nothing is broken.
-func session() ([]Answer, []Record) {
+func session() ([]Result, []Record) {
 	start := time.Unix(1000, 0)
 	streamed := ""
 	for i := range fake.StreamEvents {
 		streamed += fake.StreamEvent("s1", i)
 	}
-	answers := []Answer{
+	answers := []Result{
 		{Attempt: "p1", Kind: kindUnsafe, Status: http.StatusOK, Seal: "seal-w1", Body: plainBody(kindUnsafe, "p1", "w1")},
 		{Attempt: "p2", Kind: kindUnsafe, Status: http.StatusServiceUnavailable},
 		{Attempt: "p3", Kind: kindUnsafe, Status: http.StatusBadGateway},
@@ -48,7 +48,7 @@
 
 var sessionRules = Rules{
 	OrderLease: 1500 * time.Millisecond, LeaveBound: 2 * time.Second, LeavesFrom: time.Unix(1000, 0),
-	Crossing: time.Millisecond, Patient: true, Disturbed: func(a Answer) bool { return a.Node == 1 },
+	Crossing: time.Millisecond, Patient: true, Disturbed: func(a Result) bool { return a.Node == 1 },
 }
 
 func TestJudgePassesWhatIsSound(t *testing.T) {
@@ -61,7 +61,7 @@
 func TestJudgeSeesARequestThatIsNotHeldBack(t *testing.T) {
 	start := time.Unix(1000, 0)
 	play := func(late int, rules Rules) []string {
-		var answers []Answer
+		var answers []Result
 		var records []Record
 		for i := range 4 + late {
 			at := start.Add(time.Duration(i) * time.Millisecond)
@@ -69,7 +69,7 @@
 				at = at.Add(4 * time.Second)
 			}
 			attempt := strings.Repeat("x", i+1)
-			answers = append(answers, Answer{Attempt: attempt, Kind: kindUnsafe, Name: crashing + "1", Sent: at, Ended: at, Status: http.StatusBadGateway})
+			answers = append(answers, Result{Attempt: attempt, Kind: kindUnsafe, Name: crashing + "1", Sent: at, Ended: at, Status: http.StatusBadGateway})
 			records = append(records, Record{At: at, Worker: "w", Service: fake.Plain, WorkerEvent: fake.WorkerEvent{What: fake.EventRun, Attempt: attempt}})
 		}
 		return Check(answers, records, rules)
@@ -79,60 +79,60 @@
 	broken := play(4, rules)
 	require.Len(t, broken, 1)
 	require.Contains(t, broken[0], "not held back: crashing-1 ended 8 endpoints, 4 of them late")
-	rules.InTouch = func(Answer, time.Time) bool { return false }
+	rules.InTouch = func(Result, time.Time) bool { return false }
 	require.Empty(t, play(4, rules))
 	require.Empty(t, play(4, Rules{}))
 }
 
 // TestJudgeSeesEachBrokenPromise breaks one promise at a time.
 func TestJudgeSeesEachBrokenPromise(t *testing.T) {
-	for want, spoil := range map[string]func(a []Answer, r []Record) []Record{
-		"ran twice": func(_ []Answer, r []Record) []Record { return append(r, r[0]) },
-		"refused but ran": func(a []Answer, r []Record) []Record {
+	for want, spoil := range map[string]func(a []Result, r []Record) []Record{
+		"ran twice": func(_ []Result, r []Record) []Record { return append(r, r[0]) },
+		"refused but ran": func(a []Result, r []Record) []Record {
 			a[2].Status = http.StatusTooManyRequests
 			return r
 		},
-		"unasked":       func(_ []Answer, r []Record) []Record { r[0].Attempt = "nobody's"; return r },
-		"wrong service": func(_ []Answer, r []Record) []Record { r[2].Service = fake.Plain; return r },
-		"wrong answer":  func(a []Answer, r []Record) []Record { a[0].Body = plainBody(kindUnsafe, "p9", "w1"); return r },
-		"no seal":       func(a []Answer, r []Record) []Record { a[0].Seal = ""; return r },
-		"cut but looks whole": func(a []Answer, r []Record) []Record {
+		"unasked":       func(_ []Result, r []Record) []Record { r[0].Attempt = "nobody's"; return r },
+		"wrong service": func(_ []Result, r []Record) []Record { r[2].Service = fake.Plain; return r },
+		"wrong answer":  func(a []Result, r []Record) []Record { a[0].Body = plainBody(kindUnsafe, "p9", "w1"); return r },
+		"no seal":       func(a []Result, r []Record) []Record { a[0].Seal = ""; return r },
+		"cut but looks whole": func(a []Result, r []Record) []Record {
 			a[4].Body, a[4].Broken = fake.StreamEvent("s2", 0), ""
 			return r
 		},
-		"wrong event": func(a []Answer, r []Record) []Record {
+		"wrong event": func(a []Result, r []Record) []Record {
 			a[3].Body = strings.Replace(a[3].Body, fake.StreamEvent("s1", 2), fake.StreamEvent("s1", 3), 1)
 			return r
 		},
-		"over memory": func(_ []Answer, r []Record) []Record {
+		"over memory": func(_ []Result, r []Record) []Record {
 			return append(r, Record{WorkerEvent: fake.WorkerEvent{What: fake.EventOverload}})
 		},
-		"two holders": func(_ []Answer, r []Record) []Record { r[7].Fence = 1; return r },
-		"an old holder": func(_ []Answer, r []Record) []Record {
+		"two holders": func(_ []Result, r []Record) []Record { r[7].Fence = 1; return r },
+		"an old holder": func(_ []Result, r []Record) []Record {
 			late := r[6]
 			late.At = late.At.Add(time.Hour)
 			return append(r, late)
 		},
-		"an endpoint that leaves": func(_ []Answer, r []Record) []Record {
+		"an endpoint that leaves": func(_ []Result, r []Record) []Record {
 			r[4].At = r[8].At.Add(2*time.Second + 1)
 			return r
 		},
-		"neither answered nor refused: c1": func(a []Answer, r []Record) []Record {
+		"neither answered nor refused: c1": func(a []Result, r []Record) []Record {
 			a[5].Ended = a[5].Sent.Add(2 * time.Millisecond)
 			return r
 		},
-		"neither answered nor refused: c1 /unsafe/ by instance 0, ran 1 times": func(_ []Answer, r []Record) []Record {
+		"neither answered nor refused: c1 /unsafe/ by instance 0, ran 1 times": func(_ []Result, r []Record) []Record {
 			ran := r[0]
 			ran.Attempt = "c1"
 			return append(r, ran)
 		},
-		"neither answered nor refused: c2": func(a []Answer, r []Record) []Record { a[6].Kept = true; return r },
-		"neither answered nor refused: c3": func(a []Answer, r []Record) []Record { a[7].Node = 0; return r },
-		"neither answered nor refused: c4": func(a []Answer, r []Record) []Record {
+		"neither answered nor refused: c2": func(a []Result, r []Record) []Record { a[6].Kept = true; return r },
+		"neither answered nor refused: c3": func(a []Result, r []Record) []Record { a[7].Node = 0; return r },
+		"neither answered nor refused: c4": func(a []Result, r []Record) []Record {
 			a[8].Status, a[8].TimedOut = 0, true
 			return r
 		},
-		"turns": func(_ []Answer, r []Record) []Record { r[7].At = r[6].At.Add(time.Second); return r },
+		"turns": func(_ []Result, r []Record) []Record { r[7].At = r[6].At.Add(time.Second); return r },
 	} {
 		answers, records := session()
 		records = spoil(answers, records)
@@ -187,7 +187,7 @@
 // and went without an answer until 13 s.
 func TestDisturbancesExcuse(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
-	gaveUp := Answer{Dialed: at(1), Sent: at(10), Ended: at(13), TimedOut: true}
+	gaveUp := Result{Dialed: at(1), Sent: at(10), Ended: at(13), TimedOut: true}
 	ended := gaveUp
 	ended.TimedOut = false
 	for _, c := range []struct {
@@ -224,12 +224,12 @@
 		}
 		return append(records, record(HappenedUnlimited, LimitTime))
 	}
-	answers := []Answer{{Attempt: "r", Kind: kindSafe, Broken: "gave up"}}
+	answers := []Result{{Attempt: "r", Kind: kindSafe, Broken: "gave up"}}
 	rules := Rules{LimitWindow: limitWindow}
 	require.Len(t, Check(answers, play(knownTime, 18), rules), 1)
 	require.Empty(t, Check(answers, play(knownTime, 17), rules))
 	require.Empty(t, Check(answers, play(time.Second, 18), rules), "some came before all knew")
 	require.Empty(t, Check(answers, append(play(0, 0), play(knownTime, 18)[1:19]...), rules), "it names none any more")
-	rules.InTouch = func(Answer, time.Time) bool { return false }
+	rules.InTouch = func(Result, time.Time) bool { return false }
 	require.Empty(t, Check(answers, play(knownTime, 18), rules))
 }
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -17,11 +17,11 @@
 )
 
 // limits checks that endpoints which name limits get no more, from knownTime behind that on.
-func (j *judge) limits(answers []Answer, records []Record) {
+func (j *judge) limits(answers []Result, records []Record) {
 	if j.rules.LimitWindow == 0 {
 		return
 	}
-	asked := make(map[string]Answer, len(answers))
+	asked := make(map[string]Result, len(answers))
 	for _, a := range answers {
 		asked[a.Attempt] = a
 	}
@@ -45,7 +45,7 @@
 	}
 }
 
-func (j *judge) inTouch(a Answer, since time.Time) bool {
+func (j *judge) inTouch(a Result, since time.Time) bool {
 	return j.rules.InTouch == nil || j.rules.InTouch(a, since)
 }
 
--- a/soak/line.go
+++ b/soak/line.go
@@ -50,7 +50,7 @@
 }
 
 // ask sends a request and notes in the answer what comes of it.
-func (l *line) ask(req *http.Request, a *Answer, until time.Time) error {
+func (l *line) ask(req *http.Request, a *Result, until time.Time) error {
 	if err := l.open(req.URL.Host, until); err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 }
 
 // exchange tells whether the connection can be kept.
-func (l *line) exchange(req *http.Request, a *Answer) (bool, error) {
+func (l *line) exchange(req *http.Request, a *Result) (bool, error) {
 	if err := req.Write(l.conn); err != nil {
 		return false, err
 	}
--- a/soak/site.go
+++ b/soak/site.go
@@ -74,7 +74,7 @@
 
 // excuses tells whether a request without an answer may be due to the disturbance. An
 // instance that stands still ends no connection; one that is muted stays so.
-func (d disturbance) excuses(a Answer) bool {
+func (d disturbance) excuses(a Result) bool {
 	since := a.Sent
 	if d.action == LinkMute {
 		since = a.Dialed
@@ -391,7 +391,7 @@
 }
 
 // disturbed tells whether a request without an answer is excused.
-func (s *Site) disturbed(a Answer) bool {
+func (s *Site) disturbed(a Result) bool {
 	return slices.ContainsFunc(s.disturbances[s.nodes[a.Node].name], func(d disturbance) bool { return d.excuses(a) })
 }
 
