--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -72,10 +72,10 @@
 			return trace.Wrap(err, "seed %d", seed)
 		}
 		fmt.Println(report)
-		for _, b := range report.Broken {
+		for _, b := range report.Violations {
 			fmt.Println("  broken:", b)
 		}
-		if len(report.Broken) > 0 {
+		if len(report.Violations) > 0 {
 			failed++
 		}
 	}
--- a/soak/run.go
+++ b/soak/run.go
@@ -34,12 +34,12 @@
 	Seed                     uint64
 	Faults, Requests, Served int
 	// Broken are the promises that were broken.
-	Broken []string
+	Violations []string
 }
 
 // String is the report as one line.
 func (r Report) String() string {
-	return fmt.Sprintf("seed=%d faults=%d requests=%d served=%d broken=%d", r.Seed, r.Faults, r.Requests, r.Served, len(r.Broken))
+	return fmt.Sprintf("seed=%d faults=%d requests=%d served=%d broken=%d", r.Seed, r.Faults, r.Requests, r.Served, len(r.Violations))
 }
 
 const (
@@ -427,7 +427,7 @@
 		rules.OrderLease, rules.Known, rules.Crossing, rules.Patient = 0, 0, crossMost, false
 		rules.LimitWindow = 0
 	}
-	report.Broken = append(r.broken, Check(answers, r.site.records, rules)...)
+	report.Violations = append(r.broken, Check(answers, r.site.records, rules)...)
 	report.Faults, report.Requests = faults, len(answers)
 	for _, a := range answers {
 		if a.Status == http.StatusOK && a.Broken == "" {
--- a/soak/run_test.go
+++ b/soak/run_test.go
@@ -99,6 +99,6 @@
 		Seed:     k.seed, Plan: draw(k.seed, shortSize, k.from), Size: shortSize, Callers: 2, Dir: t.TempDir(), Untimed: true,
 	})
 	require.NoError(t, err)
-	require.Empty(t, report.Broken, report.String())
+	require.Empty(t, report.Violations, report.String())
 	require.Positive(t, report.Served)
 }
