--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -65,7 +65,7 @@
 			return trace.Wrap(err)
 		}
 		report, err := soak.Run(soak.Options{
-			Programs: soak.Programs{Node: program, Stand: executable}, Seed: seed, Callers: c.Int("callers"), Dir: dir,
+			Programs: soak.Programs{Node: program, StandIns: executable}, Seed: seed, Callers: c.Int("callers"), Dir: dir,
 			Size: soak.Size{Nodes: c.Int("nodes"), Engines: c.Int("engines"), Plain: c.Int("plain"), Faults: c.Duration("faults")},
 		})
 		if err != nil {
--- a/soak/crashing.go
+++ b/soak/crashing.go
@@ -59,7 +59,7 @@
 	if w.running() || w.ending() {
 		return
 	}
-	if err := r.site.startAgain(r.options.Programs.Stand, w, false); err != nil {
+	if err := r.site.startAgain(r.options.Programs.StandIns, w, false); err != nil {
 		r.add("not started: %s: %v", w.name, err)
 	}
 }
--- a/soak/run.go
+++ b/soak/run.go
@@ -208,7 +208,7 @@
 		w.end(syscall.SIGKILL, time.Second)
 	}
 	time.Sleep(f.For)
-	if err := r.site.startAgain(r.options.Programs.Stand, w, f.Action == WorkerReborn); err != nil {
+	if err := r.site.startAgain(r.options.Programs.StandIns, w, f.Action == WorkerReborn); err != nil {
 		r.add("not started: %s: %v", w.name, err)
 	}
 }
@@ -382,7 +382,7 @@
 		r.add("leave not acknowledged: %s", w.id())
 	}
 	w.end(syscall.SIGTERM, DrainTime)
-	if err := r.site.startWorker(r.options.Programs.Stand, w); err != nil {
+	if err := r.site.startWorker(r.options.Programs.StandIns, w); err != nil {
 		r.add("not started: %s: %v", w.name, err)
 		return
 	}
--- a/soak/run_test.go
+++ b/soak/run_test.go
@@ -95,7 +95,7 @@
 	out, err := build.CombinedOutput()
 	require.NoError(t, err, string(out))
 	report, err := Run(Options{
-		Programs: Programs{Node: filepath.Join(programs, "eiderspring"), Stand: filepath.Join(programs, "eiderspring-soak")},
+		Programs: Programs{Node: filepath.Join(programs, "eiderspring"), StandIns: filepath.Join(programs, "eiderspring-soak")},
 		Seed:     k.seed, Plan: draw(k.seed, shortSize, k.from), Size: shortSize, Callers: 2, Dir: t.TempDir(), Untimed: true,
 	})
 	require.NoError(t, err)
--- a/soak/site.go
+++ b/soak/site.go
@@ -23,7 +23,7 @@
 // Programs are the files of the programs that a site runs.
 type Programs struct {
 	// Node is eiderspring, Stand is eiderspring-soak with the stand-ins.
-	Node, Stand string
+	Node, StandIns string
 }
 
 // Bounds that a site's instances are told.
@@ -195,7 +195,7 @@
 	}
 	s.registry = fake.RemoteRegistry{URL: "http://" + address}
 	s.control = s.registry.URL + "/control/"
-	s.store = &process{name: "store", logs: s.dir, command: []string{programs.Stand, "store", "--listen", address}}
+	s.store = &process{name: "store", logs: s.dir, command: []string{programs.StandIns, "store", "--listen", address}}
 	return s.store.start()
 }
 
@@ -258,7 +258,7 @@
 	}
 	w.process = process{name: "worker-" + strconv.Itoa(i), logs: s.dir, lines: s.note}
 	s.workers = append(s.workers, w)
-	return s.startWorker(programs.Stand, w)
+	return s.startWorker(programs.StandIns, w)
 }
 
 // id is the worker's name in its present incarnation.
