--- a/soak/run.go
+++ b/soak/run.go
@@ -26,7 +26,7 @@
 	// Untimed leaves out what only holds on a machine that is not overloaded: the
 	// times between holders' orders, until an endpoint that leaves gets nothing,
 	// and of a planned stop.
-	Untimed bool
+	SkipTimingChecks bool
 }
 
 // Report is what a run found.
@@ -302,7 +302,7 @@
 	for i := range r.site.nodes {
 		r.servesAgain(i)
 	}
-	if !r.options.Untimed {
+	if !r.options.SkipTimingChecks {
 		r.leaves()
 	}
 }
@@ -406,7 +406,7 @@
 
 // late notes an instance that had to be killed at the end of its grace.
 func (r *run) late(n *node) {
-	if !r.options.Untimed {
+	if !r.options.SkipTimingChecks {
 		r.add("not ended within the grace: %s", n.name)
 	}
 }
@@ -423,7 +423,7 @@
 		OrderLease: orderLease, Excused: r.site.excusedOrder, LeaveBound: settingsTime + loadMargin, LeavesFrom: r.leavesFrom,
 		Disturbed: r.site.disturbed, Patient: true,
 	}
-	if r.options.Untimed {
+	if r.options.SkipTimingChecks {
 		rules.OrderLease, rules.Known, rules.Crossing, rules.Patient = 0, 0, crossMost, false
 		rules.LimitWindow = 0
 	}
--- a/soak/run_test.go
+++ b/soak/run_test.go
@@ -96,7 +96,7 @@
 	require.NoError(t, err, string(out))
 	report, err := Run(Options{
 		Programs: Programs{Node: filepath.Join(programs, "eiderspring"), StandIns: filepath.Join(programs, "eiderspring-soak")},
-		Seed:     k.seed, Plan: draw(k.seed, shortSize, k.from), Size: shortSize, Callers: 2, Dir: t.TempDir(), Untimed: true,
+		Seed:     k.seed, Plan: draw(k.seed, shortSize, k.from), Size: shortSize, Callers: 2, Dir: t.TempDir(), SkipTimingChecks: true,
 	})
 	require.NoError(t, err)
 	require.Empty(t, report.Violations, report.String())
