--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -134,7 +134,7 @@
 // Either way it serves the requests that still arrive for soak.DrainTime.
 func runWorker(_ context.Context, c *cli.Command) error {
 	signals := make(chan os.Signal, 1)
-	signal.Notify(signals, syscall.SIGTERM, soak.Gone)
+	signal.Notify(signals, syscall.SIGTERM, soak.RemoveEntrySignal)
 	w := fake.NewWorkerHandler(fake.RemoteRegistry{URL: c.String("store")}, c.String("id"), c.String("service"), "z1")
 	w.Address = c.String("advertise")
 	recorder := soak.NewRecorder(os.Stdout)
@@ -149,7 +149,7 @@
 	received := renewEntry(w, signals)
 	drained := time.After(soak.DrainTime)
 	leaveEvent := fake.WorkerEvent{What: soak.HappenedLeft}
-	if received == soak.Gone {
+	if received == soak.RemoveEntrySignal {
 		w.RemoveEntry()
 		recorder.Record(w, leaveEvent)
 		<-drained
--- a/soak/run.go
+++ b/soak/run.go
@@ -367,7 +367,7 @@
 		time.Sleep(contact)
 		var both sync.WaitGroup
 		both.Go(func() { r.leave(says, syscall.SIGTERM) })
-		both.Go(func() { r.leave(goes, Gone) })
+		both.Go(func() { r.leave(goes, RemoveEntrySignal) })
 		both.Wait()
 	}
 }
--- a/soak/worker.go
+++ b/soak/worker.go
@@ -26,7 +26,7 @@
 )
 
 // Gone tells a worker to leave without saying so: its entry goes at once.
-const Gone = syscall.SIGUSR1
+const RemoveEntrySignal = syscall.SIGUSR1
 
 // NameLimit tells a worker to name a limit of LimitPerSecond requests for LimitTime.
 const NameLimit = syscall.SIGUSR2
