--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -166,7 +166,7 @@
 // signal.
 func reportLimits(w *fake.Worker, recorder *soak.Recorder) {
 	signals := make(chan os.Signal, 1)
-	signal.Notify(signals, soak.NameLimit)
+	signal.Notify(signals, soak.LimitSignal)
 	for range signals {
 		recorder.Record(w, fake.WorkerEvent{What: soak.HappenedLimited})
 		w.AnnounceLimit(strconv.Itoa(soak.LimitPerSecond))
--- a/soak/run.go
+++ b/soak/run.go
@@ -142,7 +142,7 @@
 	case WorkerTerm, WorkerKill, WorkerPause, WorkerReborn:
 		r.disturbWorker(s.workers[f.Target], f)
 	case WorkerLimit:
-		s.workers[f.Target].signal(NameLimit)
+		s.workers[f.Target].signal(LimitSignal)
 	case StoreRefusing, StoreLosing, StoreSilent:
 		s.tellStore("mode/" + string(f.Action))
 		time.Sleep(f.For)
--- a/soak/worker.go
+++ b/soak/worker.go
@@ -29,7 +29,7 @@
 const RemoveEntrySignal = syscall.SIGUSR1
 
 // NameLimit tells a worker to name a limit of LimitPerSecond requests for LimitTime.
-const NameLimit = syscall.SIGUSR2
+const LimitSignal = syscall.SIGUSR2
 
 const (
 	LimitPerSecond = 2
