--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -180,7 +180,7 @@
 // true, and serves all others.
 func crashOnRequest(serve http.HandlerFunc) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
-		if soak.EndsEndpoint(r.URL.Path) {
+		if soak.CrashesEndpoint(r.URL.Path) {
 			os.Exit(exitCrashed)
 		}
 		serve(rw, r)
--- a/soak/crashing.go
+++ b/soak/crashing.go
@@ -23,7 +23,7 @@
 )
 
 // EndsEndpoint tells whether a request is one that ends the endpoint which runs it.
-func EndsEndpoint(path string) bool { return strings.Contains(path, "/"+crashing) }
+func CrashesEndpoint(path string) bool { return strings.Contains(path, "/"+crashing) }
 
 // repeatCrashing sends a request that ends endpoints to all instances in turn, and starts
 // the endpoints again.
