--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -107,7 +107,7 @@
 			copies := fake.NewSnapshots(store, soak.CopyAge)
 			mux.HandleFunc("POST /control/copied", func(http.ResponseWriter, *http.Request) { copies.RestoreOldest() })
 			go func() {
-				for range time.Tick(soak.EntryEvery / 3) {
+				for range time.Tick(soak.EntryInterval / 3) {
 					store.ExpireEntries(soak.EntryLapse)
 					copies.Take()
 				}
@@ -193,7 +193,7 @@
 // renewEntry renews the worker's entry until a signal arrives, and returns the
 // signal.
 func renewEntry(w *fake.Worker, signals <-chan os.Signal) os.Signal {
-	ticker := time.NewTicker(soak.EntryEvery)
+	ticker := time.NewTicker(soak.EntryInterval)
 	defer ticker.Stop()
 	for {
 		w.WriteEntry("ready")
@@ -207,7 +207,7 @@
 
 // renewWhileDraining renews the entry of a draining worker until drained fires.
 func renewWhileDraining(w *fake.Worker, drained <-chan time.Time) {
-	ticker := time.NewTicker(soak.EntryEvery)
+	ticker := time.NewTicker(soak.EntryInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/soak/worker.go
+++ b/soak/worker.go
@@ -16,7 +16,7 @@
 const (
 	// EntryEvery is the time between a worker's writes of its entry, EntryLapse how
 	// old an entry gets.
-	EntryEvery = 300 * time.Millisecond
+	EntryInterval = 300 * time.Millisecond
 	EntryLapse = 1200 * time.Millisecond
 	// CopyAge is how old the copy is from which the store comes back.
 	CopyAge = 3 * time.Second
