--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -108,7 +108,7 @@
 			mux.HandleFunc("POST /control/copied", func(http.ResponseWriter, *http.Request) { copies.RestoreOldest() })
 			go func() {
 				for range time.Tick(soak.EntryInterval / 3) {
-					store.ExpireEntries(soak.EntryLapse)
+					store.ExpireEntries(soak.EntryTTL)
 					copies.Take()
 				}
 			}()
--- a/soak/worker.go
+++ b/soak/worker.go
@@ -17,7 +17,7 @@
 	// EntryEvery is the time between a worker's writes of its entry, EntryLapse how
 	// old an entry gets.
 	EntryInterval = 300 * time.Millisecond
-	EntryLapse = 1200 * time.Millisecond
+	EntryTTL = 1200 * time.Millisecond
 	// CopyAge is how old the copy is from which the store comes back.
 	CopyAge = 3 * time.Second
 	// DrainTime is how long a worker that leaves still serves: well beyond the time
