--- a/soak/callers.go
+++ b/soak/callers.go
@@ -122,7 +122,7 @@
 		err = l.ask(req, &a, a.Sent.Add(patience+answerSlack))
 	}
 	if err != nil {
-		a.Broken = err.Error()
+		a.Failure = err.Error()
 	}
 	a.Ended = time.Now()
 	return c.record(a)
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -41,7 +41,7 @@
 	Seal   string
 	Body   string
 	// Broken is why the answer has no end; empty for a whole one.
-	Broken string
+	Failure string
 	// TimedOut tells that the caller gave up; else the connection ended.
 	TimedOut bool
 }
@@ -157,7 +157,7 @@
 		return
 	}
 	j.add("neither answered nor refused: %s %s by instance %d, ran %d times, ended %s behind its sending at %s: %s",
-		a.Attempt, a.Kind.Path, a.Node, j.runs[a.Attempt], after, a.Sent.Format(time.StampMilli), a.Broken)
+		a.Attempt, a.Kind.Path, a.Node, j.runs[a.Attempt], after, a.Sent.Format(time.StampMilli), a.Failure)
 }
 
 func (j *judge) answer(a Result) {
@@ -177,7 +177,7 @@
 		j.stream(a)
 		return
 	}
-	if want := plainBody(a.Kind, a.Attempt, worker); a.Broken == "" && a.Body != want {
+	if want := plainBody(a.Kind, a.Attempt, worker); a.Failure == "" && a.Body != want {
 		j.add("wrong answer: %s: %q in place of %q", a.Attempt, a.Body, want)
 	}
 }
@@ -192,14 +192,14 @@
 		}
 		want := fake.StreamEvent(a.Attempt, whole)
 		if event+"\n\n" != want {
-			if a.Broken == "" || !strings.HasPrefix(want, event) {
+			if a.Failure == "" || !strings.HasPrefix(want, event) {
 				j.add("wrong event %d of %s: %q", whole, a.Attempt, event)
 			}
 			return
 		}
 		whole++
 	}
-	if a.Broken == "" && whole != fake.StreamEvents {
+	if a.Failure == "" && whole != fake.StreamEvents {
 		j.add("cut but looks whole: %s has %d events", a.Attempt, whole)
 	}
 }
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -23,11 +23,11 @@
 		{Attempt: "p2", Kind: kindUnsafe, Status: http.StatusServiceUnavailable},
 		{Attempt: "p3", Kind: kindUnsafe, Status: http.StatusBadGateway},
 		{Attempt: "s1", Kind: kindStream, Status: http.StatusOK, Seal: "seal-w2", Body: streamed},
-		{Attempt: "s2", Kind: kindResumable, Status: http.StatusOK, Seal: "seal-w2", Body: fake.StreamEvent("s2", 0) + "id: 1\nda", Broken: "reset"},
-		{Attempt: "c1", Kind: kindUnsafe, Kept: true, Sent: start, Ended: start.Add(time.Millisecond), Broken: "EOF"},
-		{Attempt: "c2", Kind: kindUnsafe, Sent: start, Ended: start.Add(time.Second), Broken: "EOF"},
-		{Attempt: "c3", Kind: kindUnsafe, Node: 1, Kept: true, Sent: start, Ended: start.Add(time.Second), Broken: "EOF"},
-		{Attempt: "c4", Kind: kindUnsafe, Kept: true, Status: http.StatusBadGateway, Sent: start, Ended: start.Add(time.Second), Broken: "EOF"},
+		{Attempt: "s2", Kind: kindResumable, Status: http.StatusOK, Seal: "seal-w2", Body: fake.StreamEvent("s2", 0) + "id: 1\nda", Failure: "reset"},
+		{Attempt: "c1", Kind: kindUnsafe, Kept: true, Sent: start, Ended: start.Add(time.Millisecond), Failure: "EOF"},
+		{Attempt: "c2", Kind: kindUnsafe, Sent: start, Ended: start.Add(time.Second), Failure: "EOF"},
+		{Attempt: "c3", Kind: kindUnsafe, Node: 1, Kept: true, Sent: start, Ended: start.Add(time.Second), Failure: "EOF"},
+		{Attempt: "c4", Kind: kindUnsafe, Kept: true, Status: http.StatusBadGateway, Sent: start, Ended: start.Add(time.Second), Failure: "EOF"},
 	}
 	ran := func(worker, service, attempt string) Record {
 		return Record{At: start, Worker: worker, Service: service, WorkerEvent: fake.WorkerEvent{What: fake.EventRun, Attempt: attempt}}
@@ -97,7 +97,7 @@
 		"wrong answer":  func(a []Result, r []Record) []Record { a[0].Body = plainBody(kindUnsafe, "p9", "w1"); return r },
 		"no seal":       func(a []Result, r []Record) []Record { a[0].Seal = ""; return r },
 		"cut but looks whole": func(a []Result, r []Record) []Record {
-			a[4].Body, a[4].Broken = fake.StreamEvent("s2", 0), ""
+			a[4].Body, a[4].Failure = fake.StreamEvent("s2", 0), ""
 			return r
 		},
 		"wrong event": func(a []Result, r []Record) []Record {
@@ -224,7 +224,7 @@
 		}
 		return append(records, record(HappenedUnlimited, LimitTime))
 	}
-	answers := []Result{{Attempt: "r", Kind: kindSafe, Broken: "gave up"}}
+	answers := []Result{{Attempt: "r", Kind: kindSafe, Failure: "gave up"}}
 	rules := Rules{LimitWindow: limitWindow}
 	require.Len(t, Check(answers, play(knownTime, 18), rules), 1)
 	require.Empty(t, Check(answers, play(knownTime, 17), rules))
--- a/soak/run.go
+++ b/soak/run.go
@@ -327,7 +327,7 @@
 func (r *run) served(i int, k Kind) int {
 	n := 0
 	for range calmTries {
-		if a := r.callers.Ask(i, k); a.Status == http.StatusOK && a.Broken == "" {
+		if a := r.callers.Ask(i, k); a.Status == http.StatusOK && a.Failure == "" {
 			n++
 		}
 	}
@@ -430,7 +430,7 @@
 	report.Violations = append(r.broken, Check(answers, r.site.records, rules)...)
 	report.Faults, report.Requests = faults, len(answers)
 	for _, a := range answers {
-		if a.Status == http.StatusOK && a.Broken == "" {
+		if a.Status == http.StatusOK && a.Failure == "" {
 			report.Served++
 		}
 	}
