--- a/standin/balancer.go
+++ b/standin/balancer.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Balancer is the platform's balancer: it spreads connections over the
-// instances that are ready, and knows nothing of what they carry.
+// Balancer is a stand-in for the platform's load balancer. It distributes TCP
+// connections round-robin over the ready instances and does not inspect their
+// contents.
 type Balancer struct {
 	listener net.Listener
 	client   http.Client
@@ -27,27 +28,28 @@
 }
 
 const (
-	readyEvery   = 250 * time.Millisecond
-	readyTimeout = 500 * time.Millisecond
-	dialTimeout  = 500 * time.Millisecond
+	probeInterval = 250 * time.Millisecond
+	probeTimeout  = 500 * time.Millisecond
+	dialTimeout   = 500 * time.Millisecond
 )
 
-// NewBalancer spreads the connections of a listener.
+// NewBalancer returns a balancer that distributes the connections of l.
 func NewBalancer(l net.Listener) *Balancer {
-	b := &Balancer{listener: l, client: http.Client{Timeout: readyTimeout}, backends: map[string]*backend{}, conns: map[net.Conn]bool{}}
-	go b.accept()
-	go b.check()
+	b := &Balancer{listener: l, client: http.Client{Timeout: probeTimeout}, backends: map[string]*backend{}, conns: map[net.Conn]bool{}}
+	go b.acceptLoop()
+	go b.probeLoop()
 	return b
 }
 
-// Add adds an instance by its callers' and operators' addresses.
+// Add adds an instance, given its address for callers and its operator address, which
+// serves readiness.
 func (b *Balancer) Add(callers, operators string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.backends[callers] = &backend{address: callers, readyURL: "http://" + operators + "/readyz"}
 }
 
-// Close ends the balancer and every connection.
+// Close closes the listener and every open connection and ends the readiness probes.
 func (b *Balancer) Close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -75,7 +77,7 @@
 	return ready
 }
 
-func (b *Balancer) check() {
+func (b *Balancer) probeLoop() {
 	for {
 		b.mu.Lock()
 		if b.closed {
@@ -83,16 +85,16 @@
 			return
 		}
 		all := make([]*backend, 0, len(b.backends))
-		for _, back := range b.backends {
-			all = append(all, back)
+		for _, target := range b.backends {
+			all = append(all, target)
 		}
 		b.mu.Unlock()
-		var asked sync.WaitGroup
-		for _, back := range all {
-			asked.Go(func() { b.setReady(back, b.isReady(back.readyURL)) })
+		var probes sync.WaitGroup
+		for _, target := range all {
+			probes.Go(func() { b.setReady(target, b.isReady(target.readyURL)) })
 		}
-		asked.Wait()
-		time.Sleep(readyEvery)
+		probes.Wait()
+		time.Sleep(probeInterval)
 	}
 }
 
@@ -105,33 +107,34 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (b *Balancer) setReady(back *backend, ready bool) {
+func (b *Balancer) setReady(target *backend, ready bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	back.ready = ready
+	target.ready = ready
 }
 
-func (b *Balancer) accept() {
+func (b *Balancer) acceptLoop() {
 	for {
 		conn, err := b.listener.Accept()
 		if err != nil {
 			return
 		}
-		go b.carry(conn)
+		go b.serve(conn)
 	}
 }
 
-// carry connects a caller to the next ready instance that answers.
-func (b *Balancer) carry(caller net.Conn) {
+// serve connects a caller to the next ready instance that accepts a connection. It
+// tries up to three instances.
+func (b *Balancer) serve(caller net.Conn) {
 	defer caller.Close()
 	for range 3 {
-		back := b.pick()
-		if back == nil {
+		target := b.nextReady()
+		if target == nil {
 			return
 		}
-		instance, err := net.DialTimeout("tcp", back.address, dialTimeout)
+		instance, err := net.DialTimeout("tcp", target.address, dialTimeout)
 		if err != nil {
-			b.setReady(back, false)
+			b.setReady(target, false)
 			continue
 		}
 		b.splice(caller, instance)
@@ -139,7 +142,7 @@
 	}
 }
 
-func (b *Balancer) pick() *backend {
+func (b *Balancer) nextReady() *backend {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	ready := b.readyBackends()
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -15,45 +15,48 @@
 	Concurrency   int
 	ChecksFencing bool
 	Weights       Weights
-	// StepBase and StepPerSequence make up the time of one decoding step.
+	// A decoding step takes StepBase, and StepPerSequence for each running sequence.
 	StepBase, StepPerSequence time.Duration
-	// PrefillPerToken is the time to read one prompt token not in the cache.
+	// PrefillPerToken is the time to process one prompt token that is not in the
+	// prefix cache.
 	PrefillPerToken time.Duration
 	// MaxWaiting bounds the engine's own queue.
 	MaxWaiting int
-	// LoadLag is the age of the load report that is given out.
+	// LoadLag is the age at which the cached load report is renewed.
 	LoadLag time.Duration
 }
 
-// EngineCounts is what an engine saw, for the judge.
+// EngineCounts are the counts by which the work of an engine is checked.
 type EngineCounts struct {
 	Started, Finished, Cancelled, Resumed, OverMemory, LeavingLate, Refused, Loads, Unloads atomic.Int64
 }
 
-// residency is one unit held in memory.
-type residency struct {
+// residentUnit is one unit that is loaded or being loaded.
+type residentUnit struct {
 	memoryMB int64
 	ready    bool
-	// leaving is set while an unload waits for running sequences.
-	leaving bool
-	running int
+	// draining is set while an unload waits for running sequences.
+	draining bool
+	running  int
 }
 
-// Engine is a model engine with continuous batching and a memory account.
+// Engine is a model engine with continuous batching and memory accounting.
 type Engine struct {
 	Counts EngineCounts
 
 	cfg EngineConfig
 	mux *http.ServeMux
-	// breakEvery cuts each stream after so many tokens; 0 never does.
+	// breakEvery is the number of tokens after which each stream is cut; 0 disables
+	// it.
 	breakEvery atomic.Int64
 
 	mu          sync.Mutex
 	incarnation string
 	epoch       int64
-	units       map[string]*residency
-	orders      map[string]orderState
-	// orderLog holds the ids of orders, oldest first, to bound orders.
+	units       map[string]*residentUnit
+	orders      map[string]orderRecord
+	// orderLog holds the ids of orders, oldest first, so that the oldest can be
+	// evicted from orders.
 	orderLog   []string
 	running    []*sequence
 	waiting    []*sequence
@@ -66,17 +69,18 @@
 	closed     bool
 }
 
-// NewEngine returns an engine that already holds the given units.
+// NewEngine returns an engine on which the given units are loaded; resident maps
+// their names to their sizes in MB.
 func NewEngine(cfg EngineConfig, incarnation string, resident map[string]int64) *Engine {
 	e := &Engine{
 		cfg: cfg, mux: http.NewServeMux(), incarnation: incarnation,
-		units: map[string]*residency{}, orders: map[string]orderState{}, byID: map[string]*sequence{},
+		units: map[string]*residentUnit{}, orders: map[string]orderRecord{}, byID: map[string]*sequence{},
 		prefixes: newPrefixCache(), wake: make(chan struct{}, 1),
 	}
 	for unit, mb := range resident {
-		e.units[unit] = &residency{memoryMB: mb, ready: true}
+		e.units[unit] = &residentUnit{memoryMB: mb, ready: true}
 	}
-	e.report = e.observe(time.Now())
+	e.report = e.snapshot(time.Now())
 	e.mux.HandleFunc("POST /v1/chat/completions", e.complete)
 	e.mux.HandleFunc("POST /v1/completions", e.complete)
 	e.mux.HandleFunc("GET /v1/requests/{id}/stream", e.resume)
@@ -85,14 +89,14 @@
 	e.mux.HandleFunc("GET /v1/load", e.load)
 	e.mux.HandleFunc("GET /v1/inventory", e.inventory)
 	e.mux.HandleFunc("GET /v1/cache/events", e.cacheEvents)
-	go e.decode()
+	go e.decodeLoop()
 	return e
 }
 
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
 
-// Close stops the decoding loop and ends every sequence without its end.
+// Close stops the decoding loop and ends every sequence before its last token.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,26 +106,26 @@
 		s.signal()
 	}
 	e.running, e.waiting = nil, nil
-	e.signal()
+	e.wakeDecoder()
 }
 
 // BreakStreams makes the engine cut the connection of each stream after every
-// n tokens; 0 stops that.
+// n tokens; 0 disables it.
 func (e *Engine) BreakStreams(n int64) { e.breakEvery.Store(n) }
 
-// Leave marks the engine as leaving: work that starts after the grace period
-// is counted against the system.
+// Leave marks the engine as leaving. Work that starts more than leavingGrace after
+// now is counted in EngineCounts.LeavingLate.
 func (e *Engine) Leave(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leavingAt = now
 }
 
-// leavingGrace is how long after Leave new work is still tolerated: the lag of
-// the platform's list and the 2 s that the system is given.
+// leavingGrace is how long after Leave new work is tolerated: the lag of the
+// platform's list, plus the 2 s within which the system must react.
 const leavingGrace = 3 * time.Second
 
-func (e *Engine) countIfLeaving(now time.Time) {
+func (e *Engine) countIfLate(now time.Time) {
 	if !e.leavingAt.IsZero() && now.Sub(e.leavingAt) > leavingGrace {
 		e.Counts.LeavingLate.Add(1)
 	}
@@ -135,17 +139,17 @@
 	return used
 }
 
-// loadReport is what the engine tells of itself.
+// loadReport is the load and the inventory that the engine reports.
 type loadReport struct {
-	Incarnation string           `json:"incarnation"`
-	Epoch       int64            `json:"epoch"`
-	ObservedAt  time.Time        `json:"observedAt"`
-	Running     int              `json:"running"`
-	Waiting     int              `json:"waiting"`
-	CapacityMB  int64            `json:"capacityMB"`
-	UsedMB      int64            `json:"usedMB"`
-	Units       []unitReport     `json:"units"`
-	Orders      map[string]state `json:"orders,omitempty"`
+	Incarnation string                 `json:"incarnation"`
+	Epoch       int64                  `json:"epoch"`
+	ObservedAt  time.Time              `json:"observedAt"`
+	Running     int                    `json:"running"`
+	Waiting     int                    `json:"waiting"`
+	CapacityMB  int64                  `json:"capacityMB"`
+	UsedMB      int64                  `json:"usedMB"`
+	Units       []unitReport           `json:"units"`
+	Orders      map[string]orderStatus `json:"orders,omitempty"`
 }
 
 type unitReport struct {
@@ -155,14 +159,14 @@
 	Running  int    `json:"running"`
 }
 
-// observe must be called with mu held, or before the engine is shared.
-func (e *Engine) observe(now time.Time) loadReport {
+// snapshot must be called with mu held, or before the engine is shared.
+func (e *Engine) snapshot(now time.Time) loadReport {
 	r := loadReport{
 		Incarnation: e.incarnation, Epoch: e.epoch, ObservedAt: now, Running: len(e.running),
 		Waiting: len(e.waiting), CapacityMB: e.cfg.MemoryMB, UsedMB: e.usedMB(),
 	}
 	for name, u := range e.units {
-		r.Units = append(r.Units, unitReport{Name: name, MemoryMB: u.memoryMB, Ready: u.ready && !u.leaving, Running: u.running})
+		r.Units = append(r.Units, unitReport{Name: name, MemoryMB: u.memoryMB, Ready: u.ready && !u.draining, Running: u.running})
 	}
 	return r
 }
@@ -170,26 +174,26 @@
 func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	if now := time.Now(); now.Sub(e.report.ObservedAt) >= e.cfg.LoadLag {
-		e.report = e.observe(now)
+		e.report = e.snapshot(now)
 	}
 	report := e.report
 	e.mu.Unlock()
 	writeJSON(w, http.StatusOK, report)
 }
 
-// ordersShown is how many orders an inventory tells of; ordersKept is how many
-// are known by their id when they come again.
+// ordersReported is how many of the latest orders an inventory lists.
+// ordersRemembered is how many order ids are kept to recognize duplicates.
 const (
-	ordersShown = 8
-	ordersKept  = 1024
+	ordersReported   = 8
+	ordersRemembered = 1024
 )
 
 func (e *Engine) inventory(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	report := e.observe(time.Now())
-	report.Orders = make(map[string]state, ordersShown)
-	for _, id := range e.orderLog[max(0, len(e.orderLog)-ordersShown):] {
-		report.Orders[id] = e.orders[id].state
+	report := e.snapshot(time.Now())
+	report.Orders = make(map[string]orderStatus, ordersReported)
+	for _, id := range e.orderLog[max(0, len(e.orderLog)-ordersReported):] {
+		report.Orders[id] = e.orders[id].status
 	}
 	e.mu.Unlock()
 	writeJSON(w, http.StatusOK, report)
@@ -202,7 +206,7 @@
 	writeJSON(w, http.StatusOK, events)
 }
 
-func (e *Engine) signal() {
+func (e *Engine) wakeDecoder() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -229,13 +233,13 @@
 	writeJSON(w, status, errorBody{Error: errorDetail{Code: code, Message: message}})
 }
 
-// ReadyUnits returns the units that requests can run on.
+// ReadyUnits returns the sorted names of the units that accept requests.
 func (e *Engine) ReadyUnits() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var ready []string
 	for _, name := range sortedNames(e.units) {
-		if u := e.units[name]; u.ready && !u.leaving {
+		if u := e.units[name]; u.ready && !u.draining {
 			ready = append(ready, name)
 		}
 	}
--- a/standin/members.go
+++ b/standin/members.go
@@ -16,7 +16,7 @@
 	PeerPort      int    `json:"peerPort,omitempty"`
 	StreamPort    int    `json:"streamPort,omitempty"`
 	Incarnation   string `json:"incarnation"`
-	// State is "live" or "leaving"; a member that is gone is not listed.
+	// State is MemberLive or MemberLeaving. A member that is gone is not listed.
 	State string `json:"state"`
 }
 
@@ -26,7 +26,7 @@
 	MemberLeaving = "leaving"
 )
 
-// Members is the platform's list of instances and endpoints. Changes show
+// Members is the platform's list of instances and endpoints. Changes become visible
 // after a lag.
 type Members struct {
 	lag time.Duration
@@ -42,17 +42,17 @@
 	return &Members{lag: lag, version: 1, members: map[string]Member{}, changed: make(chan struct{})}
 }
 
-// Set puts a member on the list after the lag.
+// Set adds or replaces a member after the lag.
 func (m *Members) Set(member Member) {
-	m.later(func() { m.members[member.Name] = member })
+	m.applyAfterLag(func() { m.members[member.Name] = member })
 }
 
-// Remove takes a member off the list after the lag.
+// Remove removes a member after the lag.
 func (m *Members) Remove(name string) {
-	m.later(func() { delete(m.members, name) })
+	m.applyAfterLag(func() { delete(m.members, name) })
 }
 
-func (m *Members) later(change func()) {
+func (m *Members) applyAfterLag(change func()) {
 	apply := func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
@@ -68,14 +68,14 @@
 	time.AfterFunc(m.lag, apply)
 }
 
-// longPoll bounds how long an unchanged list holds a request.
-const longPoll = 10 * time.Second
+// longPollTimeout bounds how long a request waits for a change of the list.
+const longPollTimeout = 10 * time.Second
 
-// ServeHTTP answers GET ?after=VERSION once the list is newer than VERSION, or
-// with 304 if it is not for a while.
+// ServeHTTP answers GET ?after=VERSION with the list once it is newer than VERSION,
+// or with 304 if it does not change within longPollTimeout.
 func (m *Members) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
-	timeout := time.NewTimer(longPoll)
+	timeout := time.NewTimer(longPollTimeout)
 	defer timeout.Stop()
 	for {
 		m.mu.Lock()
--- a/standin/objectapi.go
+++ b/standin/objectapi.go
@@ -11,18 +11,19 @@
 	"time"
 )
 
-// StoreMode is how the object API stand-in behaves.
+// StoreMode is a mode of operation of the object API.
 type StoreMode string
 
 // Modes of the object API.
 const (
-	// StoreUp answers at once.
+	// StoreUp answers every call without delay.
 	StoreUp StoreMode = "up"
-	// StoreDown cuts every call and watch.
+	// StoreDown aborts every call and every watch.
 	StoreDown StoreMode = "down"
-	// StoreSlow delays every call.
+	// StoreSlow delays every call by slowDelay.
 	StoreSlow StoreMode = "slow"
-	// StoreLostAnswers cuts every tenth answer after the effect.
+	// StoreLostAnswers performs every call, but aborts the connection instead of
+	// responding to each call whose number is a multiple of lostAnswerEvery.
 	StoreLostAnswers StoreMode = "lost-answers"
 )
 
@@ -30,7 +31,7 @@
 	objectPathPrefix = "/apis/eiderspring.dev/v1/"
 	slowDelay        = 400 * time.Millisecond
 	lostAnswerEvery  = 10
-	eventsKept       = 4096
+	maxEvents        = 4096
 	maxValueBytes    = 1 << 20
 )
 
@@ -56,7 +57,7 @@
 	version int64
 }
 
-// ObjectAPI is the platform's object API, in memory.
+// ObjectAPI is an in-memory stand-in for the platform's object API.
 type ObjectAPI struct {
 	Reads, Writes, Watches atomic.Int64
 
@@ -70,7 +71,7 @@
 	calls   int64
 }
 
-// NewObjectAPI returns an empty API that is up.
+// NewObjectAPI returns an empty API in the mode StoreUp.
 func NewObjectAPI() *ObjectAPI {
 	return &ObjectAPI{
 		mode: StoreUp, objects: map[string]map[string]object{},
@@ -78,15 +79,15 @@
 	}
 }
 
-// SetMode changes the behaviour; going down cuts the open watches.
+// SetMode changes the mode. StoreDown also aborts the open watches.
 func (a *ObjectAPI) SetMode(m StoreMode) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.mode = m
-	a.announce()
+	a.notifyWatchers()
 }
 
-func (a *ObjectAPI) announce() {
+func (a *ObjectAPI) notifyWatchers() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
@@ -94,7 +95,7 @@
 // ServeHTTP implements http.Handler.
 func (a *ObjectAPI) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	kind, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, objectPathPrefix), "/")
-	mode, lose := a.admit()
+	mode, cut := a.countCall()
 	switch {
 	case mode == StoreDown:
 		panic(http.ErrAbortHandler)
@@ -107,7 +108,7 @@
 		return
 	}
 	code, body := a.handle(r, kind, name)
-	if lose && mode == StoreLostAnswers {
+	if cut && mode == StoreLostAnswers {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -115,7 +116,7 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-func (a *ObjectAPI) admit() (StoreMode, bool) {
+func (a *ObjectAPI) countCall() (StoreMode, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.calls++
@@ -204,11 +205,11 @@
 
 func (a *ObjectAPI) record(kind, event string, o object) {
 	log := append(a.events[kind], objectEvent{Type: event, Object: o, version: a.version})
-	if len(log) > eventsKept {
-		log = log[len(log)-eventsKept:]
+	if len(log) > maxEvents {
+		log = log[len(log)-maxEvents:]
 	}
 	a.events[kind] = log
-	a.announce()
+	a.notifyWatchers()
 }
 
 func (a *ObjectAPI) watch(w http.ResponseWriter, r *http.Request, kind string) {
@@ -220,11 +221,11 @@
 	flusher := w.(http.Flusher)
 	enc := json.NewEncoder(w)
 	for {
-		events, changed, mode, gone := a.since(kind, after)
+		events, changed, mode, expired := a.eventsAfter(kind, after)
 		if mode == StoreDown {
 			panic(http.ErrAbortHandler)
 		}
-		if gone {
+		if expired {
 			http.Error(w, "too old", http.StatusGone)
 			return
 		}
@@ -241,11 +242,11 @@
 	}
 }
 
-func (a *ObjectAPI) since(kind string, after int64) (events []objectEvent, changed <-chan struct{}, mode StoreMode, gone bool) {
+func (a *ObjectAPI) eventsAfter(kind string, after int64) (events []objectEvent, changed <-chan struct{}, mode StoreMode, expired bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	log := a.events[kind]
-	if len(log) == eventsKept && after < log[0].version {
+	if len(log) == maxEvents && after < log[0].version {
 		return nil, a.changed, a.mode, true
 	}
 	for i := len(log); i > 0 && log[i-1].version > after; i-- {
--- a/standin/orders.go
+++ b/standin/orders.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// OrdersMode is what happens to orders on their way to an engine.
+// OrdersMode is a mode of delivering orders to an engine.
 type OrdersMode string
 
 // Modes of order delivery.
 const (
 	OrdersPrompt OrdersMode = "prompt"
-	// OrdersLost drops every second order.
+	// OrdersLost drops about half of the orders and aborts their connections.
 	OrdersLost OrdersMode = "lost"
-	// OrdersLate applies every order after a delay, though unanswered.
+	// OrdersLate aborts the connection of every order and applies it after
+	// orderDelay.
 	OrdersLate OrdersMode = "late"
 )
 
 const orderDelay = 2 * time.Second
 
-type state string
+type orderStatus string
 
 const (
-	stateRunning state = "running"
-	stateDone    state = "done"
-	stateRefused state = "refused"
+	orderRunning orderStatus = "running"
+	orderDone    orderStatus = "done"
+	orderRefused orderStatus = "refused"
 )
 
-type orderState struct {
-	state state
+type orderRecord struct {
+	status orderStatus
 }
 
 type orderRequest struct {
@@ -40,7 +41,7 @@
 	MemoryMB int64  `json:"memoryMB"`
 }
 
-// SetOrdersMode changes how orders arrive.
+// SetOrdersMode changes how orders are delivered.
 func (e *Engine) SetOrdersMode(m OrdersMode) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -87,7 +88,7 @@
 		return http.StatusAccepted, ""
 	}
 	e.orderLog = append(e.orderLog, req.ID)
-	if len(e.orderLog) > ordersKept {
+	if len(e.orderLog) > ordersRemembered {
 		delete(e.orders, e.orderLog[0])
 		e.orderLog = e.orderLog[1:]
 	}
@@ -104,48 +105,48 @@
 
 func (e *Engine) startLoad(req orderRequest) {
 	if e.units[req.Unit] != nil {
-		e.orders[req.ID] = orderState{state: stateDone}
+		e.orders[req.ID] = orderRecord{status: orderDone}
 		return
 	}
 	if e.usedMB()+req.MemoryMB > e.cfg.MemoryMB {
-		// A real device would fail here; the judge counts it.
+		// A real device would fail here, so the load is counted and refused.
 		e.Counts.OverMemory.Add(1)
-		e.orders[req.ID] = orderState{state: stateRefused}
+		e.orders[req.ID] = orderRecord{status: orderRefused}
 		return
 	}
-	u := &residency{memoryMB: req.MemoryMB}
+	u := &residentUnit{memoryMB: req.MemoryMB}
 	e.units[req.Unit] = u
-	e.orders[req.ID] = orderState{state: stateRunning}
+	e.orders[req.ID] = orderRecord{status: orderRunning}
 	e.Counts.Loads.Add(1)
-	go e.fetch(req, u)
+	go e.loadWeights(req, u)
 }
 
-// fetch gets the weights and makes the unit ready.
-func (e *Engine) fetch(req orderRequest, u *residency) {
+// loadWeights waits for the weights of a unit and marks the unit as ready.
+func (e *Engine) loadWeights(req orderRequest, u *residentUnit) {
 	total, done := e.cfg.Weights.Begin(time.Now())
 	time.Sleep(total)
 	done()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	u.ready = true
-	e.orders[req.ID] = orderState{state: stateDone}
+	e.orders[req.ID] = orderRecord{status: orderDone}
 	e.unloadIfIdle(req.Unit, u)
 }
 
 func (e *Engine) startUnload(req orderRequest) {
-	e.orders[req.ID] = orderState{state: stateDone}
+	e.orders[req.ID] = orderRecord{status: orderDone}
 	u := e.units[req.Unit]
-	if u == nil || u.leaving {
+	if u == nil || u.draining {
 		return
 	}
 	e.Counts.Unloads.Add(1)
-	u.leaving = true
+	u.draining = true
 	e.unloadIfIdle(req.Unit, u)
 }
 
-// unloadIfIdle frees a leaving unit once nothing runs on it.
-func (e *Engine) unloadIfIdle(name string, u *residency) {
-	if u.leaving && u.ready && u.running == 0 {
+// unloadIfIdle frees a draining unit once it is loaded and no sequence runs on it.
+func (e *Engine) unloadIfIdle(name string, u *residentUnit) {
+	if u.draining && u.ready && u.running == 0 {
 		delete(e.units, name)
 	}
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Platform is the object API, the list of members and the weight store behind
-// one address, with controls for running the stand-ins as processes.
+// Platform serves the object API, the list of members and the weight store at one
+// address. Its further endpoints control them when the stand-ins run as separate
+// processes.
 type Platform struct {
 	Objects *ObjectAPI
 	Members *Members
@@ -17,7 +18,7 @@
 	mux     *http.ServeMux
 }
 
-// NewPlatform returns a platform with the given list lag and weight store.
+// NewPlatform returns a platform whose list of members changes after listLag.
 func NewPlatform(listLag time.Duration, weights *WeightStore) *Platform {
 	p := &Platform{Objects: NewObjectAPI(), Members: NewMembers(listLag), Weights: weights, mux: http.NewServeMux()}
 	p.mux.Handle(objectPathPrefix, p.Objects)
@@ -49,20 +50,21 @@
 	p.Members.Set(m)
 }
 
-// RemoteWeights is the weight store of a platform in another process.
+// RemoteWeights is a client of the weight store of a platform in another process.
 type RemoteWeights struct{ URL string }
 
-// Begin implements Weights. A platform that does not answer makes loads slow.
+// Begin implements Weights. If the platform does not answer, a load takes
+// fallbackLoadTime.
 func (r RemoteWeights) Begin(time.Time) (time.Duration, func()) {
-	const whenUnanswered = 30 * time.Second
+	const fallbackLoadTime = 30 * time.Second
 	resp, err := http.Post(r.URL+"/weights/begin", "", nil)
 	if err != nil {
-		return whenUnanswered, func() {}
+		return fallbackLoadTime, func() {}
 	}
 	defer resp.Body.Close()
 	var total time.Duration
 	if json.NewDecoder(resp.Body).Decode(&total) != nil {
-		return whenUnanswered, func() {}
+		return fallbackLoadTime, func() {}
 	}
 	return total, func() {
 		if resp, err := http.Post(r.URL+"/weights/end", "", nil); err == nil {
--- a/standin/prefixcache.go
+++ b/standin/prefixcache.go
@@ -2,15 +2,15 @@
 
 const (
 	bytesPerToken = 4
-	// prefixBytes is the length of prompt that one cache entry covers.
-	prefixBytes   = 256
-	prefixEntries = 512
-	// eventGap loses every so many cache events.
-	eventGap   = 7
-	eventsHeld = 256
+	// prefixBytes is the length of the prompt prefix that one cache entry covers.
+	prefixBytes = 256
+	maxPrefixes = 512
+	// Every event whose sequence number is a multiple of lostEventInterval is lost.
+	lostEventInterval = 7
+	maxCacheEvents    = 256
 )
 
-// prefixCache is a bounded cache of prompt prefixes, oldest out first.
+// prefixCache is a bounded cache of prompt prefixes that evicts the oldest one first.
 type prefixCache struct {
 	entries map[string]bool
 	order   []string
@@ -27,8 +27,9 @@
 
 func newPrefixCache() prefixCache { return prefixCache{entries: map[string]bool{}} }
 
-// touch returns how many prompt tokens were cached and caches the prefix.
-func (c *prefixCache) touch(unit, prompt string) int {
+// cachedTokens returns how many tokens of the prompt are cached, and adds its prefix
+// to the cache.
+func (c *prefixCache) cachedTokens(unit, prompt string) int {
 	if len(prompt) < prefixBytes {
 		return 0
 	}
@@ -36,26 +37,27 @@
 	if c.entries[key] {
 		return prefixBytes / bytesPerToken
 	}
-	if len(c.order) == prefixEntries {
-		c.note("evict", c.order[0])
+	if len(c.order) == maxPrefixes {
+		c.logEvent("evict", c.order[0])
 		delete(c.entries, c.order[0])
 		c.order = c.order[1:]
 	}
 	c.entries[key] = true
 	c.order = append(c.order, key)
-	c.note("store", key)
+	c.logEvent("store", key)
 	return 0
 }
 
-// note logs an event; some are lost, which leaves a gap in seq.
-func (c *prefixCache) note(op, key string) {
+// logEvent appends an event to the log. A lost event leaves a gap in the sequence
+// numbers.
+func (c *prefixCache) logEvent(op, key string) {
 	c.seq++
-	if c.seq%eventGap == 0 {
+	if c.seq%lostEventInterval == 0 {
 		return
 	}
 	unit, prefix := key[:len(key)-prefixBytes-1], key[len(key)-prefixBytes:]
 	c.log = append(c.log, cacheEvent{Seq: c.seq, Op: op, Unit: unit, Prefix: prefix})
-	if len(c.log) > eventsHeld {
+	if len(c.log) > maxCacheEvents {
 		c.log = c.log[1:]
 	}
 }
--- a/standin/sequence.go
+++ b/standin/sequence.go
@@ -12,27 +12,28 @@
 	"time"
 )
 
-// sequence is one request being decoded.
+// sequence is one request that waits for decoding or is being decoded.
 type sequence struct {
 	id       string
 	unit     string
 	prompt   string
 	priority int
 	arrived  time.Time
-	// readyAt is when the prompt has been read.
-	readyAt time.Time
-	max     int
+	// readyAt is when the prefill of the prompt ends.
+	readyAt   time.Time
+	maxTokens int
 	// The fields below are guarded by the engine's mutex.
 
-	// next is the number of tokens decoded.
-	next int
-	// reader counts the streams opened; only the newest one reads.
-	reader int
-	// ended is set when no further token will come.
+	// decoded is the number of tokens decoded.
+	decoded int
+	// newestReader is the number of the reader that was opened last. Earlier ones
+	// must stop.
+	newestReader int
+	// ended is set when no further token follows.
 	ended bool
-	// dropped is set when nobody reads the tokens any more.
+	// dropped is set when the request is cancelled or abandoned by its reader.
 	dropped bool
-	// changed wakes the reader.
+	// changed notifies the reader.
 	changed chan struct{}
 }
 
@@ -68,8 +69,8 @@
 	maxRequestBytes  = 8 << 20
 )
 
-// complete runs one request. A refusal carries the code not_started, which
-// says that nothing of the request has run.
+// complete runs one completion request. A refusal carries the error code
+// not_started, which guarantees that no part of the request has run.
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
 	var req completionRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&req); err != nil {
@@ -79,7 +80,7 @@
 	if req.MaxTokens == 0 {
 		req.MaxTokens = defaultMaxTokens
 	}
-	s, status, reason := e.accept(r.Header.Get(requestIDHeader), req)
+	s, status, reason := e.enqueue(r.Header.Get(requestIDHeader), req)
 	if s == nil {
 		e.Counts.Refused.Add(1)
 		writeError(w, status, "not_started", reason)
@@ -90,10 +91,10 @@
 		e.stream(w, r, s, 0)
 		return
 	}
-	e.whole(w, r, s)
+	e.respondWhole(w, r, s)
 }
 
-// resume continues a stream behind the token that Last-Event-ID names.
+// resume continues a stream after the token that Last-Event-ID names.
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	last, err := strconv.Atoi(r.Header.Get("Last-Event-ID"))
 	e.mu.Lock()
@@ -108,7 +109,7 @@
 	e.stream(w, r, s, last+1)
 }
 
-func (e *Engine) accept(id string, req completionRequest) (*sequence, int, string) {
+func (e *Engine) enqueue(id string, req completionRequest) (*sequence, int, string) {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -116,28 +117,29 @@
 	switch {
 	case e.closed:
 		return nil, http.StatusServiceUnavailable, "stopping"
-	case u == nil || !u.ready || u.leaving:
+	case u == nil || !u.ready || u.draining:
 		return nil, http.StatusNotFound, "model " + req.Model + " is not resident"
 	case len(e.waiting) >= e.cfg.MaxWaiting:
 		return nil, http.StatusTooManyRequests, "queue is full"
 	case e.byID[id] != nil:
 		return nil, http.StatusConflict, "request id is in use"
 	}
-	e.countIfLeaving(now)
+	e.countIfLate(now)
 	s := &sequence{
 		id: id, unit: req.Model, prompt: req.text(), priority: req.Priority,
-		arrived: now, max: req.MaxTokens, changed: make(chan struct{}, 1),
+		arrived: now, maxTokens: req.MaxTokens, changed: make(chan struct{}, 1),
 	}
 	u.running++
 	e.byID[id] = s
 	e.waiting = append(e.waiting, s)
 	e.Counts.Started.Add(1)
-	e.signal()
+	e.wakeDecoder()
 	return s, 0, ""
 }
 
-// decode is the batching loop: each step yields a token for each sequence.
-func (e *Engine) decode() {
+// decodeLoop is the batching loop. Each step decodes one token for each running
+// sequence whose prefill has ended.
+func (e *Engine) decodeLoop() {
 	for {
 		e.mu.Lock()
 		if e.closed {
@@ -164,7 +166,7 @@
 		s := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		promptTokens := len(s.prompt) / bytesPerToken
-		cached := e.prefixes.touch(s.unit, s.prompt)
+		cached := e.prefixes.cachedTokens(s.unit, s.prompt)
 		s.readyAt = now.Add(time.Duration(promptTokens-cached) * e.cfg.PrefillPerToken)
 		e.running = append(e.running, s)
 	}
@@ -173,7 +175,7 @@
 func (e *Engine) step(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	kept := e.running[:0]
+	remaining := e.running[:0]
 	for _, s := range e.running {
 		if s.dropped {
 			e.finish(s)
@@ -181,28 +183,28 @@
 			continue
 		}
 		if now.Before(s.readyAt) {
-			kept = append(kept, s)
+			remaining = append(remaining, s)
 			continue
 		}
-		s.next++
+		s.decoded++
 		s.signal()
-		if s.next < s.max {
-			kept = append(kept, s)
+		if s.decoded < s.maxTokens {
+			remaining = append(remaining, s)
 			continue
 		}
 		e.finish(s)
 		e.Counts.Finished.Add(1)
 	}
-	e.running = kept
+	e.running = remaining
 }
 
-// keepFinished is how long a finished request can still be resumed.
-const keepFinished = 2 * time.Second
+// finishedRetention is how long a finished request can still be resumed.
+const finishedRetention = 2 * time.Second
 
 func (e *Engine) finish(s *sequence) {
 	s.ended = true
 	s.signal()
-	time.AfterFunc(keepFinished, func() {
+	time.AfterFunc(finishedRetention, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		delete(e.byID, s.id)
@@ -213,12 +215,12 @@
 	}
 }
 
-// read returns how many tokens are there once there are more than have, or
-// the end is reached, or ctx ends. ok is false if this reader must stop.
-func (e *Engine) read(ctx context.Context, s *sequence, reader, have int) (n int, ended, ok bool) {
+// waitForTokens returns the number of decoded tokens once it exceeds have, the
+// sequence has ended, or ctx is done. ok is false if this reader must stop.
+func (e *Engine) waitForTokens(ctx context.Context, s *sequence, reader, have int) (n int, ended, ok bool) {
 	for {
 		e.mu.Lock()
-		n, ended, ok = s.next, s.ended, s.reader == reader
+		n, ended, ok = s.decoded, s.ended, s.newestReader == reader
 		e.mu.Unlock()
 		if !ok || ended || n > have {
 			return n, ended, ok
@@ -234,21 +236,22 @@
 func (e *Engine) newReader(s *sequence) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s.reader++
+	s.newestReader++
 	s.signal()
-	return s.reader
+	return s.newestReader
 }
 
-// resumeGrace is how long a request whose stream broke goes on without one.
+// resumeGrace is how long decoding continues after the stream of a request breaks.
 const resumeGrace = 2 * time.Second
 
-// abandon drops the sequence unless another stream is opened in time.
-func (e *Engine) abandon(s *sequence, reader int) {
+// dropUnlessResumed drops the sequence unless another reader takes over within
+// resumeGrace.
+func (e *Engine) dropUnlessResumed(s *sequence, reader int) {
 	time.AfterFunc(resumeGrace, func() {
 		e.mu.Lock()
-		taken := s.reader != reader
+		resumed := s.newestReader != reader
 		e.mu.Unlock()
-		if !taken {
+		if !resumed {
 			e.drop(s)
 		}
 	})
@@ -276,7 +279,7 @@
 }
 
 // stream writes one server-sent event per token. The event id is the token's
-// offset, so that Last-Event-ID can resume.
+// offset, so that a client can resume with Last-Event-ID.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *sequence, from int) {
 	reader := e.newReader(s)
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -284,20 +287,20 @@
 	flusher.Flush()
 	sent := from
 	for {
-		n, ended, ok := e.read(r.Context(), s, reader, sent)
+		n, ended, ok := e.waitForTokens(r.Context(), s, reader, sent)
 		if !ok {
-			e.abandon(s, reader)
+			e.dropUnlessResumed(s, reader)
 			return
 		}
 		for ; sent < n; sent++ {
 			fmt.Fprintf(w, "id: %d\ndata: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"model\":%q,\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n",
 				sent, s.id, s.unit, Token(s.unit, s.prompt, sent))
 		}
-		// Flushed before a break too: an abort drops what is buffered, and the same
-		// event would be lost each time that the stream is resumed at it.
+		// Flush before a deliberate break too: an abort drops buffered data, and the
+		// same event would be lost each time the stream is resumed at it.
 		flusher.Flush()
-		if sent > from && e.breakStream(s, sent) {
-			e.abandon(s, reader)
+		if sent > from && e.shouldBreak(s, sent) {
+			e.dropUnlessResumed(s, reader)
 			panic(http.ErrAbortHandler)
 		}
 		if ended && sent == n {
@@ -307,35 +310,35 @@
 	}
 }
 
-// breakStream tells whether to cut the connection here, for tests of resume.
-func (e *Engine) breakStream(s *sequence, sent int) bool {
+// shouldBreak reports whether to cut the connection here, to exercise resumption.
+func (e *Engine) shouldBreak(s *sequence, sent int) bool {
 	every := e.breakEvery.Load()
-	return every > 0 && sent < s.max && sent%int(every) == 0
+	return every > 0 && sent < s.maxTokens && sent%int(every) == 0
 }
 
 func (e *Engine) endStream(w http.ResponseWriter, s *sequence, sent int) {
-	if sent < s.max {
+	if sent < s.maxTokens {
 		panic(http.ErrAbortHandler)
 	}
 	fmt.Fprintf(w, "data: {\"id\":%q,\"model\":%q,\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"length\"}]}\n\ndata: [DONE]\n\n", s.id, s.unit)
 }
 
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, s *sequence) {
+func (e *Engine) respondWhole(w http.ResponseWriter, r *http.Request, s *sequence) {
 	reader := e.newReader(s)
 	have := 0
 	for ended := false; !ended; {
 		var ok bool
-		have, ended, ok = e.read(r.Context(), s, reader, have)
+		have, ended, ok = e.waitForTokens(r.Context(), s, reader, have)
 		if !ok {
 			e.drop(s)
 			return
 		}
 	}
-	if have < s.max {
+	if have < s.maxTokens {
 		panic(http.ErrAbortHandler)
 	}
 	var text strings.Builder
-	for i := range s.max {
+	for i := range s.maxTokens {
 		text.WriteString(Token(s.unit, s.prompt, i))
 	}
 	body := fmt.Sprintf(`{"id":%q,"object":"chat.completion","model":%q,"choices":[{"index":0,"finish_reason":"length","message":{"role":"assistant","content":%s}}]}`,
--- a/standin/weightstore.go
+++ b/standin/weightstore.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Weights is where an engine gets weights from.
+// Weights is the source from which an engine loads weights.
 type Weights interface {
-	// Begin books a load and returns how long it takes from now; done must be
-	// called when it is over.
+	// Begin reserves a load and returns its duration from now. The caller must call
+	// done when the load ends.
 	Begin(now time.Time) (total time.Duration, done func())
 }
 
-// WeightStore is the platform's rate-limited store of weights. A load waits
-// its turn at the rate, and goes slower when too many are under way.
+// WeightStore is the platform's rate-limited store of weights. A load waits until
+// the rate admits it, and slows down when too many loads are in flight.
 type WeightStore struct {
 	mu         sync.Mutex
 	interval   time.Duration
@@ -24,13 +24,14 @@
 	Loads int
 }
 
-// NewWeightStore allows so many loads a second, and so many at full speed.
+// NewWeightStore returns a store that starts at most loadsPerSecond loads per second
+// and runs up to concurrent loads at full speed.
 func NewWeightStore(loadsPerSecond float64, concurrent int) *WeightStore {
 	return &WeightStore{interval: time.Duration(float64(time.Second) / loadsPerSecond), concurrent: concurrent}
 }
 
-// loadTime is how long one load takes at full speed.
-const loadTime = time.Second
+// fullSpeedLoadTime is the duration of one load at full speed.
+const fullSpeedLoadTime = time.Second
 
 // Begin implements Weights.
 func (s *WeightStore) Begin(now time.Time) (total time.Duration, done func()) {
@@ -44,7 +45,7 @@
 	s.active++
 	s.Loads++
 	slowdown := max(1, float64(s.active)/float64(s.concurrent))
-	return wait + time.Duration(float64(loadTime)*slowdown), s.end
+	return wait + time.Duration(float64(fullSpeedLoadTime)*slowdown), s.end
 }
 
 func (s *WeightStore) end() {
