--- a/soak/callers.go
+++ b/soak/callers.go
@@ -12,8 +12,8 @@
 	"github.com/eiderspring/eiderspring/platform/fake"
 )
 
-// Kinds of requests: those of fake.StandardRoutes, and the route that a
-// configuration moves.
+// Kinds of requests: those of fake.StandardRoutes, and kindMoved, whose path replaces
+// that of kindSafe in a configuration with a moved route.
 var (
 	kindSafe      = Kind{Path: "/safe/", Service: fake.Plain, Method: http.MethodGet, Repeatable: true}
 	kindMoved     = Kind{Path: "/moved/", Service: fake.Plain, Method: http.MethodGet, Repeatable: true}
@@ -24,133 +24,133 @@
 
 var kinds = []Kind{kindSafe, kindMoved, kindUnsafe, kindUnsafe, kindStream, kindResumable}
 
-// manner is how a caller asks.
-type manner struct {
-	// patience is what the caller says that it waits.
-	patience time.Duration
-	// pause draws the time between two requests.
-	pause func(*rand.Rand) time.Duration
+// callerProfile is the request pattern of a caller.
+type callerProfile struct {
+	// timeout is the deadline that the caller announces with a request.
+	timeout time.Duration
+	// thinkTime draws the time between a response and the next request.
+	thinkTime func(*rand.Rand) time.Duration
 }
 
-// Busy callers ask again soon. Resting ones leave their connection at rest for nearly
-// as long as the settings allow, and outwait an instance that stands still.
+// Busy callers send the next request soon. Idle callers leave their connection idle for
+// nearly as long as the settings allow, and their timeout exceeds a NodeStandstill.
 var (
-	busyCaller = manner{patience: 3 * time.Second, pause: func(random *rand.Rand) time.Duration {
+	busyProfile = callerProfile{timeout: 3 * time.Second, thinkTime: func(random *rand.Rand) time.Duration {
 		return time.Duration(random.ExpFloat64() * float64(40*time.Millisecond))
 	}}
-	restingCaller = manner{patience: 9 * time.Second, pause: func(random *rand.Rand) time.Duration {
-		return time.Duration(random.Float64() * float64(idleLimit-settleTime))
+	idleProfile = callerProfile{timeout: 9 * time.Second, thinkTime: func(random *rand.Rand) time.Duration {
+		return time.Duration(random.Float64() * float64(idleTimeout-settleTime))
 	}}
 )
 
-// restingCallers is how many resting callers each instance has, beside the busy ones.
-const restingCallers = 12
+// idleCallers is the number of idle callers per instance, in addition to the busy ones.
+const idleCallers = 12
 
-// answerSlack is how much longer callers wait than they say.
-const answerSlack = 1500 * time.Millisecond
+// timeoutSlack is how long callers wait beyond the deadline that they announce.
+const timeoutSlack = 1500 * time.Millisecond
 
-// Callers ask all instances until they are stopped, each on a connection that it
-// keeps until the instance or the way there closes it.
+// Callers send requests to all instances until they are stopped. Each caller has one
+// connection, which it keeps until the instance or the proxy closes it.
 type Callers struct {
-	site *Site
-	stop context.CancelFunc
-	done sync.WaitGroup
+	testbed *Testbed
+	stop    context.CancelFunc
+	done    sync.WaitGroup
 
 	mu      sync.Mutex
-	answers []Result
-	asked   int
+	results []Result
+	sent    int
 }
 
-// StartCallers starts so many busy callers for each instance, and the resting ones.
-func StartCallers(s *Site, seed uint64, each int) *Callers {
+// StartCallers starts the given number of busy callers for each instance, and the idle
+// ones.
+func StartCallers(t *Testbed, seed uint64, busy int) *Callers {
 	ctx, stop := context.WithCancel(context.Background())
-	c := &Callers{site: s, stop: stop}
-	for i := range s.nodes {
-		for k := range each + restingCallers {
-			how := busyCaller
-			if k >= each {
-				how = restingCaller
+	c := &Callers{testbed: t, stop: stop}
+	for i := range t.nodes {
+		for k := range busy + idleCallers {
+			profile := busyProfile
+			if k >= busy {
+				profile = idleProfile
 			}
-			random := rand.New(rand.NewPCG(seed, uint64(2+i*(each+restingCallers)+k)))
-			c.done.Go(func() { c.run(ctx, i, how, random) })
+			random := rand.New(rand.NewPCG(seed, uint64(2+i*(busy+idleCallers)+k)))
+			c.done.Go(func() { c.run(ctx, i, profile, random) })
 		}
 	}
 	return c
 }
 
-func (c *Callers) run(ctx context.Context, node int, how manner, random *rand.Rand) {
-	l := &line{}
-	defer l.close()
+func (c *Callers) run(ctx context.Context, node int, profile callerProfile, random *rand.Rand) {
+	conn := &callerConn{}
+	defer conn.close()
 	for ctx.Err() == nil {
-		c.ask(l, node, kinds[random.IntN(len(kinds))], how.patience)
+		c.sendOn(conn, node, kinds[random.IntN(len(kinds))], profile.timeout)
 		select {
 		case <-ctx.Done():
-		case <-time.After(how.pause(random)):
+		case <-time.After(profile.thinkTime(random)):
 		}
 	}
 }
 
-// Ask sends one request to an instance, on a connection of its own, and records the
-// answer.
-func (c *Callers) Ask(node int, kind Kind) Result {
-	l := &line{}
-	defer l.close()
-	return c.ask(l, node, kind, busyCaller.patience)
+// Send sends one request to an instance on a new connection and records the result.
+func (c *Callers) Send(node int, kind Kind) Result {
+	conn := &callerConn{}
+	defer conn.close()
+	return c.sendOn(conn, node, kind, busyProfile.timeout)
 }
 
-func (c *Callers) ask(l *line, node int, kind Kind, patience time.Duration) Result {
-	return c.send(l, Result{Kind: kind, Node: node}, patience)
+func (c *Callers) sendOn(conn *callerConn, node int, kind Kind, timeout time.Duration) Result {
+	return c.do(conn, Result{Kind: kind, Node: node}, timeout)
 }
 
-// Repeat sends a request under a name of its own, on a connection of its own: whatever has
-// the same name is the same request.
-func (c *Callers) Repeat(node int, kind Kind, name string) Result {
-	l := &line{}
-	defer l.close()
-	return c.send(l, Result{Kind: kind, Node: node, Name: name}, busyCaller.patience)
+// Resend sends a request with the given name on a new connection. All attempts with the
+// same name are the same request: they have the same path and body.
+func (c *Callers) Resend(node int, kind Kind, name string) Result {
+	conn := &callerConn{}
+	defer conn.close()
+	return c.do(conn, Result{Kind: kind, Node: node, Name: name}, busyProfile.timeout)
 }
 
-// send sends a request and records its answer.
-func (c *Callers) send(l *line, a Result, patience time.Duration) Result {
-	a.Attempt, a.Sent = c.nextID(), time.Now()
-	name := cmp.Or(a.Name, a.Attempt)
+// do sends a request and records its result.
+func (c *Callers) do(conn *callerConn, res Result, timeout time.Duration) Result {
+	res.Attempt, res.Sent = c.nextID(), time.Now()
+	name := cmp.Or(res.Name, res.Attempt)
 	req, err := fake.Request{
-		Address: c.site.nodes[a.Node].callers, Method: a.Kind.Method, Path: a.Kind.Path + name, Attempt: a.Attempt,
-		Model: a.Kind.Model, Body: requestBody(name), Timeout: patience,
+		Address: c.testbed.nodes[res.Node].callerAddress, Method: res.Kind.Method, Path: res.Kind.Path + name, Attempt: res.Attempt,
+		Model: res.Kind.Model, Body: requestBody(name), Timeout: timeout,
 	}.HTTP(context.Background())
 	if err == nil {
-		err = l.ask(req, &a, a.Sent.Add(patience+answerSlack))
+		err = conn.roundTrip(req, &res, res.Sent.Add(timeout+timeoutSlack))
 	}
 	if err != nil {
-		a.Failure = err.Error()
+		res.Failure = err.Error()
 	}
-	a.Ended = time.Now()
-	return c.record(a)
+	res.Ended = time.Now()
+	return c.record(res)
 }
 
 func (c *Callers) nextID() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked++
-	return fmt.Sprintf("a%06d", c.asked)
+	c.sent++
+	return fmt.Sprintf("a%06d", c.sent)
 }
 
-func (c *Callers) record(a Result) Result {
+func (c *Callers) record(res Result) Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answers = append(c.answers, a)
-	return a
+	c.results = append(c.results, res)
+	return res
 }
 
-// Stop ends the callers and waits for their last answers.
+// Stop stops the callers and waits for their last results.
 func (c *Callers) Stop() {
 	c.stop()
 	c.done.Wait()
 }
 
-// Answers are all that were recorded.
-func (c *Callers) Answers() []Result {
+// Results returns all recorded results.
+func (c *Callers) Results() []Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.answers
+	return c.results
 }
--- a/soak/judge_test.go
+++ b/soak/check_test.go
@@ -11,23 +11,23 @@
 	"github.com/eiderspring/eiderspring/platform/fake"
 )
 
-// session is a run in which nothing is broken.
-func session() ([]Result, []Record) {
+// cleanRun returns the results and records of a run without violations.
+func cleanRun() ([]Result, []Record) {
 	start := time.Unix(1000, 0)
 	streamed := ""
 	for i := range fake.StreamEvents {
 		streamed += fake.StreamEvent("s1", i)
 	}
-	answers := []Result{
+	results := []Result{
 		{Attempt: "p1", Kind: kindUnsafe, Status: http.StatusOK, Seal: "seal-w1", Body: plainBody(kindUnsafe, "p1", "w1")},
 		{Attempt: "p2", Kind: kindUnsafe, Status: http.StatusServiceUnavailable},
 		{Attempt: "p3", Kind: kindUnsafe, Status: http.StatusBadGateway},
 		{Attempt: "s1", Kind: kindStream, Status: http.StatusOK, Seal: "seal-w2", Body: streamed},
 		{Attempt: "s2", Kind: kindResumable, Status: http.StatusOK, Seal: "seal-w2", Body: fake.StreamEvent("s2", 0) + "id: 1\nda", Failure: "reset"},
-		{Attempt: "c1", Kind: kindUnsafe, Kept: true, Sent: start, Ended: start.Add(time.Millisecond), Failure: "EOF"},
+		{Attempt: "c1", Kind: kindUnsafe, Reused: true, Sent: start, Ended: start.Add(time.Millisecond), Failure: "EOF"},
 		{Attempt: "c2", Kind: kindUnsafe, Sent: start, Ended: start.Add(time.Second), Failure: "EOF"},
-		{Attempt: "c3", Kind: kindUnsafe, Node: 1, Kept: true, Sent: start, Ended: start.Add(time.Second), Failure: "EOF"},
-		{Attempt: "c4", Kind: kindUnsafe, Kept: true, Status: http.StatusBadGateway, Sent: start, Ended: start.Add(time.Second), Failure: "EOF"},
+		{Attempt: "c3", Kind: kindUnsafe, Node: 1, Reused: true, Sent: start, Ended: start.Add(time.Second), Failure: "EOF"},
+		{Attempt: "c4", Kind: kindUnsafe, Reused: true, Status: http.StatusBadGateway, Sent: start, Ended: start.Add(time.Second), Failure: "EOF"},
 	}
 	ran := func(worker, service, attempt string) Record {
 		return Record{At: start, Worker: worker, Service: service, WorkerEvent: fake.WorkerEvent{What: fake.EventRun, Attempt: attempt}}
@@ -43,25 +43,25 @@
 		ordered(0, "n1", 1), ordered(time.Second, "n1", 1), ordered(3*time.Second, "n2", 2),
 		left("w3", 0), left("w1", -time.Second),
 	}
-	return answers, records
+	return results, records
 }
 
-var sessionRules = Rules{
-	OrderLease: 1500 * time.Millisecond, LeaveBound: 2 * time.Second, LeavesFrom: time.Unix(1000, 0),
-	Crossing: time.Millisecond, Patient: true, Disturbed: func(a Result) bool { return a.Node == 1 },
+var cleanRules = Rules{
+	OrderLease: 1500 * time.Millisecond, MaxLeaveTime: 2 * time.Second, LeavesFrom: time.Unix(1000, 0),
+	CloseRaceWindow: time.Millisecond, CheckTimeouts: true, ExcusedResult: func(a Result) bool { return a.Node == 1 },
 }
 
-func TestJudgePassesWhatIsSound(t *testing.T) {
-	answers, records := session()
-	require.Empty(t, Check(answers, records, sessionRules))
+func TestCheckAcceptsACleanRun(t *testing.T) {
+	results, records := cleanRun()
+	require.Empty(t, Check(results, records, cleanRules))
 }
 
-// TestJudgeSeesARequestThatIsNotHeldBack lets a request end endpoints: three before all
-// know, one on the way, and so many late.
-func TestJudgeSeesARequestThatIsNotHeldBack(t *testing.T) {
+// TestCheckReportsACrashingRequestThatIsNotHeldBack has a request crash three endpoints
+// before all instances know, one while the knowledge propagates, and some late.
+func TestCheckReportsACrashingRequestThatIsNotHeldBack(t *testing.T) {
 	start := time.Unix(1000, 0)
-	play := func(late int, rules Rules) []string {
-		var answers []Result
+	check := func(late int, rules Rules) []string {
+		var results []Result
 		var records []Record
 		for i := range 4 + late {
 			at := start.Add(time.Duration(i) * time.Millisecond)
@@ -69,34 +69,34 @@
 				at = at.Add(4 * time.Second)
 			}
 			attempt := strings.Repeat("x", i+1)
-			answers = append(answers, Result{Attempt: attempt, Kind: kindUnsafe, Name: crashing + "1", Sent: at, Ended: at, Status: http.StatusBadGateway})
+			results = append(results, Result{Attempt: attempt, Kind: kindUnsafe, Name: crashingPrefix + "1", Sent: at, Ended: at, Status: http.StatusBadGateway})
 			records = append(records, Record{At: at, Worker: "w", Service: fake.Plain, WorkerEvent: fake.WorkerEvent{What: fake.EventRun, Attempt: attempt}})
 		}
-		return Check(answers, records, rules)
+		return Check(results, records, rules)
 	}
-	rules := Rules{Known: 3 * time.Second}
-	require.Empty(t, play(3, rules))
-	broken := play(4, rules)
-	require.Len(t, broken, 1)
-	require.Contains(t, broken[0], "not held back: crashing-1 ended 8 endpoints, 4 of them late")
-	rules.InTouch = func(Result, time.Time) bool { return false }
-	require.Empty(t, play(4, rules))
-	require.Empty(t, play(4, Rules{}))
+	rules := Rules{PropagationTime: 3 * time.Second}
+	require.Empty(t, check(3, rules))
+	violations := check(4, rules)
+	require.Len(t, violations, 1)
+	require.Contains(t, violations[0], "not held back: crashing-1 crashed 8 endpoints, 4 of them late")
+	rules.Undisturbed = func(Result, time.Time) bool { return false }
+	require.Empty(t, check(4, rules))
+	require.Empty(t, check(4, Rules{}))
 }
 
-// TestJudgeSeesEachBrokenPromise breaks one promise at a time.
-func TestJudgeSeesEachBrokenPromise(t *testing.T) {
-	for want, spoil := range map[string]func(a []Result, r []Record) []Record{
+// TestCheckReportsEachViolation violates one guarantee at a time.
+func TestCheckReportsEachViolation(t *testing.T) {
+	for want, violate := range map[string]func(a []Result, r []Record) []Record{
 		"ran twice": func(_ []Result, r []Record) []Record { return append(r, r[0]) },
 		"refused but ran": func(a []Result, r []Record) []Record {
 			a[2].Status = http.StatusTooManyRequests
 			return r
 		},
-		"unasked":       func(_ []Result, r []Record) []Record { r[0].Attempt = "nobody's"; return r },
+		"not requested": func(_ []Result, r []Record) []Record { r[0].Attempt = "nobody's"; return r },
 		"wrong service": func(_ []Result, r []Record) []Record { r[2].Service = fake.Plain; return r },
 		"wrong answer":  func(a []Result, r []Record) []Record { a[0].Body = plainBody(kindUnsafe, "p9", "w1"); return r },
 		"no seal":       func(a []Result, r []Record) []Record { a[0].Seal = ""; return r },
-		"cut but looks whole": func(a []Result, r []Record) []Record {
+		"truncated but looks complete": func(a []Result, r []Record) []Record {
 			a[4].Body, a[4].Failure = fake.StreamEvent("s2", 0), ""
 			return r
 		},
@@ -108,12 +108,12 @@
 			return append(r, Record{WorkerEvent: fake.WorkerEvent{What: fake.EventOverload}})
 		},
 		"two holders": func(_ []Result, r []Record) []Record { r[7].Fence = 1; return r },
-		"an old holder": func(_ []Result, r []Record) []Record {
+		"stale holder": func(_ []Result, r []Record) []Record {
 			late := r[6]
 			late.At = late.At.Add(time.Hour)
 			return append(r, late)
 		},
-		"an endpoint that leaves": func(_ []Result, r []Record) []Record {
+		"run after leave": func(_ []Result, r []Record) []Record {
 			r[4].At = r[8].At.Add(2*time.Second + 1)
 			return r
 		},
@@ -126,54 +126,55 @@
 			ran.Attempt = "c1"
 			return append(r, ran)
 		},
-		"neither answered nor refused: c2": func(a []Result, r []Record) []Record { a[6].Kept = true; return r },
+		"neither answered nor refused: c2": func(a []Result, r []Record) []Record { a[6].Reused = true; return r },
 		"neither answered nor refused: c3": func(a []Result, r []Record) []Record { a[7].Node = 0; return r },
 		"neither answered nor refused: c4": func(a []Result, r []Record) []Record {
 			a[8].Status, a[8].TimedOut = 0, true
 			return r
 		},
-		"turns": func(_ []Result, r []Record) []Record { r[7].At = r[6].At.Add(time.Second); return r },
+		"order lease overlap": func(_ []Result, r []Record) []Record { r[7].At = r[6].At.Add(time.Second); return r },
 	} {
-		answers, records := session()
-		records = spoil(answers, records)
-		broken := Check(answers, records, sessionRules)
-		require.NotEmpty(t, broken, want)
-		require.Contains(t, broken[0], want)
+		results, records := cleanRun()
+		records = violate(results, records)
+		violations := Check(results, records, cleanRules)
+		require.NotEmpty(t, violations, want)
+		require.Contains(t, violations[0], want)
 	}
 }
 
-// TestOverdueAnswersNeedAnIdleMachine leaves out only what callers gave up.
-func TestOverdueAnswersNeedAnIdleMachine(t *testing.T) {
-	answers, records := session()
-	answers[8].Status, answers[8].TimedOut = 0, true
-	rules := sessionRules
-	rules.Patient = false
-	require.Empty(t, Check(answers, records, rules))
-	answers[8].TimedOut = false
-	require.Len(t, Check(answers, records, rules), 1)
+// TestTimeoutsAreIgnoredOnAnOverloadedMachine checks that only requests whose callers
+// gave up are left out.
+func TestTimeoutsAreIgnoredOnAnOverloadedMachine(t *testing.T) {
+	results, records := cleanRun()
+	results[8].Status, results[8].TimedOut = 0, true
+	rules := cleanRules
+	rules.CheckTimeouts = false
+	require.Empty(t, Check(results, records, rules))
+	results[8].TimedOut = false
+	require.Len(t, Check(results, records, rules), 1)
 }
 
-func TestLeavesAmongFaultsAreNotJudged(t *testing.T) {
-	answers, records := session()
+func TestLeavesDuringFaultsAreIgnored(t *testing.T) {
+	results, records := cleanRun()
 	records[0].At = records[9].At.Add(time.Hour)
-	require.Empty(t, Check(answers, records, sessionRules))
+	require.Empty(t, Check(results, records, cleanRules))
 }
 
-func TestOrdersRightAfterAWakeAreExcused(t *testing.T) {
-	answers, records := session()
+func TestOrdersRightAfterAResumeAreExcused(t *testing.T) {
+	results, records := cleanRun()
 	records[7].At = records[6].At.Add(time.Second)
-	rules := sessionRules
-	rules.Excused = func(r Record) bool { return r.Holder == "n2" }
-	require.Empty(t, Check(answers, records, rules))
+	rules := cleanRules
+	rules.ExcusedOrder = func(r Record) bool { return r.Holder == "n2" }
+	require.Empty(t, Check(results, records, rules))
 }
 
 func TestSchedulesComeFromTheSeed(t *testing.T) {
 	size := Size{Nodes: 3, Engines: 2, Plain: 2, Faults: time.Minute}
-	require.Equal(t, Draw(7, size), Draw(7, size))
-	require.NotEqual(t, Draw(7, size), Draw(8, size))
+	require.Equal(t, NewSchedule(7, size), NewSchedule(7, size))
+	require.NotEqual(t, NewSchedule(7, size), NewSchedule(8, size))
 	seen := map[Action]bool{}
 	for seed := range uint64(20) {
-		for _, f := range Draw(seed, size) {
+		for _, f := range NewSchedule(seed, size) {
 			seen[f.Action] = true
 			require.LessOrEqual(t, f.At+f.For, size.Faults)
 		}
@@ -183,8 +184,8 @@
 	}
 }
 
-// TestDisturbancesExcuse has requests that were sent at 10 s, on connections from 1 s,
-// and went without an answer until 13 s.
+// TestDisturbancesExcuse has requests that were sent at 10 s on connections from 1 s and
+// had no response by 13 s.
 func TestDisturbancesExcuse(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
 	gaveUp := Result{Dialed: at(1), Sent: at(10), Ended: at(13), TimedOut: true}
@@ -210,26 +211,27 @@
 	}
 }
 
-// TestLimitsAreJudged has requests at an endpoint that names a limit: too many at once count
-// only from instances in touch, while it names it, and once all had the time to know.
-func TestLimitsAreJudged(t *testing.T) {
+// TestRunsBeyondALimitAreReported has too many requests at an endpoint with a limit. They
+// count only from undisturbed instances, while the limit is announced, and once all
+// instances had the time to learn it.
+func TestRunsBeyondALimitAreReported(t *testing.T) {
 	start := time.Unix(1000, 0)
 	record := func(what string, after time.Duration) Record {
 		return Record{At: start.Add(after), Worker: "w1", Service: fake.Plain, WorkerEvent: fake.WorkerEvent{What: what, Attempt: "r"}}
 	}
-	play := func(burst time.Duration, n int) []Record {
+	recordsOf := func(burst time.Duration, n int) []Record {
 		records := []Record{record(HappenedLimited, 0)}
 		for i := range n {
 			records = append(records, record(fake.EventRun, burst+time.Duration(i)*100*time.Millisecond))
 		}
 		return append(records, record(HappenedUnlimited, LimitTime))
 	}
-	answers := []Result{{Attempt: "r", Kind: kindSafe, Failure: "gave up"}}
+	results := []Result{{Attempt: "r", Kind: kindSafe, Failure: "gave up"}}
 	rules := Rules{LimitWindow: limitWindow}
-	require.Len(t, Check(answers, play(knownTime, 18), rules), 1)
-	require.Empty(t, Check(answers, play(knownTime, 17), rules))
-	require.Empty(t, Check(answers, play(time.Second, 18), rules), "some came before all knew")
-	require.Empty(t, Check(answers, append(play(0, 0), play(knownTime, 18)[1:19]...), rules), "it names none any more")
-	rules.InTouch = func(Result, time.Time) bool { return false }
-	require.Empty(t, Check(answers, play(knownTime, 18), rules))
+	require.Len(t, Check(results, recordsOf(propagationTime, 18), rules), 1)
+	require.Empty(t, Check(results, recordsOf(propagationTime, 17), rules))
+	require.Empty(t, Check(results, recordsOf(time.Second, 18), rules), "some ran before all instances knew the limit")
+	require.Empty(t, Check(results, append(recordsOf(0, 0), recordsOf(propagationTime, 18)[1:19]...), rules), "the limit has ended")
+	rules.Undisturbed = func(Result, time.Time) bool { return false }
+	require.Empty(t, Check(results, recordsOf(propagationTime, 18), rules))
 }
--- a/soak/crashing.go
+++ b/soak/crashing.go
@@ -9,77 +9,81 @@
 )
 
 const (
-	// crashing begins the names of requests that end the endpoints which run them.
-	crashing = "crashing-"
-	// repeatEvery is the time between two repeats, repeatMore how long behind the last
-	// fault they go on: instances are in touch knownTime behind it, and then it shows what
-	// they know.
-	repeatEvery = 150 * time.Millisecond
-	repeatMore  = 7 * time.Second
-	// knownTime is how long instances in touch have to know that a request ends endpoints.
-	knownTime = 3 * time.Second
-	// backTime is how long an endpoint that has ended is gone.
-	backTime = time.Second
+	// crashingPrefix starts the names of requests that crash the endpoints which run them.
+	crashingPrefix = "crashing-"
+	// resendInterval is the time between two attempts. Attempts continue for resendTail
+	// after the last fault: instances count as undisturbed from propagationTime after it
+	// on, and only the attempts after that show what they know.
+	resendInterval = 150 * time.Millisecond
+	resendTail     = 7 * time.Second
+	// propagationTime is the time within which undisturbed instances must learn that a
+	// request crashes endpoints, or that an endpoint has a limit.
+	propagationTime = 3 * time.Second
+	// restartDelay is the interval of the checks for crashed endpoints, so that a crashed
+	// endpoint is absent for up to that time.
+	restartDelay = time.Second
 )
 
-// EndsEndpoint tells whether a request is one that ends the endpoint which runs it.
-func CrashesEndpoint(path string) bool { return strings.Contains(path, "/"+crashing) }
+// CrashesEndpoint reports whether a request with this path crashes the endpoint that runs
+// it.
+func CrashesEndpoint(path string) bool { return strings.Contains(path, "/"+crashingPrefix) }
 
-// repeatCrashing sends a request that ends endpoints to all instances in turn, and starts
-// the endpoints again.
-func (r *run) repeatCrashing(f Fault) {
+// resendCrashing sends a request that crashes endpoints to all instances in turn;
+// restartWorkers restarts the endpoints.
+func (r *run) resendCrashing(f Fault) {
 	kind := []Kind{kindUnsafe, kindStream}[f.Target%2]
-	name := fmt.Sprintf("%s%d", crashing, time.Now().UnixNano())
-	end := time.Now().Add(r.options.Size.Faults - f.At + repeatMore)
+	name := fmt.Sprintf("%s%d", crashingPrefix, time.Now().UnixNano())
+	end := time.Now().Add(r.options.Size.Faults - f.At + resendTail)
 	for i := 0; time.Now().Before(end); i++ {
-		node := (f.Target + i) % len(r.site.nodes)
-		r.faults.Go(func() { r.callers.Repeat(node, kind, name) })
-		time.Sleep(repeatEvery)
+		node := (f.Target + i) % len(r.testbed.nodes)
+		r.faults.Go(func() { r.callers.Resend(node, kind, name) })
+		time.Sleep(resendInterval)
 	}
 	slog.Info("crashing request repeated", "name", name)
 }
 
-// keepWorkers starts workers again that have ended by a request, until stop is closed and
-// all run.
-func (r *run) keepWorkers(stop <-chan struct{}) {
+// restartWorkers restarts workers that a request has crashed. Once stop is closed, it
+// checks all workers a last time and returns.
+func (r *run) restartWorkers(stop <-chan struct{}) {
 	for stopped := false; !stopped; {
 		select {
 		case <-stop:
 			stopped = true
-		case <-time.After(backTime):
+		case <-time.After(restartDelay):
 		}
-		for _, w := range r.site.workers {
-			r.keepWorker(w)
+		for _, w := range r.testbed.workers {
+			r.restartWorker(w)
 		}
 	}
 }
 
-// keepWorker starts a worker again, unless a fault has ended it and will.
-func (r *run) keepWorker(w *worker) {
-	if w.running() || w.ending() {
+// restartWorker restarts a worker that has exited, unless a fault stopped it: the fault
+// then restarts it.
+func (r *run) restartWorker(w *worker) {
+	if w.running() || w.stopping() {
 		return
 	}
-	if err := r.site.startAgain(r.options.Programs.StandIns, w, false); err != nil {
-		r.add("not started: %s: %v", w.name, err)
+	if err := r.testbed.startIncarnation(r.options.Programs.StandIns, w, false); err != nil {
+		r.addViolation("not started: %s: %v", w.name, err)
 	}
 }
 
-// inTouch tells whether an instance was undisturbed for knownTime before it took a
-// request, and since a moment not all instances were killed, who then know nothing.
-func (s *Site) inTouch(a Result, since time.Time) bool {
-	if s.killedAllSince(since) {
+// undisturbed reports whether the instance of a request was undisturbed from
+// propagationTime before the request until its end, and not all instances have been
+// killed since the given time: if all were killed, what they knew is lost.
+func (t *Testbed) undisturbed(res Result, since time.Time) bool {
+	if t.allKilledSince(since) {
 		return false
 	}
-	return !slices.ContainsFunc(s.disturbances[s.nodes[a.Node].name], func(d disturbance) bool {
-		return d.from.Before(a.Ended) && d.to.After(a.Sent.Add(-knownTime))
+	return !slices.ContainsFunc(t.disturbances[t.nodes[res.Node].name], func(d disturbance) bool {
+		return d.from.Before(res.Ended) && d.to.After(res.Sent.Add(-propagationTime))
 	})
 }
 
-// killedAllSince tells whether a moment came since, in which every instance had been
-// killed since.
-func (s *Site) killedAllSince(since time.Time) bool {
-	for _, n := range s.nodes {
-		if !slices.ContainsFunc(s.disturbances[n.name], func(d disturbance) bool { return d.action == NodeKill && d.to.After(since) }) {
+// allKilledSince reports whether every instance has been killed since the given time.
+func (t *Testbed) allKilledSince(since time.Time) bool {
+	for _, n := range t.nodes {
+		if !slices.ContainsFunc(t.disturbances[n.name], func(d disturbance) bool { return d.action == NodeKill && d.to.After(since) }) {
 			return false
 		}
 	}
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,9 +1,10 @@
 // Package soak runs the real program as separate processes on one machine,
-// injects faults from outside them, and checks the product's promises from what
-// callers and endpoints see.
+// injects faults from outside, and checks the guarantees of the system against what
+// callers and endpoints observe.
 //
-// A run is drawn from a seed: Draw makes the schedule of faults, Site starts the
-// processes and carries the schedule out, Callers ask and record, and Judge, which
-// has no I/O, decides on the records. The stand-ins are those of platform/fake, as
+// A run is derived from a seed: NewSchedule generates the schedule of faults, Testbed
+// starts the processes, Run injects the faults, Callers send requests and record the
+// results, and Check, which does no I/O, looks for violations in the records. The
+// stand-ins for the store and the endpoints are those of platform/fake and run as
 // processes too.
 package soak
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -8,58 +8,60 @@
 )
 
 const (
-	// limitWindow is the time in which requests beyond an endpoint's limit are counted.
+	// limitWindow is the sliding window in which the requests at an endpoint with a limit
+	// are counted.
 	limitWindow = 4 * time.Second
-	// limitOver and limitSlack are what instances in touch may send in limitWindow: so many
-	// times what the limit allows, and so many requests more.
-	limitOver  = 1.5
-	limitSlack = 5
+	// In limitWindow, undisturbed instances may send limitFactor times the requests that
+	// the limit allows, plus limitSlack requests.
+	limitFactor = 1.5
+	limitSlack  = 5
 )
 
-// limits checks that endpoints which name limits get no more, from knownTime behind that on.
-func (j *judge) limits(answers []Result, records []Record) {
-	if j.rules.LimitWindow == 0 {
+// checkLimits checks that endpoints that announce a limit receive no more requests than it
+// allows, starting propagationTime after the announcement.
+func (c *checker) checkLimits(results []Result, records []Record) {
+	if c.rules.LimitWindow == 0 {
 		return
 	}
-	asked := make(map[string]Result, len(answers))
-	for _, a := range answers {
-		asked[a.Attempt] = a
+	sent := make(map[string]Result, len(results))
+	for _, res := range results {
+		sent[res.Attempt] = res
 	}
 	limited := map[string]time.Time{}
 	runs := map[string][]time.Time{}
 	for _, r := range records {
-		from, is := limited[r.Worker]
+		from, isLimited := limited[r.Worker]
 		switch {
-		case r.What == HappenedLimited && !is:
+		case r.What == HappenedLimited && !isLimited:
 			limited[r.Worker] = r.At
 		case r.What == HappenedUnlimited:
-			j.limited(r.Worker, runs[r.Worker])
+			c.checkLimitedRuns(r.Worker, runs[r.Worker])
 			delete(limited, r.Worker)
 			delete(runs, r.Worker)
-		case r.What == fake.EventRun && is && r.At.Sub(from) >= knownTime && j.inTouch(asked[r.Attempt], from):
+		case r.What == fake.EventRun && isLimited && r.At.Sub(from) >= propagationTime && c.undisturbed(sent[r.Attempt], from):
 			runs[r.Worker] = append(runs[r.Worker], r.At)
 		}
 	}
 	for worker, at := range runs {
-		j.limited(worker, at)
+		c.checkLimitedRuns(worker, at)
 	}
 }
 
-func (j *judge) inTouch(a Result, since time.Time) bool {
-	return j.rules.InTouch == nil || j.rules.InTouch(a, since)
+func (c *checker) undisturbed(res Result, since time.Time) bool {
+	return c.rules.Undisturbed == nil || c.rules.Undisturbed(res, since)
 }
 
-// limited checks the runs at one endpoint while it named a limit.
-func (j *judge) limited(worker string, at []time.Time) {
+// checkLimitedRuns checks the runs at one endpoint while it announced a limit.
+func (c *checker) checkLimitedRuns(worker string, at []time.Time) {
 	slices.SortFunc(at, time.Time.Compare)
-	const allowed = limitOver*LimitPerSecond*float64(limitWindow/time.Second) + limitSlack
+	const allowed = limitFactor*LimitPerSecond*float64(limitWindow/time.Second) + limitSlack
 	first := 0
 	for i := range at {
-		for at[i].Sub(at[first]) >= j.rules.LimitWindow {
+		for at[i].Sub(at[first]) >= c.rules.LimitWindow {
 			first++
 		}
 		if n := i - first + 1; float64(n) > allowed {
-			j.add("beyond its limit: %s, which named %d a second, ran %d requests in %s", worker, LimitPerSecond, n, j.rules.LimitWindow)
+			c.addViolation("beyond its limit: %s, limited to %d requests per second, ran %d requests in %s", worker, LimitPerSecond, n, c.rules.LimitWindow)
 			return
 		}
 	}
--- a/soak/process.go
+++ b/soak/process.go
@@ -12,71 +12,72 @@
 	"time"
 )
 
-// process is a program that the soak started, and starts again.
+// process is a program that the testbed starts and restarts.
 type process struct {
 	name    string
 	command []string
 	env     []string
-	logs    string
-	// lines gets each line of standard output, which the log has too; nil for none.
-	lines func([]byte)
+	logDir  string
+	// onLine, if not nil, is called with each line of standard output, which also goes
+	// to the log.
+	onLine func([]byte)
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// asked is set once the soak has told the process to end.
-	asked bool
-	ended chan struct{}
-	// crashes counts ends that nobody asked for.
+	// stopRequested is set when the testbed sends SIGTERM or SIGKILL to the process.
+	stopRequested bool
+	exited        chan struct{}
+	// crashes counts exits without a stop request.
 	crashes int
 }
 
-// start runs the program, unless it runs.
+// start starts the program unless it is running.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
 		return nil
 	}
-	log, err := os.OpenFile(filepath.Join(p.logs, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	logFile, err := os.OpenFile(filepath.Join(p.logDir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	cmd := exec.Command(p.command[0], p.command[1:]...)
-	cmd.Env, cmd.Stderr = p.env, log
+	cmd.Env, cmd.Stderr = p.env, logFile
 	out, err := cmd.StdoutPipe()
 	if err != nil {
-		log.Close()
+		logFile.Close()
 		return err
 	}
 	if err := cmd.Start(); err != nil {
-		log.Close()
+		logFile.Close()
 		return err
 	}
-	p.cmd, p.asked, p.ended = cmd, false, make(chan struct{})
-	go p.follow(cmd, out, log, p.ended)
+	p.cmd, p.stopRequested, p.exited = cmd, false, make(chan struct{})
+	go p.supervise(cmd, out, logFile, p.exited)
 	return nil
 }
 
-// follow reads the output to its end and waits for the process.
-func (p *process) follow(cmd *exec.Cmd, out io.Reader, log *os.File, ended chan struct{}) {
-	defer log.Close()
-	if p.lines == nil {
-		_, _ = io.Copy(log, out)
+// supervise reads the output to its end and waits for the process to exit.
+func (p *process) supervise(cmd *exec.Cmd, out io.Reader, logFile *os.File, exited chan struct{}) {
+	defer logFile.Close()
+	if p.onLine == nil {
+		_, _ = io.Copy(logFile, out)
 	} else {
-		scanner := bufio.NewScanner(io.TeeReader(out, log))
+		scanner := bufio.NewScanner(io.TeeReader(out, logFile))
 		for scanner.Scan() {
-			p.lines(scanner.Bytes())
+			p.onLine(scanner.Bytes())
 		}
 	}
 	err := cmd.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cmd = nil
-	if !p.asked {
+	if !p.stopRequested {
 		p.crashes++
-		_, _ = io.WriteString(log, "ended by itself: "+errorText(err)+"\n")
+		_, _ = io.WriteString(logFile, "exited unexpectedly: "+errorText(err)+"\n")
 	}
-	close(ended)
+	close(exited)
 }
 
 func errorText(err error) string {
@@ -86,7 +87,7 @@
 	return err.Error()
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the process if it is running.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,54 +95,55 @@
 		return
 	}
 	if s == syscall.SIGTERM || s == syscall.SIGKILL {
-		p.asked = true
+		p.stopRequested = true
 	}
 	_ = p.cmd.Process.Signal(s)
 }
 
-// end ends the process: by SIGKILL at once, or behind SIGTERM when grace is over.
-// It tells whether the process ended within the grace.
-func (p *process) end(s syscall.Signal, grace time.Duration) bool {
+// stop stops the process by a signal, and kills it if it has not exited after grace. It
+// reports whether the process exited within grace.
+func (p *process) stop(s syscall.Signal, grace time.Duration) bool {
 	p.mu.Lock()
-	running, ended := p.cmd != nil, p.ended
+	running, exited := p.cmd != nil, p.exited
 	p.mu.Unlock()
 	if !running {
 		return true
 	}
 	p.signal(s)
 	select {
-	case <-ended:
+	case <-exited:
 		return true
 	case <-time.After(grace):
 		p.signal(syscall.SIGKILL)
-		<-ended
+		<-exited
 		return false
 	}
 }
 
-// running tells whether the process is there.
+// running reports whether the process is running.
 func (p *process) running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
 }
 
-// ending tells whether the process has been told to end and has not started again.
-func (p *process) ending() bool {
+// stopping reports whether a stop of the process has been requested since its last
+// start.
+func (p *process) stopping() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.asked
+	return p.stopRequested
 }
 
-// crashed is how often the process ended by itself.
-func (p *process) crashed() int {
+// crashCount returns the number of exits without a stop request.
+func (p *process) crashCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.crashes
 }
 
-// recordLine reads a line of a worker.
-func recordLine(line []byte) (Record, error) {
+// parseRecord parses a line of a worker's standard output.
+func parseRecord(line []byte) (Record, error) {
 	var r Record
 	err := json.Unmarshal(line, &r)
 	return r, err
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// Proxy passes TCP connections on and disturbs them.
+// Proxy forwards TCP connections and disturbs them.
 type Proxy struct {
 	listener net.Listener
 	target   string
 
-	mu    sync.Mutex
-	mode  Action
-	calm  *sync.Cond
-	conns map[*net.TCPConn]bool
-	// muted are connections that carry nothing any more, though they stay open.
+	mu          sync.Mutex
+	mode        Action
+	modeChanged *sync.Cond
+	conns       map[*net.TCPConn]bool
+	// muted are connections that stay open but whose data is dropped.
 	muted map[*net.TCPConn]bool
 }
 
-// proxyDelay is how late each piece comes under LinkDelay.
+// proxyDelay is the delay of each chunk of data in the mode LinkDelay.
 const proxyDelay = 150 * time.Millisecond
 
-// NewProxy listens at an address and passes connections on to the target.
+// NewProxy listens at an address and forwards connections to target.
 func NewProxy(listen, target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
 	p := &Proxy{listener: l, target: target, conns: map[*net.TCPConn]bool{}, muted: map[*net.TCPConn]bool{}}
-	p.calm = sync.NewCond(&p.mu)
+	p.modeChanged = sync.NewCond(&p.mu)
 	go p.accept()
 	return p, nil
 }
 
-// Set changes what the proxy does; an empty action passes all on.
+// Set changes the mode of the proxy; the empty action forwards everything.
 func (p *Proxy) Set(a Action) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,11 +42,11 @@
 	if a == LinkReset {
 		p.reset()
 	}
-	p.calm.Broadcast()
+	p.modeChanged.Broadcast()
 }
 
-// Mute silences the connections that are open now, for good and without a reset; new
-// ones work. Only a timeout of its own tells either side.
+// Mute drops all further data of the connections that are open now, without a reset.
+// Either side notices only by a timeout of its own. New connections work.
 func (p *Proxy) Mute() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,14 +55,14 @@
 	}
 }
 
-// drops tells whether what comes from a connection goes nowhere.
-func (p *Proxy) drops(c *net.TCPConn) bool {
+// isMuted reports whether data from a connection is dropped.
+func (p *Proxy) isMuted(c *net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.muted[c]
 }
 
-// Close ends the proxy and its connections.
+// Close closes the listener and resets the connections.
 func (p *Proxy) Close() {
 	p.listener.Close()
 	p.Set(LinkReset)
@@ -70,7 +70,7 @@
 
 func (p *Proxy) reset() {
 	for c := range p.conns {
-		// Without lingering, a close resets.
+		// With a linger time of zero, Close sends a reset.
 		_ = c.SetLinger(0)
 		c.Close()
 	}
@@ -102,32 +102,32 @@
 		p.reset()
 	}
 	p.mu.Unlock()
-	go p.copy(target, caller, true)
-	p.copy(caller, target, false)
+	go p.pipe(target, caller, true)
+	p.pipe(caller, target, false)
 }
 
-// copy passes bytes on until either side ends. There is no half-open connection
-// in what passes here.
-func (p *Proxy) copy(to, from *net.TCPConn, forward bool) {
-	defer p.forget(to, from)
+// pipe forwards data in one direction until either side ends, and then closes both
+// connections: the protocols that pass here use no half-closed connections.
+func (p *Proxy) pipe(to, from *net.TCPConn, forward bool) {
+	defer p.closeConns(to, from)
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !p.drops(from) {
-			p.hold(forward)
+		if n > 0 && !p.isMuted(from) {
+			p.waitForMode(forward)
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
 		if err != nil {
-			p.hold(forward)
+			p.waitForMode(forward)
 			return
 		}
 	}
 }
 
-// hold waits as the mode says.
-func (p *Proxy) hold(forward bool) {
+// waitForMode delays a chunk of data, or blocks, as the mode requires.
+func (p *Proxy) waitForMode(forward bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.mode == LinkDelay {
@@ -136,11 +136,11 @@
 		p.mu.Lock()
 	}
 	for p.mode == LinkSilence || p.mode == LinkOneWay && !forward {
-		p.calm.Wait()
+		p.modeChanged.Wait()
 	}
 }
 
-func (p *Proxy) forget(conns ...*net.TCPConn) {
+func (p *Proxy) closeConns(conns ...*net.TCPConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -150,5 +150,5 @@
 	}
 }
 
-// Address is where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
--- a/soak/run.go
+++ b/soak/run.go
@@ -12,154 +12,154 @@
 	"github.com/eiderspring/eiderspring/platform/fake"
 )
 
-// Options are those of one run.
+// Options configure a run.
 type Options struct {
 	Programs Programs
 	Seed     uint64
 	Size     Size
-	// Plan is the schedule of faults; nil draws it from the seed.
-	Plan []Fault
-	// Callers is how many callers ask each instance.
+	// Schedule is the schedule of faults; if nil, it is generated from the seed.
+	Schedule []Fault
+	// Callers is the number of busy callers per instance.
 	Callers int
-	// Dir gets the logs of all processes.
+	// Dir is the directory for the logs of all processes.
 	Dir string
-	// Untimed leaves out what only holds on a machine that is not overloaded: the
-	// times between holders' orders, until an endpoint that leaves gets nothing,
-	// and of a planned stop.
+	// SkipTimingChecks leaves out the guarantees that hold only on a machine that is
+	// not overloaded, such as the time between orders of different holders, the time
+	// until an endpoint that leaves receives no requests, and that of a planned stop.
 	SkipTimingChecks bool
 }
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
 	Seed                     uint64
 	Faults, Requests, Served int
-	// Broken are the promises that were broken.
+	// Violations are the violated guarantees, one message each.
 	Violations []string
 }
 
-// String is the report as one line.
+// String returns the report as one line.
 func (r Report) String() string {
 	return fmt.Sprintf("seed=%d faults=%d requests=%d served=%d broken=%d", r.Seed, r.Faults, r.Requests, r.Served, len(r.Violations))
 }
 
 const (
-	// calmPatience bounds the wait for what must come back when all faults have
-	// ended.
-	calmPatience = 20 * time.Second
-	// calmTries is how many requests of each kind every instance must then serve in
-	// a row, or nearly.
-	calmTries = 10
-	// settleTime lets what is on its way arrive before the judge looks.
+	// recoveryTimeout bounds the wait for each part of the recovery after all faults
+	// have ended.
+	recoveryTimeout = 20 * time.Second
+	// recoveryAttempts is the number of successive requests of each kind of which
+	// every instance must then serve at least 80 %.
+	recoveryAttempts = 10
+	// settleTime is the time for data in flight to arrive before the checks.
 	settleTime = 500 * time.Millisecond
-	// loadMargin is what the machine's load may add to the time until an endpoint
-	// that leaves gets nothing.
+	// loadMargin is what the load of the machine may add to the time until an endpoint
+	// that leaves receives no requests.
 	loadMargin = 300 * time.Millisecond
-	// crossMost is how long after its sending a request may meet the close of a
-	// connection that was at rest, on a machine that is overloaded. On others none
-	// does: callers rest for half the time that instances leave connections open.
-	crossMost = 2 * time.Second
+	// maxCloseRace is how long after its sending a request may cross the close of an
+	// idle connection on an overloaded machine. On others none does: callers are idle
+	// for at most half the time that instances keep connections open.
+	maxCloseRace = 2 * time.Second
 )
 
-// Run plays the schedule of a seed and judges it.
+// Run injects the faults of a schedule and checks the guarantees.
 func Run(o Options) (Report, error) {
 	report := Report{Seed: o.Seed}
-	site, err := NewSite(o.Programs, o.Size, o.Dir)
+	testbed, err := NewTestbed(o.Programs, o.Size, o.Dir)
 	if err != nil {
 		return report, err
 	}
-	defer site.Close()
-	r := &run{options: o, site: site}
+	defer testbed.Close()
+	r := &run{options: o, testbed: testbed}
 	if !r.allReady() {
-		return report, fmt.Errorf("not ready within %s, logs in %s", calmPatience, o.Dir)
-	}
-	r.callers = StartCallers(site, o.Seed, o.Callers)
-	plan := o.Plan
-	if plan == nil {
-		plan = Draw(o.Seed, o.Size)
-	}
-	played, kept := make(chan struct{}), sync.WaitGroup{}
-	kept.Go(func() { r.keepWorkers(played) })
-	r.play(plan)
-	close(played)
-	kept.Wait()
-	r.calm()
-	// Callers go on while the instances end.
-	r.stop()
+		return report, fmt.Errorf("not ready within %s, logs in %s", recoveryTimeout, o.Dir)
+	}
+	r.callers = StartCallers(testbed, o.Seed, o.Callers)
+	schedule := o.Schedule
+	if schedule == nil {
+		schedule = NewSchedule(o.Seed, o.Size)
+	}
+	scheduleDone, restarts := make(chan struct{}), sync.WaitGroup{}
+	restarts.Go(func() { r.restartWorkers(scheduleDone) })
+	r.inject(schedule)
+	close(scheduleDone)
+	restarts.Wait()
+	r.checkRecovery()
+	// Callers keep sending while the instances stop.
+	r.stopInstances()
 	r.callers.Stop()
 	time.Sleep(settleTime)
-	site.Close()
-	return r.judge(report, len(plan)), nil
+	testbed.Close()
+	return r.check(report, len(schedule)), nil
 }
 
 type run struct {
-	options Options
-	site    *Site
-	callers *Callers
-	faults  sync.WaitGroup
-	mu      sync.Mutex
-	broken  []string
-	// leavesFrom is when all faults were over and endpoints began to leave.
+	options    Options
+	testbed    *Testbed
+	callers    *Callers
+	faults     sync.WaitGroup
+	mu         sync.Mutex
+	violations []string
+	// leavesFrom is when endpoints begin to leave, after all faults have ended.
 	leavesFrom time.Time
 }
 
-func (r *run) add(format string, args ...any) {
+func (r *run) addViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = append(r.broken, fmt.Sprintf(format, args...))
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// play injects the faults at their times and waits until all have ended.
-func (r *run) play(plan []Fault) {
-	began := time.Now()
-	for _, f := range plan {
-		time.Sleep(time.Until(began.Add(f.At)))
+// inject injects the faults at their times and waits until all have ended.
+func (r *run) inject(schedule []Fault) {
+	start := time.Now()
+	for _, f := range schedule {
+		time.Sleep(time.Until(start.Add(f.At)))
 		slog.Info("fault", "fault", f.String())
-		r.faults.Go(func() { r.inject(f) })
+		r.faults.Go(func() { r.injectFault(f) })
 	}
 	r.faults.Wait()
 }
 
-func (r *run) inject(f Fault) {
-	s := r.site
+func (r *run) injectFault(f Fault) {
+	t := r.testbed
 	switch f.Action {
 	case NodeTerm, NodeKill:
-		r.restartNode(s.nodes[f.Target], f)
+		r.restartNode(t.nodes[f.Target], f)
 	case AllKill:
 		var all sync.WaitGroup
-		for _, n := range s.nodes {
+		for _, n := range t.nodes {
 			all.Go(func() { r.restartNode(n, Fault{Action: NodeKill, For: f.For}) })
 		}
 		all.Wait()
 	case NodeStandstill:
-		// One that ends as planned would not get to its end within the grace.
-		if !s.nodes[f.Target].ending() {
-			r.pauseNode(s.nodes[f.Target], f)
+		// An instance that is paused during a planned stop exceeds its grace period.
+		if !t.nodes[f.Target].stopping() {
+			r.pauseNode(t.nodes[f.Target], f)
 		}
 	case NodePause:
-		r.pauseNode(s.nodes[f.Target], f)
+		r.pauseNode(t.nodes[f.Target], f)
 	case NodeHangup:
-		s.nodes[f.Target].signal(syscall.SIGHUP)
-	case WorkerTerm, WorkerKill, WorkerPause, WorkerReborn:
-		r.disturbWorker(s.workers[f.Target], f)
+		t.nodes[f.Target].signal(syscall.SIGHUP)
+	case WorkerTerm, WorkerKill, WorkerPause, WorkerRestart:
+		r.injectWorkerFault(t.workers[f.Target], f)
 	case WorkerLimit:
-		s.workers[f.Target].signal(LimitSignal)
+		t.workers[f.Target].signal(LimitSignal)
 	case StoreRefusing, StoreLosing, StoreSilent:
-		s.tellStore("mode/" + string(f.Action))
+		t.controlStore("mode/" + string(f.Action))
 		time.Sleep(f.For)
-		s.tellStore("mode/up")
+		t.controlStore("mode/up")
 	case StoreForget:
-		s.tellStore("forget")
+		t.controlStore("forget")
 	case StoreCopied:
-		s.tellStore("copied")
-		r.rewrite()
+		t.controlStore("copied")
+		r.rewriteConfiguration()
 	case ForeignEntry:
-		s.spoilEntries(f.Target)
+		t.writeForeignEntries(f.Target)
 	case CrashingRequest:
-		r.repeatCrashing(f)
+		r.resendCrashing(f)
 	case Reconfigure:
-		r.reconfigure()
+		r.moveRoute()
 	default:
-		r.disturbLink(f)
+		r.injectLinkFault(f)
 	}
 }
 
@@ -167,34 +167,34 @@
 	from := time.Now()
 	n.signal(syscall.SIGSTOP)
 	time.Sleep(f.For)
-	r.site.excuse(n)
+	r.testbed.excuseOrders(n)
 	n.signal(syscall.SIGCONT)
-	r.site.disturb(n, from, f.Action)
+	r.testbed.addDisturbance(n, from, f.Action)
 }
 
-// restartNode ends an instance, and starts it again later.
+// restartNode stops an instance and starts it again after the duration of the fault.
 func (r *run) restartNode(n *node, f Fault) {
 	signal := syscall.SIGKILL
 	if f.Action == NodeTerm {
 		signal = syscall.SIGTERM
 	}
-	// A process that is paused takes a signal only when it goes on.
+	// A paused process handles a signal only after it resumes.
 	n.signal(syscall.SIGCONT)
 	from := time.Now()
-	if !n.end(signal, graceTime) {
+	if !n.stop(signal, stopGrace) {
 		from, f.Action = time.Now().Add(-settleTime), NodeKill
-		r.late(n)
+		r.addSlowStop(n)
 	}
 	time.Sleep(f.For)
 	if f.Action == NodeKill {
-		r.site.disturb(n, from, f.Action)
+		r.testbed.addDisturbance(n, from, f.Action)
 	}
 	if err := n.start(); err != nil {
-		r.add("not started: %s: %v", n.name, err)
+		r.addViolation("not started: %s: %v", n.name, err)
 	}
 }
 
-func (r *run) disturbWorker(w *worker, f Fault) {
+func (r *run) injectWorkerFault(w *worker, f Fault) {
 	switch f.Action {
 	case WorkerPause:
 		w.signal(syscall.SIGSTOP)
@@ -203,29 +203,29 @@
 		return
 	case WorkerTerm:
 		w.signal(syscall.SIGCONT)
-		w.end(syscall.SIGTERM, 2*DrainTime)
+		w.stop(syscall.SIGTERM, 2*DrainTime)
 	default:
-		w.end(syscall.SIGKILL, time.Second)
+		w.stop(syscall.SIGKILL, time.Second)
 	}
 	time.Sleep(f.For)
-	if err := r.site.startAgain(r.options.Programs.StandIns, w, f.Action == WorkerReborn); err != nil {
-		r.add("not started: %s: %v", w.name, err)
+	if err := r.testbed.startIncarnation(r.options.Programs.StandIns, w, f.Action == WorkerRestart); err != nil {
+		r.addViolation("not started: %s: %v", w.name, err)
 	}
 }
 
-func (r *run) disturbLink(f Fault) {
+func (r *run) injectLinkFault(f Fault) {
 	var proxy *Proxy
 	switch f.Link {
 	case LinkStore:
-		proxy = r.site.nodes[f.Target].toStore
+		proxy = r.testbed.nodes[f.Target].toStore
 	case LinkCallers:
-		proxy = r.site.nodes[f.Target].fromCallers
+		proxy = r.testbed.nodes[f.Target].fromCallers
 	default:
-		proxy = r.site.workers[f.Target].proxy
+		proxy = r.testbed.workers[f.Target].proxy
 	}
 	if f.Link == LinkCallers {
 		from := time.Now()
-		defer func() { r.site.disturb(r.site.nodes[f.Target], from, f.Action) }()
+		defer func() { r.testbed.addDisturbance(r.testbed.nodes[f.Target], from, f.Action) }()
 	}
 	if f.Action == LinkMute {
 		proxy.Mute()
@@ -234,36 +234,37 @@
 	proxy.Set(f.Action)
 	time.Sleep(f.For)
 	if f.Link == LinkWorker {
-		// What was held up on the way to an endpoint arrives now.
-		for _, n := range r.site.nodes {
-			r.site.excuse(n)
+		// Orders that were delayed on the way to an endpoint arrive now.
+		for _, n := range r.testbed.nodes {
+			r.testbed.excuseOrders(n)
 		}
 	}
 	proxy.Set("")
 }
 
-// reconfigure moves a route, or moves it back.
-func (r *run) reconfigure() {
+// moveRoute writes a new configuration in which a route is moved, or moved back.
+func (r *run) moveRoute() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.site.moved = !r.site.moved
-	if err := r.site.configure(); err != nil {
-		r.broken = append(r.broken, "configuration not written: "+err.Error())
+	r.testbed.routeMoved = !r.testbed.routeMoved
+	if err := r.testbed.configure(); err != nil {
+		r.violations = append(r.violations, "configuration not written: "+err.Error())
 	}
 }
 
-// rewrite writes the configuration again that the store may have lost.
-func (r *run) rewrite() {
+// rewriteConfiguration writes the current configuration again, as the store may have
+// lost it.
+func (r *run) rewriteConfiguration() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err := r.site.write(); err != nil {
-		r.broken = append(r.broken, "configuration not written again: "+err.Error())
+	if err := r.testbed.write(); err != nil {
+		r.violations = append(r.violations, "configuration not written again: "+err.Error())
 	}
 }
 
-// eventually tells whether a condition comes true within calmPatience.
-func eventually(condition func() bool) bool {
-	for end := time.Now().Add(calmPatience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+// waitUntil reports whether a condition becomes true within recoveryTimeout.
+func waitUntil(condition func() bool) bool {
+	for end := time.Now().Add(recoveryTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if condition() {
 			return true
 		}
@@ -274,7 +275,7 @@
 var readyClient = &http.Client{Timeout: time.Second}
 
 func (n *node) isReady() bool {
-	resp, err := readyClient.Get("http://" + n.ready + fake.ReadyPath)
+	resp, err := readyClient.Get("http://" + n.readyAddress + fake.ReadyPath)
 	if err != nil {
 		return false
 	}
@@ -283,154 +284,155 @@
 }
 
 func (r *run) allReady() bool {
-	for _, n := range r.site.nodes {
-		if !eventually(n.isReady) {
+	for _, n := range r.testbed.nodes {
+		if !waitUntil(n.isReady) {
 			return false
 		}
 	}
 	return true
 }
 
-// calm checks, with all faults over, that all instances serve again by the newest
-// configuration, and that they stop to use an endpoint that leaves.
-func (r *run) calm() {
+// checkRecovery checks, after all faults have ended, that all instances serve again by
+// the newest configuration, and lets endpoints leave.
+func (r *run) checkRecovery() {
 	if !r.allReady() {
-		r.add("not ready again within %s", calmPatience)
+		r.addViolation("not ready again within %s", recoveryTimeout)
 		return
 	}
-	r.reconfigure()
-	for i := range r.site.nodes {
-		r.servesAgain(i)
+	r.moveRoute()
+	for i := range r.testbed.nodes {
+		r.checkServing(i)
 	}
 	if !r.options.SkipTimingChecks {
-		r.leaves()
+		r.leaveEndpoints()
 	}
 }
 
-// servesAgain checks that an instance serves each kind, the moved route included.
-func (r *run) servesAgain(i int) {
-	now, then := kindSafe, kindMoved
-	if r.site.moved {
-		now, then = then, now
-	}
-	for _, k := range []Kind{now, kindUnsafe, kindStream, kindResumable} {
-		if !eventually(func() bool { return r.served(i, k) >= calmTries*8/10 }) {
-			r.add("not served again: %s at instance %d", k.Path, i)
+// checkServing checks that an instance serves each kind of request, and that it uses
+// the current path of the moved route and no longer the former one.
+func (r *run) checkServing(i int) {
+	current, former := kindSafe, kindMoved
+	if r.testbed.routeMoved {
+		current, former = former, current
+	}
+	for _, k := range []Kind{current, kindUnsafe, kindStream, kindResumable} {
+		if !waitUntil(func() bool { return r.countServed(i, k) >= recoveryAttempts*8/10 }) {
+			r.addViolation("not serving again: %s at instance %d", k.Path, i)
 		}
 	}
-	if a := r.callers.Ask(i, then); a.Status != http.StatusNotFound {
-		r.add("an old route at instance %d: %s gives %d", i, then.Path, a.Status)
+	if res := r.callers.Send(i, former); res.Status != http.StatusNotFound {
+		r.addViolation("former route still in use at instance %d: %s returns status %d", i, former.Path, res.Status)
 	}
 }
 
-// served is how many of calmTries requests come back whole.
-func (r *run) served(i int, k Kind) int {
+// countServed returns how many of recoveryAttempts requests get a complete response.
+func (r *run) countServed(i int, k Kind) int {
 	n := 0
-	for range calmTries {
-		if a := r.callers.Ask(i, k); a.Status == http.StatusOK && a.Failure == "" {
+	for range recoveryAttempts {
+		if res := r.callers.Send(i, k); res.Status == http.StatusOK && res.Failure == "" {
 			n++
 		}
 	}
 	return n
 }
 
-// Times of a store outage in the end phase.
+// Times of the store outages in leaveEndpoints.
 const (
-	// outageRounds is how many outages have endpoints that leave behind them.
+	// outageRounds is the number of outages after which endpoints leave.
 	outageRounds = 3
-	// silenceLeast is longer than EntryLapse, so that all entries lapse.
-	silenceLeast = 2500 * time.Millisecond
-	silenceMost  = 4500 * time.Millisecond
-	// contactTime is when an instance counts as in contact with a store that is back;
-	// endpoints leave up to contactJitter behind that.
-	contactTime   = 3 * time.Second
-	contactJitter = 200 * time.Millisecond
+	// minSilence is longer than EntryTTL, so that all entries expire.
+	minSilence = 2500 * time.Millisecond
+	maxSilence = 4500 * time.Millisecond
+	// reconnectTime is the time after which an instance counts as connected to a store
+	// that is available again. Endpoints leave up to reconnectJitter later.
+	reconnectTime   = 3 * time.Second
+	reconnectJitter = 200 * time.Millisecond
 )
 
-// leaves lets plain endpoints leave, first with the store at rest, then right behind
-// outages of the store, both by saying so and by their entries going at once. The
-// judge looks at the records.
-func (r *run) leaves() {
+// leaveEndpoints lets plain endpoints leave: first one while the store is available,
+// then two right after each outage of the store, of which one announces its leave and
+// the other removes its entry at once. Check evaluates the records.
+func (r *run) leaveEndpoints() {
 	r.leavesFrom = time.Now()
 	random := rand.New(rand.NewPCG(r.options.Seed, 1))
-	between := func(least, most time.Duration) time.Duration {
-		return least + time.Duration(random.Float64()*float64(most-least))
+	between := func(low, high time.Duration) time.Duration {
+		return low + time.Duration(random.Float64()*float64(high-low))
 	}
-	says, goes := r.site.workers[r.site.size.Engines], r.site.workers[r.site.size.Engines+1]
-	r.leave(says, syscall.SIGTERM)
+	announced, removed := r.testbed.workers[r.testbed.size.Engines], r.testbed.workers[r.testbed.size.Engines+1]
+	r.leaveAndRestart(announced, syscall.SIGTERM)
 	for range outageRounds {
-		silence, contact := between(silenceLeast, silenceMost), between(contactTime, contactTime+contactJitter)
-		slog.Info("outage", "silence", silence, "contact", contact)
-		r.site.tellStore("mode/" + string(StoreSilent))
+		silence, reconnect := between(minSilence, maxSilence), between(reconnectTime, reconnectTime+reconnectJitter)
+		slog.Info("outage", "silence", silence, "contact", reconnect)
+		r.testbed.controlStore("mode/" + string(StoreSilent))
 		time.Sleep(silence)
-		r.site.tellStore("mode/up")
-		time.Sleep(contact)
+		r.testbed.controlStore("mode/up")
+		time.Sleep(reconnect)
 		var both sync.WaitGroup
-		both.Go(func() { r.leave(says, syscall.SIGTERM) })
-		both.Go(func() { r.leave(goes, RemoveEntrySignal) })
+		both.Go(func() { r.leaveAndRestart(announced, syscall.SIGTERM) })
+		both.Go(func() { r.leaveAndRestart(removed, RemoveEntrySignal) })
 		both.Wait()
 	}
 }
 
-// leave lets an endpoint leave by a signal. Once it has ended, its next incarnation is
-// waited for until it is in use.
-func (r *run) leave(w *worker, how syscall.Signal) {
+// leaveAndRestart lets an endpoint leave by a signal. After the endpoint has exited,
+// it starts the next incarnation and waits until that receives requests.
+func (r *run) leaveAndRestart(w *worker, how syscall.Signal) {
 	slog.Info("leave", "worker", w.id(), "how", how.String())
 	w.signal(how)
 	time.Sleep(DrainTime)
-	if !r.site.happened(w.id(), HappenedLeft) {
-		r.add("leave not acknowledged: %s", w.id())
+	if !r.testbed.hasRecord(w.id(), HappenedLeft) {
+		r.addViolation("leave not acknowledged: %s", w.id())
 	}
-	w.end(syscall.SIGTERM, DrainTime)
-	if err := r.site.startWorker(r.options.Programs.StandIns, w); err != nil {
-		r.add("not started: %s: %v", w.name, err)
+	w.stop(syscall.SIGTERM, DrainTime)
+	if err := r.testbed.startWorker(r.options.Programs.StandIns, w); err != nil {
+		r.addViolation("not started: %s: %v", w.name, err)
 		return
 	}
-	if !eventually(func() bool { return r.site.happened(w.id(), fake.EventRun) }) {
-		r.add("not used again: %s", w.id())
+	if !waitUntil(func() bool { return r.testbed.hasRecord(w.id(), fake.EventRun) }) {
+		r.addViolation("not used again: %s", w.id())
 	}
 }
 
-// stop ends all instances as planned: each must end in time, by itself.
-func (r *run) stop() {
+// stopInstances stops all instances as planned. Each must exit within stopGrace.
+func (r *run) stopInstances() {
 	var all sync.WaitGroup
-	for _, n := range r.site.nodes {
+	for _, n := range r.testbed.nodes {
 		all.Go(func() {
-			if !n.end(syscall.SIGTERM, graceTime) {
-				r.late(n)
+			if !n.stop(syscall.SIGTERM, stopGrace) {
+				r.addSlowStop(n)
 			}
 		})
 	}
 	all.Wait()
 }
 
-// late notes an instance that had to be killed at the end of its grace.
-func (r *run) late(n *node) {
+// addSlowStop records an instance that had to be killed at the end of its grace period.
+func (r *run) addSlowStop(n *node) {
 	if !r.options.SkipTimingChecks {
-		r.add("not ended within the grace: %s", n.name)
+		r.addViolation("not stopped within the grace period: %s", n.name)
 	}
 }
 
-func (r *run) judge(report Report, faults int) Report {
-	for _, n := range r.site.nodes {
-		if crashes := n.crashed(); crashes > 0 {
-			r.add("ended by itself %d times: %s", crashes, n.name)
+func (r *run) check(report Report, faults int) Report {
+	for _, n := range r.testbed.nodes {
+		if crashes := n.crashCount(); crashes > 0 {
+			r.addViolation("exited unexpectedly %d times: %s", crashes, n.name)
 		}
 	}
-	answers := r.callers.Answers()
+	results := r.callers.Results()
 	rules := Rules{
-		Known: knownTime, InTouch: r.site.inTouch, LimitWindow: limitWindow,
-		OrderLease: orderLease, Excused: r.site.excusedOrder, LeaveBound: settingsTime + loadMargin, LeavesFrom: r.leavesFrom,
-		Disturbed: r.site.disturbed, Patient: true,
+		PropagationTime: propagationTime, Undisturbed: r.testbed.undisturbed, LimitWindow: limitWindow,
+		OrderLease: orderLease, ExcusedOrder: r.testbed.excusedOrder, MaxLeaveTime: settingsTime + loadMargin, LeavesFrom: r.leavesFrom,
+		ExcusedResult: r.testbed.excusedResult, CheckTimeouts: true,
 	}
 	if r.options.SkipTimingChecks {
-		rules.OrderLease, rules.Known, rules.Crossing, rules.Patient = 0, 0, crossMost, false
+		rules.OrderLease, rules.PropagationTime, rules.CloseRaceWindow, rules.CheckTimeouts = 0, 0, maxCloseRace, false
 		rules.LimitWindow = 0
 	}
-	report.Violations = append(r.broken, Check(answers, r.site.records, rules)...)
-	report.Faults, report.Requests = faults, len(answers)
-	for _, a := range answers {
-		if a.Status == http.StatusOK && a.Failure == "" {
+	report.Violations = append(r.violations, Check(results, r.testbed.records, rules)...)
+	report.Faults, report.Requests = faults, len(results)
+	for _, res := range results {
+		if res.Status == http.StatusOK && res.Failure == "" {
 			report.Served++
 		}
 	}
--- a/soak/run_test.go
+++ b/soak/run_test.go
@@ -9,30 +9,32 @@
 	"github.com/stretchr/testify/require"
 )
 
-// shortSize is the size of the site and the schedules that tests play.
+// shortSize is the size of the testbed and of the schedules in tests.
 var shortSize = Size{Nodes: 3, Engines: 2, Plain: 2, Faults: 5 * time.Second}
 
-// schedule is a seed with the actions that it was first drawn from.
-type schedule struct {
-	seed uint64
-	from []Action
+// regressionCase is a seed with the list of actions that its schedule is drawn from.
+type regressionCase struct {
+	seed    uint64
+	actions []Action
 }
 
-// kept are played by each test run, a test each: the first of the first actions, one of
-// the second with what they added, and those that once found a fault.
+// Each regression case is run by a test of its own. regressionFirst draws from the first
+// list of actions, regressionStandstill covers the actions that the second list adds, and
+// the others reproduce schedules that found a fault.
 var (
-	keptFirst      = schedule{1, firstActions}
-	keptStandstill = schedule{303, secondActions}
-	keptCrashing   = schedule{403, fourthActions}
-	keptLimit      = schedule{629, sixthActions}
+	regressionFirst      = regressionCase{1, firstActions}
+	regressionStandstill = regressionCase{303, secondActions}
+	regressionCrashing   = regressionCase{403, fourthActions}
+	regressionLimit      = regressionCase{629, sixthActions}
 )
 
-// TestKeptSchedulesStayAsWritten holds the kept schedules from before actions were
-// added: they are regression cases only if they stay the same.
-func TestKeptSchedulesStayAsWritten(t *testing.T) {
+// TestRegressionSchedulesStayTheSame compares the schedules of the regression cases with
+// their expected content: adding actions must not change them, or they no longer cover
+// the failures that they stand for.
+func TestRegressionSchedulesStayTheSame(t *testing.T) {
 	lines := []string{}
-	for _, k := range []schedule{keptFirst, keptStandstill, keptCrashing, keptLimit} {
-		for _, f := range draw(k.seed, shortSize, k.from) {
+	for _, k := range []regressionCase{regressionFirst, regressionStandstill, regressionCrashing, regressionLimit} {
+		for _, f := range newSchedule(k.seed, shortSize, k.actions) {
 			lines = append(lines, f.String())
 		}
 	}
@@ -71,32 +73,33 @@
 	}, lines)
 }
 
-// TestShortSoak and the others play a schedule with real processes. Only what holds on
-// any machine, however slow, is checked; runs by hand check the times too.
-func TestShortSoak(t *testing.T) { playKept(t, keptFirst) }
+// TestShortSoak and the following tests run a schedule with real processes. They check
+// only guarantees that hold on any machine, however slow; the command eiderspring-soak
+// checks the times too.
+func TestShortSoak(t *testing.T) { playRegression(t, regressionFirst) }
 
-// TestStandstillSoak begins with an instance that stands still for longer than its
-// callers' connections may rest. Requests came on them meanwhile; when it went on it
-// closed the connections for their rest, with the requests unread or half served, and
-// their callers got neither an answer nor a refusal.
-func TestStandstillSoak(t *testing.T) { playKept(t, keptStandstill) }
+// TestStandstillSoak pauses an instance for longer than the idle timeout of its callers'
+// connections, while requests arrive on them. It guards against the resumed instance
+// closing these connections as idle, with requests unread or half served, so that the
+// callers get neither a response nor a refusal.
+func TestStandstillSoak(t *testing.T) { playRegression(t, regressionStandstill) }
 
-// TestCrashingSoak begins with a request that ends endpoints, repeated at all instances
-// while other faults run.
-func TestCrashingSoak(t *testing.T) { playKept(t, keptCrashing) }
+// TestCrashingSoak starts with a request that crashes endpoints and is resent to all
+// instances during other faults.
+func TestCrashingSoak(t *testing.T) { playRegression(t, regressionCrashing) }
 
-// TestLimitSoak has an engine and a plain endpoint name limits, one of them while the store
-// is silent. All must go on, and serve as before when the limits have ended.
-func TestLimitSoak(t *testing.T) { playKept(t, keptLimit) }
+// TestLimitSoak has an engine and a plain endpoint announce limits, one of them while the
+// store is silent. All must keep serving, and serve as before when the limits end.
+func TestLimitSoak(t *testing.T) { playRegression(t, regressionLimit) }
 
-func playKept(t *testing.T, k schedule) {
+func playRegression(t *testing.T, k regressionCase) {
 	programs := t.TempDir()
 	build := exec.Command("go", "build", "-o", programs, "../cmd/eiderspring", "../cmd/eiderspring-soak")
 	out, err := build.CombinedOutput()
 	require.NoError(t, err, string(out))
 	report, err := Run(Options{
 		Programs: Programs{Node: filepath.Join(programs, "eiderspring"), StandIns: filepath.Join(programs, "eiderspring-soak")},
-		Seed:     k.seed, Plan: draw(k.seed, shortSize, k.from), Size: shortSize, Callers: 2, Dir: t.TempDir(), SkipTimingChecks: true,
+		Seed:     k.seed, Schedule: newSchedule(k.seed, shortSize, k.actions), Size: shortSize, Callers: 2, Dir: t.TempDir(), SkipTimingChecks: true,
 	})
 	require.NoError(t, err)
 	require.Empty(t, report.Violations, report.String())
--- a/soak/worker.go
+++ b/soak/worker.go
@@ -12,42 +12,46 @@
 	"github.com/eiderspring/eiderspring/platform/fake"
 )
 
-// Times of the stand-ins, shorter than the platform's so that a run is short.
+// Times of the stand-ins, shorter than those of the platform to keep runs short.
 const (
-	// EntryEvery is the time between a worker's writes of its entry, EntryLapse how
-	// old an entry gets.
+	// EntryInterval is the interval at which a worker renews its entry. An entry expires
+	// EntryTTL after its last renewal.
 	EntryInterval = 300 * time.Millisecond
-	EntryTTL = 1200 * time.Millisecond
-	// CopyAge is how old the copy is from which the store comes back.
+	EntryTTL      = 1200 * time.Millisecond
+	// CopyAge is the age of the copy from which the store is restored.
 	CopyAge = 3 * time.Second
-	// DrainTime is how long a worker that leaves still serves: well beyond the time
-	// in which instances must stop to use it, so that what comes late is seen.
+	// DrainTime is how long a worker that leaves still serves. It is well beyond the
+	// time within which instances must stop using the worker, so that late requests are
+	// recorded.
 	DrainTime = 4500 * time.Millisecond
 )
 
-// Gone tells a worker to leave without saying so: its entry goes at once.
+// RemoveEntrySignal makes a worker leave without announcing it: it removes its entry at
+// once.
 const RemoveEntrySignal = syscall.SIGUSR1
 
-// NameLimit tells a worker to name a limit of LimitPerSecond requests for LimitTime.
+// LimitSignal makes a worker announce a limit of LimitPerSecond requests per second for
+// LimitTime.
 const LimitSignal = syscall.SIGUSR2
 
+// Limit that a worker announces on LimitSignal.
 const (
 	LimitPerSecond = 2
 	LimitTime      = 8 * time.Second
 )
 
-// HappenedLimited and HappenedUnlimited are recorded when a worker begins and ceases to
-// name a limit.
+// HappenedLimited and HappenedUnlimited are recorded when a worker starts and stops
+// announcing a limit.
 const (
 	HappenedLimited   = "limited"
 	HappenedUnlimited = "unlimited"
 )
 
 // HappenedLeft is recorded once the store has acknowledged that a worker leaves, or
-// that its entry is gone.
+// that its entry is removed.
 const HappenedLeft = "left"
 
-// Recorder writes what happens at a worker as lines of JSON.
+// Recorder writes the events at a worker as lines of JSON, each a Record.
 type Recorder struct {
 	mu  sync.Mutex
 	out io.Writer
@@ -56,11 +60,11 @@
 // NewRecorder returns a recorder that writes to out.
 func NewRecorder(out io.Writer) *Recorder { return &Recorder{out: out} }
 
-// Record writes one line, at once: the process may be killed at any moment.
+// Record writes one line without buffering, as the process may be killed at any moment.
 func (r *Recorder) Record(w *fake.Worker, h fake.WorkerEvent) {
 	line, err := json.Marshal(Record{At: time.Now(), Worker: w.ID, Service: w.Service, WorkerEvent: h})
 	if err != nil {
-		slog.Error("not recorded", "error", err.Error())
+		slog.Error("event not recorded", "error", err.Error())
 		return
 	}
 	r.mu.Lock()
@@ -68,7 +72,8 @@
 	_, _ = r.out.Write(append(line, '\n'))
 }
 
-// LockedRandom is a seeded source for many goroutines.
+// LockedRandom returns a seeded source of numbers in [0, 1) that is safe for concurrent
+// use.
 func LockedRandom(seed uint64) func() float64 {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 1))
