--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -48,7 +48,7 @@
 
 var cleanRules = Rules{
 	OrderLease: 1500 * time.Millisecond, MaxLeaveTime: 2 * time.Second, LeavesFrom: time.Unix(1000, 0),
-	CloseRaceWindow: time.Millisecond, CheckTimeouts: true, ExcusedResult: func(a Result) bool { return a.Node == 1 },
+	CloseRaceWindow: time.Millisecond, CheckTimeouts: true, ExcusedResult: func(res Result) bool { return res.Node == 1 },
 }
 
 func TestCheckAcceptsACleanRun(t *testing.T) {
--- a/soak/run.go
+++ b/soak/run.go
@@ -344,7 +344,8 @@
 	minSilence = 2500 * time.Millisecond
 	maxSilence = 4500 * time.Millisecond
 	// reconnectTime is the time after which an instance counts as connected to a store
-	// that is available again. Endpoints leave up to reconnectJitter later.
+	// that is available again, the default of Fresh.ContactMS of the configuration.
+	// Endpoints leave up to reconnectJitter later.
 	reconnectTime   = 3 * time.Second
 	reconnectJitter = 200 * time.Millisecond
 )
@@ -422,7 +423,7 @@
 	results := r.callers.Results()
 	rules := Rules{
 		PropagationTime: propagationTime, Undisturbed: r.testbed.undisturbed, LimitWindow: limitWindow,
-		OrderLease: orderLease, ExcusedOrder: r.testbed.excusedOrder, MaxLeaveTime: settingsTime + loadMargin, LeavesFrom: r.leavesFrom,
+		OrderLease: orderLease, ExcusedOrder: r.testbed.excusedOrder, MaxLeaveTime: leavingTime + loadMargin, LeavesFrom: r.leavesFrom,
 		ExcusedResult: r.testbed.excusedResult, CheckTimeouts: true,
 	}
 	if r.options.SkipTimingChecks {
--- a/soak/testbed.go
+++ b/soak/testbed.go
@@ -26,11 +26,13 @@
 	Node, StandIns string
 }
 
-// Bounds for the instances of a testbed, in part from their configuration.
+// Bounds for the instances of a testbed. All but resumeGrace are in their configuration:
+// leavingTime is the default of Fresh.LeavingMS, the time within which an endpoint that
+// leaves must receive no more requests.
 const (
-	orderLease   = 1500 * time.Millisecond
-	settingsTime = 2 * time.Second
-	stopGrace    = 8 * time.Second
+	orderLease  = 1500 * time.Millisecond
+	leavingTime = 2 * time.Second
+	stopGrace   = 8 * time.Second
 	// resumeGrace is how long orders are excused after their sender resumes or its
 	// links recover.
 	resumeGrace = 300 * time.Millisecond
