--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -70,9 +70,9 @@
 	})
 }
 
-// TestNobodyStarves checks that a waiter is overtaken only by those that arrive within the
+// TestNoWaiterStarves checks that a waiter is overtaken only by those that arrive within the
 // head start that their priority gives.
-func TestNobodyStarves(t *testing.T) {
+func TestNoWaiterStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue(Limits{MaxWaiters: 1000, MaxBytes: 1000})
 		now := time.Unix(0, 0)
@@ -133,7 +133,7 @@
 
 // A stopped gate must refuse its waiters at once. A later request must get a free slot or
 // be refused, but never wait.
-func TestStoppedGateLetsNobodyWait(t *testing.T) {
+func TestStoppedGateRefusesToQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate(Limits{MaxWaiters: 10, MaxBytes: 1000}, time.Now)
 		free := false
--- a/pipeline/errors_test.go
+++ b/pipeline/errors_test.go
@@ -19,7 +19,7 @@
 
 // A failure with a status that guarantees that the request has not run must have such an
 // outcome and give a retry delay, and no other status may come with that outcome.
-func TestRefusalsPromiseOnlyWhatIsTrue(t *testing.T) {
+func TestNotRunStatusMatchesOutcome(t *testing.T) {
 	cause := errors.New("cause")
 	failures := []Failure{
 		&DecodeError{Status: http.StatusBadRequest}, &DecodeError{Status: http.StatusRequestEntityTooLarge},
--- a/pipeline/replay_test.go
+++ b/pipeline/replay_test.go
@@ -236,7 +236,7 @@
 
 // A burst of long prompts must not delay the running streams. If only the target for the
 // first token bounds the prompts ahead, it does.
-func TestPromptsOfABurstPauseNoStreams(t *testing.T) {
+func TestBurstOfPromptsDoesNotDelayStreams(t *testing.T) {
 	load := readLoad(t, "bursts.txt")
 	policy := routing.Policies()[routing.PolicyTimely]
 	var with, unbounded replayed
--- a/pipeline/waiting_test.go
+++ b/pipeline/waiting_test.go
@@ -22,7 +22,7 @@
 }
 
 // Checks the waiting time of late, retried, patient and hurried requests.
-func TestHowLongRequestsWait(t *testing.T) {
+func TestWaitingTimeByTarget(t *testing.T) {
 	after := func(x *Exchange, late bool) time.Duration { return x.startBy(late).Sub(x.Received) }
 	x := engineExchange()
 	require.False(t, x.late(x.Received))
--- a/placement/controller_test.go
+++ b/placement/controller_test.go
@@ -39,10 +39,10 @@
 	})
 }
 
-// TestBrokenRulesAreCaught guards against a simulation that cannot fail: without each of
+// TestSimulationDetectsBrokenRules guards against a simulation that cannot fail: without each of
 // the rules, its check must find an endpoint over its memory or a unit that lost its
 // last replica.
-func TestBrokenRulesAreCaught(t *testing.T) {
+func TestSimulationDetectsBrokenRules(t *testing.T) {
 	for name, m := range map[string]mutation{
 		"order before commit": {sendBeforeCommit: true},
 		"late orders ignored": {ignoreLateOrders: true},
@@ -61,11 +61,11 @@
 	}
 }
 
-// TestOrdersGoToTheirIncarnation guards against an order that reaches another
+// TestOrderNotSentToOtherIncarnation guards against an order that reaches another
 // incarnation of its endpoint. The controller takes over an open order with a list older
 // than the one that the ledger was written from; the list does not show the order's
 // incarnation of the endpoint.
-func TestOrdersGoToTheirIncarnation(t *testing.T) {
+func TestOrderNotSentToOtherIncarnation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := NewController(DefaultControllerConfig("c", "n/1"))
 	ledger := NewLedger()
@@ -95,10 +95,10 @@
 	require.Len(t, sent, 1)
 }
 
-// TestStaleListDecidesNothing guards against unloading the only live replica. With a
+// TestNoMovesWithStaleMemberList guards against unloading the only live replica. With a
 // list older than the ledger's, another replica on record may be at an endpoint that is
 // known to be gone, so this one must not be unloaded to make room for another unit.
-func TestStaleListDecidesNothing(t *testing.T) {
+func TestNoMovesWithStaleMemberList(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := NewController(DefaultControllerConfig("c", "n/1"))
 	ledger := NewLedger()
--- a/placement/counted/plan_test.go
+++ b/placement/counted/plan_test.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// TestAdaptersAreThereBeforeTheyAreAskedFor guards against loading adapters only on
+// TestAdaptersArePreloaded guards against loading adapters only on
 // request: while its engine loads a model, an endpoint accepts no adapter.
-func TestAdaptersAreThereBeforeTheyAreAskedFor(t *testing.T) {
+func TestAdaptersArePreloaded(t *testing.T) {
 	s := newCell(2, map[string][]string{"e1": {"m0"}, "e2": {"m1"}}, nil)
 	loaded := map[string]bool{}
 	for range 4 {
@@ -111,10 +111,10 @@
 	require.Equal(t, "m2", m.For)
 }
 
-// TestForeseenModelIsLoadedBeforeItIsAskedFor has a model without a replica directly
+// TestForecastModelIsPreloaded has a model without a replica directly
 // after the busy ones in the operator's list. It must be loaded although nobody requests
 // it.
-func TestForeseenModelIsLoadedBeforeItIsAskedFor(t *testing.T) {
+func TestForecastModelIsPreloaded(t *testing.T) {
 	s := newCell(3, map[string][]string{"e1": {"m0", "m1"}, "e2": {"m0", "m1"}}, map[string][]string{"e1": {"m2"}})
 	s.demand(map[string]float64{"m0": 50000, "m1": 60000}, nil)
 	m := find(s.plan(), OpLoad, "m2")
@@ -123,9 +123,9 @@
 	require.Equal(t, ReasonDemand, m.Reason, "it competes with the busy ones")
 }
 
-// TestIdleModelGivesWayAndComesBack unloads the only replica of a model without requests
+// TestIdleModelIsReplacedAndReloaded unloads the only replica of a model without requests
 // for a busy one, and loads it again once it is requested.
-func TestIdleModelGivesWayAndComesBack(t *testing.T) {
+func TestIdleModelIsReplacedAndReloaded(t *testing.T) {
 	s := newCell(9, map[string][]string{"e1": {"m0", "m7", "m8"}, "e2": {"m1", "m2", "m3"}}, map[string][]string{"e1": {"m4", "m5", "m6"}})
 	s.demand(map[string]float64{"m1": 90000, "m2": 50, "m3": 50}, nil)
 	m := find(s.plan(), OpUnload, "m0")
@@ -138,7 +138,7 @@
 	require.NotNil(t, find(moves, OpLoad, "m0"), "%v", moves)
 }
 
-func TestReplicaInUseDoesNotGiveWay(t *testing.T) {
+func TestReplicaInUseIsNotUnloaded(t *testing.T) {
 	s := newCell(5, map[string][]string{"e1": {"m0", "m3", "m4"}, "e2": {"m1", "m2"}}, nil)
 	s.demand(map[string]float64{"m1": 90000, "m0": 400, "m3": 400, "m4": 400, "m2": 100}, nil)
 	for _, m := range s.plan() {
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestFreedMemoryIsKeptForItsModel guards against using memory that was freed for one
+// TestFreedMemoryIsReservedForItsModel guards against using memory that was freed for one
 // model for another idle one without a replica.
-func TestFreedMemoryIsKeptForItsModel(t *testing.T) {
+func TestFreedMemoryIsReservedForItsModel(t *testing.T) {
 	s := newCell(5, map[string][]string{"e1": {"m0", "m3"}, "e2": {"m1", "m2", "m0"}}, map[string][]string{"e1": {"m4"}})
 	e := s.c.endpoints["e1"]
 	e.reserved, e.reservedAt = "m1", s.now.Add(3*time.Second)
@@ -175,7 +175,7 @@
 	require.Contains(t, s.step(Tick{}), SendOrder{Endpoint: "e1", Order: Order{Op: OpUnload, Unit: "m0/a2", Epoch: 1}})
 }
 
-func TestRefusedReportsProveALoss(t *testing.T) {
+func TestRefusedConnectionsMarkEndpointLost(t *testing.T) {
 	s := newCell(3, map[string][]string{"e1": {"m0"}, "e2": {"m1"}}, map[string][]string{"e2": {"m0"}})
 	s.step(RequestsFailed{Endpoints: []string{"e1"}})
 	s.step(ReportReply{Endpoint: "e1", RequestedAt: s.now, ConnectionRefused: true})
@@ -189,9 +189,9 @@
 	require.Equal(t, "e2", m.Endpoint)
 }
 
-// TestSuccessorWaits guards against a successor that sends orders before the previous
+// TestSuccessorDelaysFirstOrder guards against a successor that sends orders before the previous
 // holder's last order is old enough. It may request reports at once.
-func TestSuccessorWaits(t *testing.T) {
+func TestSuccessorDelaysFirstOrder(t *testing.T) {
 	s := newCell(3, map[string][]string{"e1": {"m0"}}, map[string][]string{"e1": {"m1"}})
 	s.step(LeaseLost{})
 	s.step(LeaseAcquired{Epoch: 2, HasPredecessor: true, OrderDelay: time.Second})
@@ -211,10 +211,10 @@
 	require.Positive(t, sends())
 }
 
-// TestReplacedEndpointIsGivenUp guards against report requests and orders to an endpoint
+// TestReplacedEndpointIsExcluded guards against report requests and orders to an endpoint
 // whose address another incarnation has, for each way in which the controller learns of
 // it.
-func TestReplacedEndpointIsGivenUp(t *testing.T) {
+func TestReplacedEndpointIsExcluded(t *testing.T) {
 	for name, replace := range map[string]func(s *cell){
 		"reported by an instance": func(s *cell) { s.step(EndpointsReplaced{Endpoints: []string{"e1"}}) },
 		"an order reached another incarnation": func(s *cell) {
@@ -247,10 +247,10 @@
 	}
 }
 
-// TestModelsThatNobodyAsksForTakeFewPlaces loses the only replicas of three models at
+// TestUnrequestedModelsEvictOneReplicaAtATime loses the only replicas of three models at
 // once. Without requests, only one of them at a time may replace a replica of a busy
 // model.
-func TestModelsThatNobodyAsksForTakeFewPlaces(t *testing.T) {
+func TestUnrequestedModelsEvictOneReplicaAtATime(t *testing.T) {
 	s := newCell(6, map[string][]string{"e1": {"m0", "m1", "m2"}, "e2": {"m0", "m1", "m2"}, "e3": {"m0", "m1", "m2"}}, nil)
 	busy := map[string]float64{"m0": 90000, "m1": 90000, "m2": 90000}
 	evictions := func(moves []Move) int {
@@ -268,10 +268,10 @@
 	require.Equal(t, 3, evictions(s.plan()))
 }
 
-// TestThresholdsGrowWithTheFleet guards against thresholds that fit one fleet size only.
+// TestThresholdsScaleWithFleetSize guards against thresholds that fit one fleet size only.
 // A model with three even shares of all demand on a single replica gets another one at
 // any size, a model with a hundredth of an even share does not.
-func TestThresholdsGrowWithTheFleet(t *testing.T) {
+func TestThresholdsScaleWithFleetSize(t *testing.T) {
 	for _, size := range []int{4, 12, 140, 720} {
 		held := map[string][]string{}
 		for i := range size {
@@ -356,10 +356,10 @@
 	}
 }
 
-// TestLoadsAreCountedFromWhenTheyBegin guards against exceeding the weight store's rate
+// TestLoadCountsFromEndOfOrder guards against exceeding the weight store's rate
 // with an order that is in flight for long, as after a plan that took seconds. The load
 // counts from the end of the order, not from the decision.
-func TestLoadsAreCountedFromWhenTheyBegin(t *testing.T) {
+func TestLoadCountsFromEndOfOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := NewController(Config{RateWindow: 5 * time.Second, RateFactor: 1})
 	cfg := CellSettings{CapacityMB: 100, LoadsPerSecond: 0.2}
@@ -407,11 +407,11 @@
 	require.Equal(t, UnitsWithdrawn, change())
 }
 
-// TestOneRequestIsWorthNoReplica guards against replicas that single requests cause.
+// TestSingleRequestsAddNoReplica guards against replicas that single requests cause.
 // With 400 endpoints and a few requests per second for each of many models, each request
 // is many times an endpoint's even share of all demand. At 3,920 endpoints 2,127 loads of
 // a quiet day brought replicas that nobody needed.
-func TestOneRequestIsWorthNoReplica(t *testing.T) {
+func TestSingleRequestsAddNoReplica(t *testing.T) {
 	const endpoints, models = 400, 40
 	held := map[string][]string{}
 	cfg := CellSettings{CapacityMB: 220, AdapterSlots: 8, LoadsPerSecond: 60, KVTokens: 120_000}
--- a/placement/counted/restart_test.go
+++ b/placement/counted/restart_test.go
@@ -35,10 +35,10 @@
 	}
 }
 
-// TestChecksSeeIgnoredRestarts guards against schedules that cannot fail: controllers
+// TestChecksDetectIgnoredRestarts guards against schedules that cannot fail: controllers
 // that do not tell incarnations apart, or reserve nothing for late orders, must violate
 // a rule.
-func TestChecksSeeIgnoredRestarts(t *testing.T) {
+func TestChecksDetectIgnoredRestarts(t *testing.T) {
 	for name, breakRule := range map[string]func(*instance){
 		"starts are ignored":      func(p *instance) { p.ignoresStarts = true },
 		"late orders are ignored": func(p *instance) { p.ignoresLateOrders = true },
--- a/placement/counted/simulation_test.go
+++ b/placement/counted/simulation_test.go
@@ -511,9 +511,9 @@
 	}
 }
 
-// TestChecksSeeBrokenControllers guards against checks that cannot fail: controllers
+// TestChecksDetectBrokenControllers guards against checks that cannot fail: controllers
 // that break one of the rules must be detected within a few schedules.
-func TestChecksSeeBrokenControllers(t *testing.T) {
+func TestChecksDetectBrokenControllers(t *testing.T) {
 	for name, breakRule := range map[string]func(*instance){
 		"memory is not checked": func(p *instance) {
 			bigger := p.w.cfg
--- a/routing/latency_test.go
+++ b/routing/latency_test.go
@@ -17,7 +17,7 @@
 
 // Prompts are reserved at one endpoint, so the next request must go to the other one, also
 // where the prompts ahead are those of other instances.
-func TestTimelyTakesTheSoonest(t *testing.T) {
+func TestTimelyPicksShortestExpectedFirstToken(t *testing.T) {
 	a, b := &Endpoint{Name: "a", Concurrency: 8}, &Endpoint{Name: "b", Concurrency: 8}
 	r := timelyRouter(a, b)
 	a.SetPeerLoad(PeerLoad{Running: 2, PromptWork: 50 * time.Millisecond})
@@ -38,7 +38,7 @@
 }
 
 // An endpoint whose pending prompts take all the remaining time must not get the request.
-func TestTimelyRefusesWhatWouldBeLate(t *testing.T) {
+func TestTimelySkipsEndpointThatWouldMissTarget(t *testing.T) {
 	e := &Endpoint{Name: "a", Concurrency: 8}
 	r := timelyRouter(e)
 	e.SetPeerLoad(PeerLoad{Running: 3, PromptWork: 700 * time.Millisecond})
@@ -52,7 +52,7 @@
 
 // An endpoint whose streams have gaps above half of the allowed gap must not get more
 // requests with a target for gaps.
-func TestTimelyRefusesWhereStreamsPause(t *testing.T) {
+func TestTimelySkipsEndpointWithLongGaps(t *testing.T) {
 	e := &Endpoint{Name: "a", Concurrency: 8}
 	r := timelyRouter(e)
 	e.SetPeerLoad(PeerLoad{Running: 1})
@@ -133,7 +133,7 @@
 
 // Pending prompts would take most of the gap that running streams tolerate, although the
 // first token would still be in time. The endpoint must not get another prompt.
-func TestPromptsAheadLeaveRoomForStreams(t *testing.T) {
+func TestPromptsAheadAreBoundedByEventGap(t *testing.T) {
 	e := &Endpoint{Name: "a", Concurrency: 48}
 	r := timelyRouter(e)
 	req := Request{Unit: "m", PromptTokens: 1000, EventGapTarget: 250 * time.Millisecond, Now: testNow, FirstTokenBy: testNow.Add(time.Second)}
--- a/routing/plain_test.go
+++ b/routing/plain_test.go
@@ -136,7 +136,7 @@
 }
 
 // The control for the test above: without a policy for plain services the same load fails.
-func TestSlotsThatSeemFreeAreOverrun(t *testing.T) {
+func TestPlainEndpointIsOverrunWithoutPlainPolicy(t *testing.T) {
 	policy := Policies()[PolicyTimely]
 	policy.Plain = nil
 	s := newPlainSim(0, 90, policy)
--- a/routing/policies.go
+++ b/routing/policies.go
@@ -39,7 +39,7 @@
 	timelyFirstTokenShare = 0.7
 	timelyGapShare        = 0.5
 	// With the bound of pauseFilter 65 of 100 requests of a bursty load meet their
-	// targets, without it 60 (TestPromptsOfABurstPauseNoStreams).
+	// targets, without it 60 (TestBurstOfPromptsDoesNotDelayStreams).
 	timelyPauseShare = 0.7
 	timelyLateShare  = 0.75
 	// plainRounds is the bound of queueFilter: plain endpoints serve requests in turn, so
