--- a/pipeline/replay_test.go
+++ b/pipeline/replay_test.go
@@ -21,7 +21,7 @@
 )
 
 // The tests in this file replay a load in virtual time through the real admission and
-// routing, with simulated engines that read prompts between the tokens of their streams.
+// routing, with simulated engines that process prompts between the tokens of their streams.
 
 // arrival is one request of a load.
 type arrival struct {
@@ -74,7 +74,7 @@
 	longest                          time.Duration
 }
 
-// replayEngine reads prompts in chunks, in order of priority, and generates a token per
+// replayEngine processes prompts in chunks, in order of priority, and generates a token per
 // step for each stream.
 type replayEngine struct {
 	endpoint *routing.Endpoint
@@ -86,7 +86,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.runs = append(e.runs, r)
-	// Requests admitted at the same time arrive in any order but are read in a fixed one.
+	// Requests admitted at the same time arrive in any order but are processed in a fixed one.
 	slices.SortFunc(e.runs, func(a, b *replayRun) int {
 		return cmp.Or(cmp.Compare(b.priority, a.priority), cmp.Compare(a.id, b.id))
 	})
@@ -113,7 +113,7 @@
 	return time.Duration(replayChunk-left) * replayToken
 }
 
-// generate generates a token for each stream whose prompt has been read.
+// generate generates a token for each stream whose prompt has been processed.
 func (e *replayEngine) generate() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -35,8 +35,8 @@
 	Concurrency int
 
 	ownInFlight atomic.Int64
-	// ownPromptWork is the time, in nanoseconds, to read the prompts of this instance's
-	// attempts that have had no answer yet.
+	// ownPromptWork is the estimated time, in nanoseconds, to process the prompts of this
+	// instance's attempts that have had no answer yet.
 	ownPromptWork atomic.Int64
 	// eventGap is the mean time between events of streams; nil before the first
 	// observation.
@@ -81,8 +81,8 @@
 
 // PeerLoad is what the other instances have in flight at an endpoint.
 type PeerLoad struct {
-	// Running counts requests. PromptWork is the time to read the prompts of those that
-	// have had no answer yet.
+	// Running is the number of requests, PromptWork the estimated time to process the
+	// prompts of those that have had no answer yet.
 	Running    int64
 	PromptWork time.Duration
 	// At is when the report was received, on this instance's clock.
@@ -110,8 +110,8 @@
 	return now.Sub(o.At)
 }
 
-// OwnPromptWork returns the time to read the prompts of this instance's attempts here that
-// have had no answer yet.
+// OwnPromptWork returns the estimated time to process the prompts of this instance's attempts
+// here that have had no answer yet.
 func (e *Endpoint) OwnPromptWork() time.Duration { return time.Duration(e.ownPromptWork.Load()) }
 
 // OwnInFlight returns the number of this instance's attempts at the endpoint.
--- a/routing/filters.go
+++ b/routing/filters.go
@@ -55,9 +55,9 @@
 }
 
 // pauseFilter keeps endpoints whose running streams tolerate one more prompt. An engine
-// reads prompts between the tokens of its streams, so all prompts ahead together cause one
-// pause in each stream: a burst that an engine could read within the target for the first
-// token still delays every stream that runs there. Where no prompt is ahead, one is
+// processes prompts between the tokens of its streams, so all prompts ahead together cause
+// one pause in each stream: a burst that an engine could process within the target for the
+// first token still delays every stream that runs there. Where no prompt is ahead, one is
 // admitted regardless of its length.
 type pauseFilter struct {
 	// share is the share of the longest allowed gap that the prompts ahead may take; the
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// An engine reads prompts one after another, so the time to the first token of an attempt
-// follows from the prompts ahead of it. The time to read a prompt token differs by model
-// and is learned from this instance's own attempts.
+// An engine processes prompts one after another (prefill), so the time to the first token of
+// an attempt follows from the prompts ahead of it. The time to process a prompt token differs
+// by model and is learned from this instance's own attempts. Prompt work is the estimated
+// prefill time of one or more prompts.
 
 const (
-	// initialTokenTime is the assumed time to read a prompt token before anything has been
-	// learned: that of a large model on two accelerators.
+	// initialTokenTime is the assumed time to process a prompt token before anything has
+	// been learned: that of a large model on two accelerators.
 	initialTokenTime = 50 * time.Microsecond
 	// minTokenTime and maxTokenTime bound the learned time.
 	minTokenTime = 2 * time.Microsecond
@@ -23,14 +24,14 @@
 	// both directions.
 	maxObservationRatio = 3.0
 	// firstTokenOverhead is the part of the time to the first token that is not spent on
-	// reading prompts.
+	// prefill.
 	firstTokenOverhead = 10 * time.Millisecond
 	// plainRequestWork is the work assumed for a request without a prompt.
 	plainRequestWork = time.Millisecond
 )
 
-// prefillEstimator estimates the time to read a prompt token, by model. The adapters of a
-// model share its estimate.
+// prefillEstimator estimates the time to process a prompt token, by model. The adapters of
+// a model share its estimate.
 type prefillEstimator struct {
 	mu     sync.Mutex
 	models map[string]*prefillEstimate
@@ -56,14 +57,14 @@
 	return known
 }
 
-// tokenTime returns the time to read a token of a prompt.
+// tokenTime returns the estimated time to process a token of a prompt.
 func (p *prefillEstimator) tokenTime(model string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.estimate(model).tokenTime
 }
 
-// promptWork returns the time to read a prompt of the given number of tokens.
+// promptWork returns the estimated time to process a prompt of the given number of tokens.
 func (p *prefillEstimator) promptWork(model string, tokens int64) time.Duration {
 	if tokens == 0 {
 		return plainRequestWork
@@ -85,14 +86,14 @@
 	known.tokenTime = min(max(next, minTokenTime), maxTokenTime)
 }
 
-// ExpectedFirstToken returns how long an attempt whose prompt takes work to read is
-// expected to wait at the endpoint for its first token.
+// ExpectedFirstToken returns how long an attempt is expected to wait at the endpoint for its
+// first token; work is the time to process its prompt.
 func (e *Endpoint) ExpectedFirstToken(work time.Duration) time.Duration {
 	return firstTokenOverhead + e.PromptWorkAhead() + work
 }
 
-// PromptWorkAhead returns the time to read the prompts of all instances' attempts at the
-// endpoint that have had no answer yet.
+// PromptWorkAhead returns the estimated time to process the prompts of all instances' attempts
+// at the endpoint that have had no answer yet.
 func (e *Endpoint) PromptWorkAhead() time.Duration {
 	return e.OwnPromptWork() + e.PeerLoad().PromptWork
 }
--- a/routing/latency_test.go
+++ b/routing/latency_test.go
@@ -62,7 +62,7 @@
 	_, err := r.Pick(&Request{Unit: "m", PromptTokens: 10, Now: testNow, EventGapTarget: 400 * time.Millisecond})
 	require.ErrorIs(t, err, ErrNoCapacity)
 	_, err = r.Pick(&Request{Unit: "m", PromptTokens: 10, Now: testNow})
-	require.NoError(t, err, "a request without a target for pauses goes there")
+	require.NoError(t, err, "a request without a target for gaps goes there")
 }
 
 // The estimate must converge to the 20 µs a token that an engine takes, and a single
@@ -168,7 +168,7 @@
 	require.Equal(t, learned, r.prefill.tokenTime("m"), "a late attempt does not change the estimate")
 }
 
-// An endpoint that was full or unreachable must not be asked again at once, but must be
+// An endpoint that was full or unreachable must not be selected again at once, but must be
 // selected again after a short time.
 func TestRejectingEndpointsAreAvoidedBriefly(t *testing.T) {
 	for name, tc := range map[string]struct {
--- a/routing/pickers.go
+++ b/routing/pickers.go
@@ -51,8 +51,8 @@
 
 // weightedPicker picks each candidate with a probability in proportion to its score.
 // Instances share nearly the same view of a few endpoints, some tenths of a second old.
-// Weighted selection distributes their requests over these endpoints, where picking the
-// better one would send all of them to the same endpoint.
+// Weighted selection distributes their requests over these endpoints, where picking the best
+// one would send all of them to the same endpoint.
 type weightedPicker struct{}
 
 func (weightedPicker) Name() string { return "share-out" }
--- a/routing/policies.go
+++ b/routing/policies.go
@@ -48,7 +48,7 @@
 	// plainAbove is the number of instances up to which the endpoint with the fewest
 	// requests is the best choice: that few instances learn of each other's requests soon
 	// enough, and each has a large part of all requests itself. With six instances
-	// weighted selection loses 0.06 of the worth of all answers of a day.
+	// weighted selection loses 0.06 of the value of a day's answers.
 	plainAbove = 16
 )
 
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -15,7 +15,7 @@
 	Pool  string
 	// PromptTokens is the length of the prompt; 0 if unknown.
 	PromptTokens int64
-	// PromptWork is the time to read the prompt; Pick sets it.
+	// PromptWork is the estimated time to process the prompt; Pick sets it.
 	PromptWork time.Duration
 	// FirstTokenBy is when the first token is due. EventGapTarget is the longest allowed
 	// gap between events. Both are zero if there is no target.
--- a/routing/router.go
+++ b/routing/router.go
@@ -148,8 +148,8 @@
 		if !(liveFilter{}).Keep(req, e) || !(regionFilter{}).Keep(req, e) {
 			continue
 		}
-		rate, named := r.endpointRate(e)
-		if !named {
+		rate, hasLimit := r.endpointRate(e)
+		if !hasLimit {
 			return 0, false
 		}
 		perSecond += rate
@@ -158,8 +158,8 @@
 	return perSecond, limited
 }
 
-// ReleasePrompt releases the reserved prompt work once the prompt has been read and the
-// answer has begun.
+// ReleasePrompt releases the reserved prompt work once the prompt has been processed and
+// the answer has begun.
 func (d *Decision) ReleasePrompt() {
 	d.Endpoint.ownPromptWork.Add(-int64(d.PromptWork))
 	d.PromptWork = 0
@@ -218,15 +218,15 @@
 // endpointRate returns how many requests a second an endpoint accepts; false if it has no
 // limit.
 func (r *Router) endpointRate(e *Endpoint) (perSecond float64, limited bool) {
-	named, limited := r.permits.Rate(e.PermitKey())
+	announced, limited := r.permits.Rate(e.PermitKey())
 	cold, isCold := r.permits.Rate(e.ColdPermitKey())
 	switch {
 	case !isCold:
-		return named, limited
+		return announced, limited
 	case !limited:
 		return cold, true
 	default:
-		return min(named, cold), true
+		return min(announced, cold), true
 	}
 }
 
--- a/routing/view.go
+++ b/routing/view.go
@@ -10,7 +10,7 @@
 	// ByName maps names to the endpoints of all pools.
 	ByName map[string]*Endpoint
 	// OpenRegions holds, for each pool, the regions with at least one endpoint that is not
-	// evacuated. A pool without an entry is unknown.
+	// evacuated. Nothing is known of a pool without an entry.
 	OpenRegions map[string]map[string]bool
 	// Instances is the number of live instances that share the endpoints.
 	Instances int
