--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -193,9 +193,9 @@
 // maxAttempts.
 func (x *Exchange) attemptsLeft() bool {
 	ran := len(x.triedEndpoints())
-	most := maxAttempts
+	limit := maxAttempts
 	if n := x.Target.Policy.MaxAttempts; n > 0 {
-		most = min(n, most)
+		limit = min(n, limit)
 	}
-	return ran < most && len(x.Attempts) < maxAttempts
+	return ran < limit && len(x.Attempts) < maxAttempts
 }
--- a/pipeline/panic_test.go
+++ b/pipeline/panic_test.go
@@ -11,8 +11,8 @@
 )
 
 // On a panic in a handler net/http closes the caller's connection: the caller gets neither
-// an answer nor a refusal, and the instance's log has no line about it. The caller must be
-// told that the request may have run.
+// an answer nor a refusal, and the instance's log has no line about it. The answer must
+// report that the request may have run.
 func TestPanicIsReportedToTheCaller(t *testing.T) {
 	p := newTestPipeline(t, "127.0.0.1:1")
 	p.prepare = append([]Filter{panicFilter{}}, p.prepare...)
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -48,8 +48,8 @@
 	// OnNoReplica is called when a request finds no replica of its unit.
 	OnNoReplica func()
 	// EndpointsAgeMS returns the time in milliseconds, for the log, since this instance
-	// last knew for certain which endpoints leave; -1 if it never did. Nil means that it
-	// always does.
+	// last knew for certain which endpoints are leaving; -1 if it never did. Nil means that
+	// it always does.
 	EndpointsAgeMS func() int64
 	// SettingsOutdated reports whether settings newer than those in force are known to
 	// have been accepted; nil means never.
--- a/pipeline/settle.go
+++ b/pipeline/settle.go
@@ -102,9 +102,9 @@
 	f.log.Info("settle", values...)
 }
 
-// answer reports the failure to the caller. After a partial answer only the interruption
-// itself can report it: the dialect may end an event stream with an error, and any other
-// answer is aborted so that the caller sees that it is incomplete.
+// answer reports the failure to the caller. A partial answer can report it only by its end:
+// the dialect may end an event stream with an error, and any other answer is aborted so that
+// the caller sees that it is incomplete.
 func (f settle) answer(x *Exchange, a Answer) {
 	if !x.answerStarted {
 		f.dialect.WriteFailure(x.Writer, a)
--- a/pipeline/termination.go
+++ b/pipeline/termination.go
@@ -15,7 +15,7 @@
 
 // terminationDetector detects whether endpoints at which attempts broke have terminated. A
 // connection breaks for many reasons; an endpoint whose port is closed has terminated, and
-// all requests that it ran with it.
+// so have the requests that it ran.
 type terminationDetector struct {
 	quarantine *quarantine.Manager
 	// isListening reports whether a port is open; an error means that this is unknown.
@@ -36,7 +36,7 @@
 const (
 	// probeDelay is the delay between a break and the probe of the endpoint's port: a
 	// process that ends closes its connections and its port in any order. The delay is far
-	// below the seconds after which a terminated endpoint is back.
+	// shorter than the seconds that a terminated endpoint takes to restart.
 	probeDelay = 50 * time.Millisecond
 	// probeTimeout bounds the probe.
 	probeTimeout = time.Second
--- a/pipeline/termination_test.go
+++ b/pipeline/termination_test.go
@@ -33,10 +33,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				keeper := quarantine.NewManager(quarantine.Config{Limits: quarantine.DefaultLimits, Now: time.Now, Log: logr.Discard()})
+				manager := quarantine.NewManager(quarantine.Config{Limits: quarantine.DefaultLimits, Now: time.Now, Log: logr.Discard()})
 				probes := 0
 				detector := &terminationDetector{
-					quarantine: keeper, log: logr.Discard(), pending: map[*routing.Endpoint][]brokenAttempt{},
+					quarantine: manager, log: logr.Discard(), pending: map[*routing.Endpoint][]brokenAttempt{},
 					isListening: func(context.Context, string) (bool, error) { probes++; return tc.open, tc.err },
 				}
 				e := &routing.Endpoint{Name: "e", StartedAtMS: 7}
@@ -47,7 +47,7 @@
 				detector.add(e, brokenAttempt{fingerprint: quarantine.Fingerprint{1}})
 				time.Sleep(time.Second)
 				synctest.Wait()
-				require.Equal(t, tc.want, keeper.Stats().Known)
+				require.Equal(t, tc.want, manager.Stats().Known)
 				require.LessOrEqual(t, probes, 1, "attempts that broke together share one probe")
 			})
 		})
--- a/pipeline/waiting.go
+++ b/pipeline/waiting.go
@@ -24,9 +24,9 @@
 }
 
 // refusedPriority is the number of priority levels that a retry after a refusal gains in
-// the queue. Placing such retries after all others, at the engine too, costs 1 to 3 in 100
-// of the worth of all answers (means of ten runs with 12 and 18 engines). The difference
-// from no gain at all is within noise (35 runs each).
+// the queue. Placing such retries after all others, at the engine too, loses 1 to 3 in 100 of
+// the value of all answers with 12 and 18 engines. Compared with no gain at all, the benefit
+// is within noise.
 const refusedPriority = 1
 
 // priority orders the request among those that wait.
@@ -39,7 +39,7 @@
 }
 
 // lateWaitShare is the share of the time between the target and the moment at which the
-// caller gives up that a late request waits for a slot. The rest is for reading its
+// caller gives up that a late request waits for a slot. The rest is for processing its
 // prompt, after others.
 const lateWaitShare = 0.4
 
@@ -68,8 +68,8 @@
 const (
 	// noReplicaRetryAfter is for a unit without a replica, which must be loaded first.
 	noReplicaRetryAfter = 1500 * time.Millisecond
-	// noCapacityRetryAfter is for a unit whose replicas are full: in this time they read
-	// some of the prompts ahead.
+	// noCapacityRetryAfter is for a unit whose replicas are full: in this time they
+	// process some of the prompts ahead.
 	noCapacityRetryAfter = 600 * time.Millisecond
 	// stoppingRetryAfter is for a caller that another instance can serve.
 	stoppingRetryAfter = 10 * time.Millisecond
@@ -94,8 +94,8 @@
 // addJitter adds a random delay, so that callers refused at the same time do not retry at
 // the same time.
 func addJitter(d time.Duration) time.Duration {
-	const most = 0.3
-	return d + time.Duration(float64(d)*most*rand.Float64())
+	const maxFraction = 0.3
+	return d + time.Duration(float64(d)*maxFraction*rand.Float64())
 }
 
 // newAdmitError returns the error for a request that was not admitted; pickErr says why
--- a/pipeline/waiting_test.go
+++ b/pipeline/waiting_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// Checks the waiting time of late, retried, patient and hurried requests.
+// Checks how long requests wait: late ones, retries after a refusal, those whose policy lets
+// them wait (patient), and those whose caller sets a short timeout (hurried).
 func TestWaitingTimeByTarget(t *testing.T) {
 	after := func(x *Exchange, late bool) time.Duration { return x.startBy(late).Sub(x.Received) }
 	x := engineExchange()
