--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -148,7 +148,7 @@
 	go reportLimits(w, recorder)
 	received := renewEntry(w, signals)
 	drained := time.After(soak.DrainTime)
-	leaveEvent := fake.WorkerEvent{What: soak.HappenedLeft}
+	leaveEvent := fake.WorkerEvent{What: soak.EventLeft}
 	if received == soak.RemoveEntrySignal {
 		w.RemoveEntry()
 		recorder.Record(w, leaveEvent)
@@ -168,11 +168,11 @@
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, soak.LimitSignal)
 	for range signals {
-		recorder.Record(w, fake.WorkerEvent{What: soak.HappenedLimited})
+		recorder.Record(w, fake.WorkerEvent{What: soak.EventLimited})
 		w.AnnounceLimit(strconv.Itoa(soak.LimitPerSecond))
 		time.Sleep(soak.LimitTime)
 		w.AnnounceLimit("")
-		recorder.Record(w, fake.WorkerEvent{What: soak.HappenedUnlimited})
+		recorder.Record(w, fake.WorkerEvent{What: soak.EventUnlimited})
 	}
 }
 
--- a/soak/check.go
+++ b/soak/check.go
@@ -241,7 +241,7 @@
 func (c *checker) checkLeaves(records []Record) {
 	left := map[string]time.Time{}
 	for _, r := range records {
-		if r.What == HappenedLeft {
+		if r.What == EventLeft {
 			left[r.Worker] = r.At
 		}
 	}
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -36,7 +36,7 @@
 		return Record{At: start.Add(after), Worker: "w2", WorkerEvent: fake.WorkerEvent{What: fake.EventOrder, Holder: holder, Fence: fence}}
 	}
 	left := func(worker string, after time.Duration) Record {
-		return Record{At: start.Add(after), Worker: worker, WorkerEvent: fake.WorkerEvent{What: HappenedLeft}}
+		return Record{At: start.Add(after), Worker: worker, WorkerEvent: fake.WorkerEvent{What: EventLeft}}
 	}
 	records := []Record{
 		ran("w1", fake.Plain, "p1"), ran("w1", fake.Plain, "p3"), ran("w2", fake.LLM, "s1"), ran("w2", fake.LLM, "s2"), ran("w3", fake.LLM, "s2"),
@@ -220,11 +220,11 @@
 		return Record{At: start.Add(after), Worker: "w1", Service: fake.Plain, WorkerEvent: fake.WorkerEvent{What: what, Attempt: "r"}}
 	}
 	recordsOf := func(burst time.Duration, n int) []Record {
-		records := []Record{record(HappenedLimited, 0)}
+		records := []Record{record(EventLimited, 0)}
 		for i := range n {
 			records = append(records, record(fake.EventRun, burst+time.Duration(i)*100*time.Millisecond))
 		}
-		return append(records, record(HappenedUnlimited, LimitTime))
+		return append(records, record(EventUnlimited, LimitTime))
 	}
 	results := []Result{{Attempt: "r", Kind: kindSafe, Failure: "gave up"}}
 	rules := Rules{LimitWindow: limitWindow}
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -32,9 +32,9 @@
 	for _, r := range records {
 		from, isLimited := limited[r.Worker]
 		switch {
-		case r.What == HappenedLimited && !isLimited:
+		case r.What == EventLimited && !isLimited:
 			limited[r.Worker] = r.At
-		case r.What == HappenedUnlimited:
+		case r.What == EventUnlimited:
 			c.checkLimitedRuns(r.Worker, runs[r.Worker])
 			delete(limited, r.Worker)
 			delete(runs, r.Worker)
--- a/soak/run.go
+++ b/soak/run.go
@@ -381,7 +381,7 @@
 	slog.Info("leave", "worker", w.id(), "how", how.String())
 	w.signal(how)
 	time.Sleep(DrainTime)
-	if !r.testbed.hasRecord(w.id(), HappenedLeft) {
+	if !r.testbed.hasRecord(w.id(), EventLeft) {
 		r.addViolation("leave not acknowledged: %s", w.id())
 	}
 	w.stop(syscall.SIGTERM, DrainTime)
--- a/soak/worker.go
+++ b/soak/worker.go
@@ -40,16 +40,16 @@
 	LimitTime      = 8 * time.Second
 )
 
-// HappenedLimited and HappenedUnlimited are recorded when a worker starts and stops
+// EventLimited and EventUnlimited are recorded when a worker starts and stops
 // announcing a limit.
 const (
-	HappenedLimited   = "limited"
-	HappenedUnlimited = "unlimited"
+	EventLimited   = "limited"
+	EventUnlimited = "unlimited"
 )
 
-// HappenedLeft is recorded once the store has acknowledged that a worker leaves, or
+// EventLeft is recorded once the store has acknowledged that a worker leaves, or
 // that its entry is removed.
-const HappenedLeft = "left"
+const EventLeft = "left"
 
 // Recorder writes the events at a worker as lines of JSON, each a Record.
 type Recorder struct {
