--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -104,7 +104,7 @@
 			}
 			mux.HandleFunc("POST /control/forget", func(http.ResponseWriter, *http.Request) { store.DropHistory() })
 			store.SetEra(1)
-			copies := fake.NewSnapshots(store, soak.CopyAge)
+			copies := fake.NewSnapshots(store, soak.SnapshotAge)
 			mux.HandleFunc("POST /control/copied", func(http.ResponseWriter, *http.Request) { copies.RestoreOldest() })
 			go func() {
 				for range time.Tick(soak.EntryInterval / 3) {
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -43,7 +43,7 @@
 	StoreLosing   Action = "store-losing"
 	StoreSilent   Action = "store-silent"
 	StoreForget   Action = "store-forget"
-	// StoreCopied restores the store from a copy of age CopyAge; the operator and the
+	// StoreCopied restores the store from a snapshot of age SnapshotAge; the operator and the
 	// endpoints rewrite what they wrote since.
 	StoreCopied Action = "store-copied"
 	// LinkDelay, LinkSilence, LinkOneWay and LinkReset are modes of a link's Proxy.
@@ -122,7 +122,7 @@
 // fourthActions adds requests that crash endpoints.
 var fourthActions = slices.Concat(thirdActions, []Action{CrashingRequest, CrashingRequest})
 
-// fifthActions adds a store that is restored from a copy.
+// fifthActions adds a store that is restored from a snapshot.
 var fifthActions = slices.Concat(fourthActions, []Action{StoreCopied, StoreCopied})
 
 // sixthActions adds endpoints that announce limits.
--- a/soak/worker.go
+++ b/soak/worker.go
@@ -18,8 +18,8 @@
 	// EntryTTL after its last renewal.
 	EntryInterval = 300 * time.Millisecond
 	EntryTTL      = 1200 * time.Millisecond
-	// CopyAge is the age of the copy from which the store is restored.
-	CopyAge = 3 * time.Second
+	// SnapshotAge is the age of the snapshot from which the store is restored.
+	SnapshotAge = 3 * time.Second
 	// DrainTime is how long a worker that leaves still serves. It is well beyond the
 	// time within which instances must stop using the worker, so that late requests are
 	// recorded.
