--- a/cmd/eiderspring-soak/main.go
+++ b/cmd/eiderspring-soak/main.go
@@ -72,8 +72,8 @@
 			return trace.Wrap(err, "seed %d", seed)
 		}
 		fmt.Println(report)
-		for _, b := range report.Violations {
-			fmt.Println("  broken:", b)
+		for _, v := range report.Violations {
+			fmt.Println("  broken:", v)
 		}
 		if len(report.Violations) > 0 {
 			failed++
@@ -104,12 +104,12 @@
 			}
 			mux.HandleFunc("POST /control/forget", func(http.ResponseWriter, *http.Request) { store.DropHistory() })
 			store.SetEra(1)
-			copies := fake.NewSnapshots(store, soak.SnapshotAge)
-			mux.HandleFunc("POST /control/copied", func(http.ResponseWriter, *http.Request) { copies.RestoreOldest() })
+			snapshots := fake.NewSnapshots(store, soak.SnapshotAge)
+			mux.HandleFunc("POST /control/copied", func(http.ResponseWriter, *http.Request) { snapshots.RestoreOldest() })
 			go func() {
 				for range time.Tick(soak.EntryInterval / 3) {
 					store.ExpireEntries(soak.EntryTTL)
-					copies.Take()
+					snapshots.Take()
 				}
 			}()
 			return trace.Wrap(http.ListenAndServe(c.String("listen"), mux))
@@ -129,23 +129,23 @@
 	}
 }
 
-// runWorker serves until it receives SIGTERM or soak.Gone. On SIGTERM it announces
-// that it is draining; on soak.Gone it removes its entry at once, without notice.
-// Either way it serves the requests that still arrive for soak.DrainTime.
+// runWorker serves until it receives SIGTERM or soak.RemoveEntrySignal. On SIGTERM it
+// announces that it is draining; on soak.RemoveEntrySignal it removes its entry at once,
+// without notice. Either way it serves the requests that still arrive for soak.DrainTime.
 func runWorker(_ context.Context, c *cli.Command) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, soak.RemoveEntrySignal)
 	w := fake.NewWorkerHandler(fake.RemoteRegistry{URL: c.String("store")}, c.String("id"), c.String("service"), "z1")
 	w.Address = c.String("advertise")
 	recorder := soak.NewRecorder(os.Stdout)
-	w.Observe(c.Float("capacity-mb"), c.Float("model-mb"), func(h fake.WorkerEvent) { recorder.Record(w, h) })
+	w.Observe(c.Float("capacity-mb"), c.Float("model-mb"), func(e fake.WorkerEvent) { recorder.Record(w, e) })
 	w.SetHandler(crashOnRequest(fake.FaultyHandler(w, soak.LockedRandom(uint64(time.Now().UnixNano())))))
 	listener, err := net.Listen("tcp", c.String("listen"))
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	go func() { _ = http.Serve(listener, w) }()
-	go reportLimits(w, recorder)
+	go announceLimits(w, recorder)
 	received := renewEntry(w, signals)
 	drained := time.After(soak.DrainTime)
 	leaveEvent := fake.WorkerEvent{What: soak.EventLeft}
@@ -162,9 +162,9 @@
 	return nil
 }
 
-// reportLimits reports a rate limit for soak.LimitTime on each soak.NameLimit
-// signal.
-func reportLimits(w *fake.Worker, recorder *soak.Recorder) {
+// announceLimits makes the worker announce a limit for soak.LimitTime on each
+// soak.LimitSignal.
+func announceLimits(w *fake.Worker, recorder *soak.Recorder) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, soak.LimitSignal)
 	for range signals {
@@ -176,8 +176,8 @@
 	}
 }
 
-// crashOnRequest exits the process on a request for which soak.EndsEndpoint is
-// true, and serves all others.
+// crashOnRequest exits the process on a request for which soak.CrashesEndpoint is
+// true, and passes all others to serve.
 func crashOnRequest(serve http.HandlerFunc) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		if soak.CrashesEndpoint(r.URL.Path) {
--- a/soak/testbed.go
+++ b/soak/testbed.go
@@ -85,8 +85,8 @@
 	if d.action == LinkMute {
 		since = res.Dialed
 	}
-	stoodStill := d.action == NodePause || d.action == NodeStandstill
-	return since.Before(d.to.Add(settleTime)) && res.Ended.After(d.from) && (res.TimedOut || !stoodStill)
+	wasPaused := d.action == NodePause || d.action == NodeStandstill
+	return since.Before(d.to.Add(settleTime)) && res.Ended.After(d.from) && (res.TimedOut || !wasPaused)
 }
 
 type node struct {
--- a/soak/worker.go
+++ b/soak/worker.go
@@ -61,8 +61,8 @@
 func NewRecorder(out io.Writer) *Recorder { return &Recorder{out: out} }
 
 // Record writes one line without buffering, as the process may be killed at any moment.
-func (r *Recorder) Record(w *fake.Worker, h fake.WorkerEvent) {
-	line, err := json.Marshal(Record{At: time.Now(), Worker: w.ID, Service: w.Service, WorkerEvent: h})
+func (r *Recorder) Record(w *fake.Worker, e fake.WorkerEvent) {
+	line, err := json.Marshal(Record{At: time.Now(), Worker: w.ID, Service: w.Service, WorkerEvent: e})
 	if err != nil {
 		slog.Error("event not recorded", "error", err.Error())
 		return
