--- a/bench/fit.go
+++ b/bench/fit.go
@@ -17,8 +17,8 @@
 // targetInstances is the number of instances expected in two years.
 const targetInstances = 390
 
-// column is a column of the rows that sample prints, with its limit; 0 is no
-// limit.
+// column is a column of the rows that sample prints, with its limit; 0
+// means no limit.
 type column struct {
 	index int
 	name  string
--- a/bench/main.go
+++ b/bench/main.go
@@ -42,7 +42,7 @@
 				Name: "summary", Usage: "processor time for each complete request of a `load -o json` report", ArgsUsage: "JSON",
 				Flags: []cli.Flag{&cli.StringFlag{Name: "name"}, &cli.Int64Flag{Name: "ticks", Usage: "processor time used, in hundredths of a second"}},
 				Action: func(_ context.Context, c *cli.Command) error {
-					return summarise(c.String("name"), c.Int64("ticks"), c.Args().First())
+					return summarize(c.String("name"), c.Int64("ticks"), c.Args().First())
 				},
 			},
 			{
--- a/bench/settings.go
+++ b/bench/settings.go
@@ -21,7 +21,7 @@
 	before func(*standin.ObjectAPI)
 	after  func(*standin.ObjectAPI)
 	// editsDivisor divides the number of edits, for scenarios that take long; 0
-	// is 1.
+	// means 1.
 	editsDivisor int
 	// interval is the time between edits.
 	interval time.Duration
--- a/bench/summary.go
+++ b/bench/summary.go
@@ -9,9 +9,9 @@
 	"github.com/eiderspring/eiderspring/load"
 )
 
-// summarise prints the processor time of the instance for each complete request
+// summarize prints the processor time of the instance for each complete request
 // of the report at path.
-func summarise(name string, ticks int64, path string) error {
+func summarize(name string, ticks int64, path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return err
--- a/cmd/eiderspring/losses.go
+++ b/cmd/eiderspring/losses.go
@@ -19,7 +19,7 @@
 		Name:  "losses",
 		Usage: "tell from the logs of instances on standard input which requests were lost, when and why",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "target", Usage: "count first bytes behind this `TIME` as late"},
+			&cli.DurationFlag{Name: "target", Usage: "count first bytes after this `TIME` as late"},
 			&cli.DurationFlag{Name: "window", Usage: "`TIME` of a row", Value: defaultLossWindow},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
--- a/demo/tally.go
+++ b/demo/tally.go
@@ -74,7 +74,8 @@
 	OverMemory                                   int64
 	UnreachableModels                            []string
 	// MaxUnreachable is the largest number of units that no engine held ready at
-	// one time, UnreachableSeconds the time until all of them were ready again.
+	// one time. UnreachableSeconds is the time from when such a unit was first seen
+	// to when one was last seen.
 	MaxUnreachable                  int
 	UnreachableSeconds              float64
 	LeavingLate                     int64
--- a/demo/workload.go
+++ b/demo/workload.go
@@ -21,7 +21,7 @@
 	fleet      *Fleet
 	client     *load.Client
 	tally      *tally
-	// units are the models and adapters in order of falling demand, weights
+	// units are the models and adapters in descending order of demand, weights
 	// their relative demand.
 	units   []string
 	weights []float64
@@ -76,10 +76,10 @@
 			w.send(ctx, due, r)
 			return
 		}
-		var copies sync.WaitGroup
-		copies.Go(func() { w.send(ctx, due, r) })
-		copies.Go(func() { w.send(ctx, due, r) })
-		copies.Wait()
+		var both sync.WaitGroup
+		both.Go(func() { w.send(ctx, due, r) })
+		both.Go(func() { w.send(ctx, due, r) })
+		both.Wait()
 	})
 }
 
