--- a/daemon/permits.go
+++ b/daemon/permits.go
@@ -73,7 +73,7 @@
 		}
 		requests, granted := p.limiter.PendingRequests(p.now())
 		for _, request := range requests {
-			p.sendTo(peer.Packet{PermitRequests: []permit.Request{request.Ask}, ConfirmReply: request.Ask.Seq | 1}, request.To)
+			p.sendTo(peer.Packet{PermitRequests: []permit.Request{request.Request}, ConfirmReply: request.Request.Seq | 1}, request.To)
 		}
 		if granted || len(warm) > 0 {
 			p.wakeWaiting()
--- a/permit/golden_test.go
+++ b/permit/golden_test.go
@@ -75,8 +75,8 @@
 	var b strings.Builder
 	requests, issued := l.PendingRequests(s.now)
 	for _, r := range requests {
-		s.requests[name] = r.Ask
-		fmt.Fprintf(&b, "to=%s rank=%d n=%d per-second=%v age=%dms\n", r.To, r.Ask.Rank, r.Ask.N, r.Ask.Report.PerSecond, r.Ask.Report.AgeMS)
+		s.requests[name] = r.Request
+		fmt.Fprintf(&b, "to=%s rank=%d n=%d per-second=%v age=%dms\n", r.To, r.Request.Rank, r.Request.N, r.Request.Report.PerSecond, r.Request.Report.AgeMS)
 	}
 	fmt.Fprintf(&b, "issued=%v\n", issued)
 	return b.String()
--- a/permit/limiter_test.go
+++ b/permit/limiter_test.go
@@ -147,7 +147,7 @@
 		require.Len(t, more, 1)
 		requests = append(requests, more...)
 	}
-	grant := func(r OutgoingRequest) Grant { return Grant{Report: r.Ask.Report, Seq: r.Ask.Seq, N: 1} }
+	grant := func(r OutgoingRequest) Grant { return Grant{Report: r.Request.Report, Seq: r.Request.Seq, N: 1} }
 	now := at(3 * grantTimeout)
 	require.False(t, l.ReceiveGrant(now, "third", grant(requests[1])), "it received no request")
 	require.True(t, l.ReceiveGrant(now, "other", grant(requests[1])))
@@ -184,7 +184,7 @@
 	requester.RecordDemand(at(2*time.Second), e)
 	requests, _ := requester.PendingRequests(at(2 * time.Second))
 	require.Len(t, requests, 1)
-	g, answered := issuing.HandleRequest(at(2*time.Second), requests[0].Ask)
+	g, answered := issuing.HandleRequest(at(2*time.Second), requests[0].Request)
 	require.True(t, answered)
 	require.True(t, requester.ReceiveGrant(at(2*time.Second), "other", g))
 	require.True(t, requester.Ready(at(2*time.Second), e))
--- a/permit/pool.go
+++ b/permit/pool.go
@@ -174,8 +174,8 @@
 
 // OutgoingRequest is a permit request and the instance that it is sent to.
 type OutgoingRequest struct {
-	To  string
-	Ask Request
+	To      string
+	Request Request
 }
 
 // PendingRequests returns the permit requests to send now, and whether this instance, where
@@ -210,7 +210,7 @@
 		}
 		l.lastSeq++
 		p.recordSent(now, l.lastSeq, to)
-		requests = append(requests, OutgoingRequest{To: to, Ask: Request{Report: k.report(now, e), Seq: l.lastSeq, Rank: rank, N: p.nextBatch(now)}})
+		requests = append(requests, OutgoingRequest{To: to, Request: Request{Report: k.report(now, e), Seq: l.lastSeq, Rank: rank, N: p.nextBatch(now)}})
 	}
 	return requests, issued
 }
--- a/permit/simulation_test.go
+++ b/permit/simulation_test.go
@@ -222,7 +222,7 @@
 	to := s.node(r.To)
 	s.send(n, to, func() {
 		to.limiter.SetFleet(s.fleet(to))
-		g, answered := to.limiter.HandleRequest(s.now, r.Ask)
+		g, answered := to.limiter.HandleRequest(s.now, r.Request)
 		if !answered {
 			return
 		}
