--- a/engine/dialect.go
+++ b/engine/dialect.go
@@ -142,5 +142,5 @@
 	return c.dialect.Load(resp.Header)
 }
 
-// Resumes reports whether Resume may be used.
-func (c *Client) Resumes() bool { return c.dialect.SupportsResume() }
+// SupportsResume reports whether endpoints resume broken streams, so that Resume may be used.
+func (c *Client) SupportsResume() bool { return c.dialect.SupportsResume() }
--- a/pipeline/relay.go
+++ b/pipeline/relay.go
@@ -121,7 +121,7 @@
 		if x.offset > before {
 			idleResumes = 0
 		}
-		if ctx.Err() != nil || idleResumes == maxIdleResumes || !f.client.Resumes() {
+		if ctx.Err() != nil || idleResumes == maxIdleResumes || !f.client.SupportsResume() {
 			return f.relayError(ctx, err)
 		}
 		idleResumes++
