--- a/permit/cold.go
+++ b/permit/cold.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// An endpoint is cold for a while after its start, and can bear few requests then. Its cold
+// An endpoint is cold for a while after its start, and can process few requests then. Its cold
 // limit is kept like a limit that the endpoint reports, except for its end: it ends by time,
 // at each instance by what that instance knows, because an instance that knows less must not
 // end it for all. What the endpoint gets then grows in steps, because otherwise all instances
@@ -24,7 +24,7 @@
 // RecordCold records that an endpoint stays cold for the remaining time, in which it accepts
 // perSecond requests a second from all instances together, and reports whether it was not
 // cold before.
-func (l *Limiter) RecordCold(now time.Time, e LimitKey, perSecond float64, remaining time.Duration) (news bool) {
+func (l *Limiter) RecordCold(now time.Time, e LimitKey, perSecond float64, remaining time.Duration) (changed bool) {
 	if l == nil || perSecond <= 0 || remaining <= 0 {
 		return false
 	}
@@ -34,9 +34,9 @@
 }
 
 // recordCold records that an endpoint is cold at least until a time.
-func (l *Limiter) recordCold(now time.Time, e LimitKey, perSecond float64, until time.Time) (news bool) {
+func (l *Limiter) recordCold(now time.Time, e LimitKey, perSecond float64, until time.Time) (changed bool) {
 	e.Cold = true
-	news = l.record(now, now, e, perSecond, false)
+	changed = l.record(now, now, e, perSecond, false)
 	known := l.limits[e]
 	if known == nil {
 		// The table of limits is full.
@@ -48,17 +48,18 @@
 	if known.coldUntil.After(now) {
 		known.warmUpStep = 0
 	}
-	return news
+	return changed
 }
 
 // receiveCold applies a report of another instance on a cold endpoint. It never ends a cold
 // limit.
-func (l *Limiter) receiveCold(now time.Time, e LimitKey, r LimitReport) (news bool) {
+func (l *Limiter) receiveCold(now time.Time, e LimitKey, r LimitReport) (changed bool) {
 	if r.Ended || r.PerSecond <= 0 {
 		return false
 	}
 	if known := l.limits[e]; known != nil && !known.ended {
-		// This instance's own list already says how long the endpoint stays cold.
+		// The cold limit is known here already and ends by what this instance knows: the report
+		// does not extend it.
 		known.touchedAt = now
 		return false
 	}
--- a/permit/doc.go
+++ b/permit/doc.go
@@ -11,7 +11,7 @@
 //
 // An issuer that does not reply is skipped for a while, and the next one of the hash issues
 // at a fraction of the rate, because the first may still serve others. An instance that gets
-// no reply from any issuer continues with half of an even share of the rate. All of these
+// no reply from any issuer continues with half of an even part of the rate. All of these
 // together stay below one and a half times the limit. A rate close to zero is raised to
 // minRate, because only an answer shows that the limit has ended.
 //
--- a/permit/issuer.go
+++ b/permit/issuer.go
@@ -15,9 +15,10 @@
 	// accrues until the next request.
 	burstTime = 100 * time.Millisecond
 	minBurst  = 2
-	// maxIssuers is how many instances may be asked for one endpoint, one after another.
+	// maxIssuers is how many instances may issue permits for one endpoint; they are tried in
+	// turn.
 	maxIssuers = 3
-	// fallbackFraction is the fraction of its even share that an instance uses while no issuer
+	// fallbackFraction is the fraction of its even part that an instance uses while no issuer
 	// replies to it.
 	fallbackFraction = 0.5
 )
--- a/permit/limiter.go
+++ b/permit/limiter.go
@@ -180,7 +180,7 @@
 		known = &limit{ended: true}
 		l.limits[e] = known
 	}
-	news := known.ended != ended || !ended && known.perSecond != perSecond
+	changed := known.ended != ended || !ended && known.perSecond != perSecond
 	if known.ended && !ended {
 		known.since, known.pool, known.buckets = now, pool{}, [maxIssuers]bucket{}
 		l.activeLimits.Add(1)
@@ -189,10 +189,10 @@
 		l.activeLimits.Add(-1)
 	}
 	known.perSecond, known.ended, known.reportedAt, known.touchedAt = perSecond, ended, at, now
-	if news {
+	if changed {
 		known.sendsLeft = reportSends
 	}
-	return news
+	return changed
 }
 
 // AnyLimit reports whether any limit is in force.
--- a/permit/messages.go
+++ b/permit/messages.go
@@ -72,7 +72,7 @@
 }
 
 // ReceiveReports applies the reports of another instance, and returns those that are new here.
-func (l *Limiter) ReceiveReports(now time.Time, reports []LimitReport) (news []LimitReport) {
+func (l *Limiter) ReceiveReports(now time.Time, reports []LimitReport) (fresh []LimitReport) {
 	if l == nil || len(reports) == 0 {
 		return nil
 	}
@@ -80,10 +80,10 @@
 	defer l.mu.Unlock()
 	for _, r := range reports {
 		if l.receive(now, r) {
-			news = append(news, r)
+			fresh = append(fresh, r)
 		}
 	}
-	return news
+	return fresh
 }
 
 // receive applies a report unless a newer one is known.
--- a/permit/pool.go
+++ b/permit/pool.go
@@ -216,7 +216,7 @@
 }
 
 // retryDelay returns the time until the next permit request after a grant without permits:
-// about the time in which this instance's even share of the rate yields one permit.
+// about the time in which this instance's even part of the rate yields one permit.
 func (l *Limiter) retryDelay(k *limit) time.Duration {
 	members := l.fleet.KnownCount
 	share := time.Duration(float64(members) / k.issueRate() * float64(time.Second))
