--- a/allowance/limiter.go
+++ b/allowance/limiter.go
@@ -14,7 +14,8 @@
 // for concurrent use; a nil Limiter admits everything.
 type Limiter struct {
 	tolerance Tolerance
-	// evenOnly is set where no instance aggregates: each admits an even part of the limits.
+	// evenOnly is set in a deployment that has no aggregator at all: each instance admits an
+	// even part of the limits.
 	evenOnly bool
 	// random returns a number in [0,1).
 	random func() float64
@@ -24,8 +25,8 @@
 	instances int
 	limits    Limits
 	accounts  map[AccountHash]*localAccount
-	// aggregator is the process that aggregates, last received from at aggregatorAt; 0 for
-	// none.
+	// aggregator is the aggregator that this process follows, last received from at
+	// aggregatorAt; 0 if it follows none (NoAggregator).
 	aggregator   AggregatorID
 	aggregatorAt time.Time
 	// next is the first account of the next usage report.
@@ -278,8 +279,9 @@
 	return min(max(after, minRetryAfter), maxRetryAfter)
 }
 
-// ReceiveShares applies the shares that an aggregator announces. While there are two, as for
-// a moment when the lease changes hands, all instances follow the one with the smaller ID.
+// ReceiveShares applies the shares that an aggregator announces. While there are two, as
+// briefly when another instance acquires the lease, all instances follow the one with the
+// smaller ID.
 func (l *Limiter) ReceiveShares(now time.Time, aggregator AggregatorID, shares []Share) {
 	if l == nil {
 		return
@@ -332,8 +334,9 @@
 	l.aggregator = 0
 }
 
-// NoAggregator reports whether this process follows no aggregator: it has received no shares
-// since it started, or since it relinquished them.
+// NoAggregator reports whether this process follows no aggregator: it has received no
+// announcement of one since it started, or since it relinquished its shares. It stays false when
+// the aggregator falls silent: the process then continues with its fractions of the limits.
 func (l *Limiter) NoAggregator() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/allowance/simulation_test.go
+++ b/allowance/simulation_test.go
@@ -21,10 +21,10 @@
 	tolerance Tolerance
 	limiters  []*Limiter
 	processes []int
-	// holder is the instance that aggregates, -1 for none, and aggregator its state. reign
+	// holder is the instance that aggregates, -1 for none, and aggregator its state. term
 	// counts the holders.
 	holder     int
-	reign      int
+	term       int
 	aggregator *Aggregator
 	// cut instances neither send nor receive messages.
 	cut []bool
@@ -93,7 +93,7 @@
 // appoint makes an instance the one that aggregates; -1 for none.
 func (s *simulation) appoint(i int) {
 	s.holder = i
-	s.reign++
+	s.term++
 	if i < 0 {
 		return
 	}
@@ -168,12 +168,12 @@
 }
 
 func (s *simulation) reportUsage() {
-	reign, aggregator := s.reign, s.aggregator
+	term, aggregator := s.term, s.aggregator
 	for i, l := range s.limiters {
 		usage, id := l.PendingUsage(8)
 		process, instance := s.process(i), fmt.Sprint(i)
 		s.send(i, s.holder, func() {
-			if s.reign != reign {
+			if s.term != term {
 				return
 			}
 			if id != s.aggregatorID() {
@@ -185,7 +185,7 @@
 }
 
 func (s *simulation) aggregatorID() AggregatorID {
-	return HolderAggregatorID(fmt.Sprintf("%s reign %d", s.process(s.holder), s.reign))
+	return HolderAggregatorID(fmt.Sprintf("%s reign %d", s.process(s.holder), s.term))
 }
 
 func (s *simulation) announceShares() {
@@ -374,9 +374,9 @@
 	},
 }
 
-// TestLimitHoldsInTrouble combines a fault with an overloaded account. Another instance
+// TestLimitHoldsThroughFaults combines a fault with an overloaded account. Another instance
 // aggregates some seconds later. It guards against exceeding the limit in between.
-func TestLimitHoldsInTrouble(t *testing.T) {
+func TestLimitHoldsThroughFaults(t *testing.T) {
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			eachFleet(t, 3, func(t *testing.T, s *simulation) {
