--- a/quarantine/bytes_bench_test.go
+++ b/quarantine/bytes_bench_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// smallFleetMost is the number of instances up to which each instance reports to all others.
+// maxSmallFleet is the number of instances up to which each instance reports to all others.
 // In larger fleets the first instance is the coordinator, which forwards all reports.
-const smallFleetMost = 16
+const maxSmallFleet = 16
 
 // BenchmarkBytesOfAnEnding counts the bytes that all instances together send when an endpoint
 // terminates with 20 requests, of up to 20 instances: until all instances know it, and per
@@ -28,7 +28,7 @@
 }
 
 func bytesOfAnEnding(instances int) (spread, idle int) {
-	coordinator := instances > smallFleetMost
+	coordinator := instances > maxSmallFleet
 	trackers := make([]*Tracker, instances)
 	for i := range trackers {
 		trackers[i] = NewTracker(limits)
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -7,6 +7,9 @@
 // held back. It has no clock and no lock; Manager wraps it and also tracks the requests in
 // flight.
 //
+// Messages between instances and log lines call the termination of an endpoint its ending, as
+// in peer.Packet.Endings and the log key endings.
+//
 // An endpoint runs many requests at once and all of them fail with it, so that one termination
 // proves nothing about a request. Three rules protect innocent requests: a request is held
 // only once several different endpoints have terminated under it; any complete success clears
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -245,16 +245,16 @@
 // fleetSeeds is the number of simulated fleets.
 const fleetSeeds = 300
 
-// TestFleetWithoutReportsIsCaught simulates the variant in which each instance knows only what
+// TestFleetWithoutReportsIsDetected simulates the variant in which each instance knows only what
 // it has observed. It guards against a check in the test above that never fails.
-func TestFleetWithoutReportsIsCaught(t *testing.T) {
-	caught := 0
+func TestFleetWithoutReportsIsDetected(t *testing.T) {
+	detected := 0
 	for seed := range uint64(10) {
 		f := newFleet(seed, fleetConfig{instances: 9, endpoints: 12, guilty: 1, innocent: 1})
 		f.play(30_000)
-		caught += len(f.tooMany())
+		detected += len(f.tooMany())
 	}
-	require.NotZero(t, caught)
+	require.NotZero(t, detected)
 }
 
 // TestLateInstanceReceivesAllReports restarts an instance after all reports were sent: it must
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -42,9 +42,9 @@
 	// requests that are not held are evicted first.
 	maxRecords = 4096
 	// differenceLifetime is how long a differing digest of another instance counts, longer than
-	// the half second between two hints. In that time all reports are sent again, each once in
-	// resendInterval and up to maxResent in a packet. So an instance that has just started, or
-	// was cut off, knows all within seconds.
+	// the half second between two hints (peer.Hint). In that time all reports are sent again,
+	// each once in resendInterval and up to maxResent in a packet. So an instance that has just
+	// started, or was cut off, knows all within seconds.
 	differenceLifetime = 1200 * time.Millisecond
 	resendInterval     = time.Second
 	maxResent          = 8
