--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -45,7 +45,7 @@
 }
 
 // claimSim runs several instances of one shard against an adversary that loses answers, delays
-// writes, pauses shards and kills requesters.
+// writes, pauses shards and crashes requesters.
 type claimSim struct {
 	draw   func(int) int
 	broken brokenRules
@@ -72,7 +72,7 @@
 type simAttempt struct {
 	op      Op
 	granted bool
-	// ended is set once the requester has dispatched, cancelled or died.
+	// ended is set once the requester has dispatched, cancelled or crashed.
 	ended bool
 }
 
@@ -186,7 +186,7 @@
 	return found[s.draw(len(found))]
 }
 
-// end makes a granted requester dispatch, cancel or die. Each happens once.
+// end makes a granted requester dispatch, cancel or crash. Each happens once.
 func (s *claimSim) end(n *simShard, attempt *simAttempt) {
 	attempt.ended = true
 	op := attempt.op
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -29,7 +29,7 @@
 	Slots int64
 	// SlotBytes is the estimated size in bytes at which a slot is sealed.
 	SlotBytes int
-	// Horizon is how long a key is remembered.
+	// Horizon is how long a key is kept.
 	Horizon time.Duration
 	// Interval is the minimum time between two writes: entries that arrive in between are
 	// written together.
--- a/engine/listening.go
+++ b/engine/listening.go
@@ -10,7 +10,7 @@
 )
 
 // probeTime is how long a new connection must stay open to count: a proxy in front of an
-// endpoint that has ended accepts the connection and closes it at once.
+// endpoint that has terminated accepts the connection and closes it at once.
 const probeTime = 30 * time.Millisecond
 
 // IsListening reports whether an endpoint accepts connections. An error means that this is
--- a/membership/source_test.go
+++ b/membership/source_test.go
@@ -12,16 +12,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slowResponse starts its response at once and completes it when rest is closed, like a large
-// list on a slow link.
-type slowResponse struct{ rest chan struct{} }
+// slowResponse starts its response at once and completes it once complete is closed, like a
+// large list on a slow link.
+type slowResponse struct{ complete chan struct{} }
 
 func (s slowResponse) RoundTrip(r *http.Request) (*http.Response, error) {
 	body, w := io.Pipe()
 	go func() {
 		fmt.Fprint(w, `{"version": 7, `)
 		select {
-		case <-s.rest:
+		case <-s.complete:
 			fmt.Fprint(w, `"members": []}`)
 			w.Close()
 		case <-r.Context().Done():
@@ -35,13 +35,13 @@
 // would only transfer it twice.
 func TestStartedResponseIsNotCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		response := slowResponse{rest: make(chan struct{})}
+		response := slowResponse{complete: make(chan struct{})}
 		s := NewSource("http://platform", response)
 		go func() {
 			time.Sleep(time.Second)
 			s.CancelPoll()
 			time.Sleep(time.Second)
-			close(response.rest)
+			close(response.complete)
 		}()
 		l, err := s.Next(t.Context(), 0)
 		require.NoError(t, err)
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -22,7 +22,7 @@
 	Pools          map[string]*Pool    `json:"pools"`
 	Services       map[string]*Service `json:"services"`
 	Callers        map[string]*Caller  `json:"callers"`
-	// ClaimHorizonMS is how long an idempotency key is remembered, in milliseconds; 0
+	// ClaimHorizonMS is how long an idempotency key is kept, in milliseconds; 0
 	// means DefaultClaimHorizonMS.
 	ClaimHorizonMS int64 `json:"claimHorizonMS,omitempty"`
 	// PeerKeys are the keys for the communication between instances, in hex, the one to
@@ -40,7 +40,7 @@
 // DefaultClaimHorizonMS is the default of Tree.ClaimHorizonMS.
 const DefaultClaimHorizonMS = 15 * 60 * 1000
 
-// ClaimHorizon returns how long an idempotency key is remembered.
+// ClaimHorizon returns how long an idempotency key is kept.
 func (t *Tree) ClaimHorizon() time.Duration {
 	if t.ClaimHorizonMS == 0 {
 		return DefaultClaimHorizonMS * time.Millisecond
