--- a/allowance/limits.go
+++ b/allowance/limits.go
@@ -46,13 +46,12 @@
 // burst returns what an account may use at once.
 func (t Tolerance) burst(a settings.Allowance) float64 { return a.Burst + burstFraction*t.excess(a) }
 
-// evenBurst returns what each instance may admit at once without a share.
+// evenBurst returns what each instance may admit at once without a share, and evenRate what
+// it may then admit per second when it knows nothing else.
 func (t Tolerance) evenBurst(a settings.Allowance, instances int) float64 {
 	return noShareFraction * t.excess(a) / float64(max(instances, 1))
 }
 
-// evenRate returns what each instance may admit per second without a share when it knows
-// nothing else.
 func (t Tolerance) evenRate(a settings.Allowance, instances int) float64 {
 	return noShareFraction * t.OverFraction * a.PerSecond / float64(max(instances, 1))
 }
