--- a/daemon/backlog_test.go
+++ b/daemon/backlog_test.go
@@ -64,7 +64,7 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		d := &entriesDuty{
+		d := &entriesTask{
 			client: s, entries: membership.NewEntries(), link: &storeLink{log: logr.Discard(), now: time.Now}, log: logr.Discard(), now: time.Now,
 			inputs: ring.New[membership.EntryEvent](entryInputCapacity, ring.Block), events: ring.New[event](eventsCapacity, ring.Block),
 			allowStale: func() bool { return false }, holderStoreBackSince: func() time.Time { return time.Time{} },
--- a/daemon/cell.go
+++ b/daemon/cell.go
@@ -31,8 +31,8 @@
 	inventoryTimeout = 2 * time.Second
 )
 
-// cellDuty feeds events to the controller of one cell and executes its actions.
-type cellDuty struct {
+// cellTask feeds events to the controller of one cell and executes its actions.
+type cellTask struct {
 	cell       string
 	client     store.Client
 	writer     *store.Writer
@@ -45,9 +45,9 @@
 	running atomic.Bool
 }
 
-func (d *cellDuty) put(e placement.Event) { _ = d.events.Put(context.Background(), e) }
+func (d *cellTask) put(e placement.Event) { _ = d.events.Put(context.Background(), e) }
 
-func (d *cellDuty) leaseChanged(a lease.Action) {
+func (d *cellTask) leaseChanged(a lease.Action) {
 	switch a := a.(type) {
 	case lease.Acquired:
 		d.log.Info("lease acquired", "epoch", a.Epoch)
@@ -58,7 +58,7 @@
 	}
 }
 
-func (d *cellDuty) run(ctx context.Context) {
+func (d *cellTask) run(ctx context.Context) {
 	go d.tick(ctx)
 	for {
 		e, err := d.events.Take(ctx)
@@ -73,7 +73,7 @@
 	}
 }
 
-func (d *cellDuty) tick(ctx context.Context) {
+func (d *cellTask) tick(ctx context.Context) {
 	for ctx.Err() == nil {
 		if d.running.Load() {
 			wait.For(ctx, cellTick)
@@ -84,7 +84,7 @@
 	}
 }
 
-func (d *cellDuty) execute(ctx context.Context, a placement.Action) {
+func (d *cellTask) execute(ctx context.Context, a placement.Action) {
 	switch a := a.(type) {
 	case placement.LogMove:
 		m := a.Move
@@ -107,7 +107,7 @@
 	}
 }
 
-func (d *cellDuty) readLedger(ctx context.Context) {
+func (d *cellTask) readLedger(ctx context.Context) {
 	o, err := d.client.Get(ctx, store.KindLedger, d.cell)
 	if store.IsNotFound(err) {
 		d.put(placement.LedgerRead{})
@@ -127,7 +127,7 @@
 
 // commit writes the ledger once. It does not find out whether a write without a response
 // took effect: the controller reads the ledger again.
-func (d *cellDuty) commit(ctx context.Context, c placement.Commit) {
+func (d *cellTask) commit(ctx context.Context, c placement.Commit) {
 	o, err := store.NewObject(store.KindLedger, d.cell, c.Ledger)
 	if err != nil {
 		d.log.Error(err, "ledger not encoded")
@@ -139,7 +139,7 @@
 	d.put(placement.CommitEnded{Seq: c.Seq, Result: result, Version: version})
 }
 
-func (d *cellDuty) send(ctx context.Context, s placement.SendOrder) {
+func (d *cellTask) send(ctx context.Context, s placement.SendOrder) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	err := d.engine.SendOrder(ctx, s.Endpoint, s.Address, s.Order)
@@ -154,7 +154,7 @@
 	d.put(placement.OrderEnded{Order: s.Order.ID, Result: result})
 }
 
-func (d *cellDuty) requestInventory(ctx context.Context, a placement.RequestInventory) {
+func (d *cellTask) requestInventory(ctx context.Context, a placement.RequestInventory) {
 	ctx, cancel := context.WithTimeout(ctx, inventoryTimeout)
 	defer cancel()
 	requestedAt := d.now()
@@ -171,11 +171,11 @@
 	Epoch  int64  `json:"epoch"`
 }
 
-func (d *cellDuty) settlementName(holder string) string {
+func (d *cellTask) settlementName(holder string) string {
 	return d.cell + "." + hashedNamePart(holder)
 }
 
-func (d *cellDuty) readSettled(ctx context.Context, a placement.ReadSettled) {
+func (d *cellTask) readSettled(ctx context.Context, a placement.ReadSettled) {
 	o, err := d.client.Get(ctx, store.KindSettlement, d.settlementName(a.Holder))
 	var s settlement
 	if err != nil || json.Unmarshal(o.Spec, &s) != nil {
@@ -184,7 +184,7 @@
 	d.put(placement.HolderSettled{Holder: s.Holder, Epoch: s.Epoch})
 }
 
-func (d *cellDuty) writeSettled(ctx context.Context, a placement.WriteSettled) {
+func (d *cellTask) writeSettled(ctx context.Context, a placement.WriteSettled) {
 	name := d.settlementName(a.Holder)
 	o, err := store.NewObject(store.KindSettlement, name, settlement{Holder: a.Holder, Epoch: a.Epoch})
 	if err != nil {
@@ -200,7 +200,7 @@
 	d.logFailure(err)
 }
 
-func (d *cellDuty) logFailure(err error) {
+func (d *cellTask) logFailure(err error) {
 	if err != nil {
 		d.log.Info("settlement not written", "error", err.Error())
 	}
--- a/daemon/cells.go
+++ b/daemon/cells.go
@@ -38,7 +38,7 @@
 	stopping func() bool
 
 	mu        sync.Mutex
-	running   map[string]*cellDuty
+	running   map[string]*cellTask
 	instances []string
 }
 
@@ -116,8 +116,8 @@
 	slices.SortFunc(instances, func(a, b string) int { return cmp.Compare(weight(b), weight(a)) })
 }
 
-func (c *cells) start(cell string) *cellDuty {
-	d := &cellDuty{
+func (c *cells) start(cell string) *cellTask {
+	d := &cellTask{
 		cell: cell, client: c.client, writer: store.NewWriter(c.client), engine: c.engine, now: c.now,
 		log:        c.log.WithValues("cell", cell),
 		controller: placement.NewController(placement.DefaultControllerConfig(cell, c.holder)),
--- a/daemon/entries.go
+++ b/daemon/entries.go
@@ -15,8 +15,8 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// entriesDuty follows the entries of members, through a relay or in the store.
-type entriesDuty struct {
+// entriesTask follows the entries of members, through a relay or in the store.
+type entriesTask struct {
 	client store.Client
 	kind   store.Kind
 	decode func(store.Object) (membership.Member, error)
@@ -58,7 +58,7 @@
 const maxRefusedEntries = 1024
 
 const (
-	// entryInputCapacity bounds the queued inputs of the duty.
+	// entryInputCapacity bounds the queued inputs of the task.
 	entryInputCapacity = 256
 	// entriesBatchDelay is how long changes of endpoints are batched, staleBatchDelay the same
 	// while another instance announces the urgent ones.
@@ -73,7 +73,7 @@
 const maxStalePause = 15 * time.Second
 
 // watch follows the entries: through a relay, or else in the store.
-func (d *entriesDuty) watch(ctx context.Context) {
+func (d *entriesTask) watch(ctx context.Context) {
 	var watch *store.Reflector
 	var watchedAt time.Time
 	watchCtx := ctx
@@ -93,7 +93,7 @@
 }
 
 // cancelWhenCanFollow calls cancel when a relay is to be followed, or ctx has ended.
-func (d *entriesDuty) cancelWhenCanFollow(ctx context.Context, cancel context.CancelFunc) {
+func (d *entriesTask) cancelWhenCanFollow(ctx context.Context, cancel context.CancelFunc) {
 	d.relays.awaitCanFollow(ctx)
 	cancel()
 }
@@ -106,7 +106,7 @@
 }
 
 // put queues an event, and records the version of the store that it carries.
-func (d *entriesDuty) put(ctx context.Context, e membership.EntryEvent) {
+func (d *entriesTask) put(ctx context.Context, e membership.EntryEvent) {
 	if at, ok := e.(versionedEvent); ok {
 		d.mu.Lock()
 		d.newestVersion = laterVersion(d.newestVersion, at.version)
@@ -116,7 +116,7 @@
 }
 
 // withVersion adds the version of the store to an event from an answer of the store.
-func (d *entriesDuty) withVersion(resourceVersion string, e membership.EntryEvent) membership.EntryEvent {
+func (d *entriesTask) withVersion(resourceVersion string, e membership.EntryEvent) membership.EntryEvent {
 	if d.parseVersion == nil {
 		return e
 	}
@@ -137,13 +137,13 @@
 
 // storeVersion returns the version of the store as of which the members are known here,
 // newestStoreVersion the newest version that was reported.
-func (d *entriesDuty) storeVersion() evacuation.Version {
+func (d *entriesTask) storeVersion() evacuation.Version {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.entriesVersion
 }
 
-func (d *entriesDuty) newestStoreVersion() evacuation.Version {
+func (d *entriesTask) newestStoreVersion() evacuation.Version {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.newestVersion
@@ -151,7 +151,7 @@
 
 // newStoreWatch returns a watch on the entries in the store. Its pauses end with the context
 // that following returns.
-func (d *entriesDuty) newStoreWatch(ctx context.Context, following func() context.Context) *store.Reflector {
+func (d *entriesTask) newStoreWatch(ctx context.Context, following func() context.Context) *store.Reflector {
 	put := func(e membership.EntryEvent) { d.put(ctx, e) }
 	var changes eventBatch
 	options := store.WatchOptions{AllowStale: d.allowStale, Wait: d.freshWatchHold, OnFresh: func() { d.link.watchConfirmed(d.kind) }, Now: d.now}
@@ -186,7 +186,7 @@
 // storeBackSince returns since when the store is reachable again: by its answers to this
 // instance, or by the lease holder's attestations if that is earlier, as this instance alone
 // may have been cut off. Entries lapse only while their members cannot reach the store.
-func (d *entriesDuty) storeBackSince() time.Time {
+func (d *entriesTask) storeBackSince() time.Time {
 	own, holder := d.link.availableSince(), d.holderStoreBackSince()
 	if !holder.IsZero() && holder.Before(own) {
 		return holder
@@ -197,7 +197,7 @@
 // pauseForBatch pauses before the next call, so that changes are batched: each answer of the
 // store costs a call and wakes the instance. After a stale answer the pause lasts only as long
 // as another instance announces the urgent changes.
-func (d *entriesDuty) pauseForBatch(ctx context.Context, stale bool) {
+func (d *entriesTask) pauseForBatch(ctx context.Context, stale bool) {
 	if stale {
 		wait.While(ctx, staleBatchDelay, d.allowStale)
 		if d.matchesHolder != nil {
@@ -210,21 +210,21 @@
 }
 
 // listing returns the members as this instance knows them.
-func (d *entriesDuty) listing() membership.Listing {
+func (d *entriesTask) listing() membership.Listing {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.entries.Listing()
 }
 
 // listingVersion grows with each change of the members; 0 means that none are known.
-func (d *entriesDuty) listingVersion() int64 {
+func (d *entriesTask) listingVersion() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.entries.Version()
 }
 
 // step applies an event to the entries.
-func (d *entriesDuty) step(e membership.EntryEvent) (membership.Listing, bool) {
+func (d *entriesTask) step(e membership.EntryEvent) (membership.Listing, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if at, ok := e.(versionedEvent); ok {
@@ -235,7 +235,7 @@
 }
 
 // changes decodes the events of an answer of the store.
-func (d *entriesDuty) changes(events []store.Event) []membership.EntryChange {
+func (d *entriesTask) changes(events []store.Event) []membership.EntryChange {
 	var changes []membership.EntryChange
 	for _, e := range events {
 		if e.Type == store.EventDeleted {
@@ -252,7 +252,7 @@
 	return changes
 }
 
-func (d *entriesDuty) members(objects []store.Object) []membership.Member {
+func (d *entriesTask) members(objects []store.Object) []membership.Member {
 	members := make([]membership.Member, 0, len(objects))
 	for _, o := range objects {
 		if m, ok := d.member(o); ok {
@@ -263,7 +263,7 @@
 }
 
 // member decodes an entry. An invalid one is counted, and logged if its error is new.
-func (d *entriesDuty) member(o store.Object) (membership.Member, bool) {
+func (d *entriesTask) member(o store.Object) (membership.Member, bool) {
 	m, err := d.decode(o)
 	if err == nil {
 		delete(d.refused, o.Metadata.Name)
@@ -281,7 +281,7 @@
 	return m, false
 }
 
-func (d *entriesDuty) run(ctx context.Context) {
+func (d *entriesTask) run(ctx context.Context) {
 	go d.tick(ctx)
 	for {
 		e, err := d.inputs.Take(ctx)
@@ -295,7 +295,7 @@
 	}
 }
 
-func (d *entriesDuty) tick(ctx context.Context) {
+func (d *entriesTask) tick(ctx context.Context) {
 	for wait.For(ctx, entriesTick) {
 		_ = d.inputs.Put(ctx, membership.EntriesTick{})
 	}
--- a/daemon/entries_test.go
+++ b/daemon/entries_test.go
@@ -18,7 +18,7 @@
 func TestInvalidEntryNamesNoMember(t *testing.T) {
 	logged := 0
 	log := logr.New(countingSink{&logged})
-	d := &entriesDuty{log: log, decode: func(o store.Object) (membership.Member, error) {
+	d := &entriesTask{log: log, decode: func(o store.Object) (membership.Member, error) {
 		if len(o.Spec) == 0 {
 			return membership.Member{}, errors.New("not an entry of a worker")
 		}
--- a/daemon/eras.go
+++ b/daemon/eras.go
@@ -28,7 +28,7 @@
 }
 
 // rewriteOnEra writes again, in each new era, what this node keeps in the store.
-func (n *Node) rewriteOnEra(ctx context.Context, entries *entriesDuty) {
+func (n *Node) rewriteOnEra(ctx context.Context, entries *entriesTask) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/daemon/evacuations.go
+++ b/daemon/evacuations.go
@@ -80,9 +80,9 @@
 	s.step(evacuation.Announced{Set: evacuation.Set{Version: version, Domains: p.Evacuated}}, p.From)
 }
 
-// evacuationsDuty watches the objects of evacuated failure domains in the store while the
+// evacuationsTask watches the objects of evacuated failure domains in the store while the
 // holder of the lease does not announce them.
-type evacuationsDuty struct {
+type evacuationsTask struct {
 	client store.Client
 	kind   store.Kind
 	// version parses a resource version of the store.
@@ -100,7 +100,7 @@
 // byStore names this instance's own watch as the source in the log.
 const byStore = "the store"
 
-func (d *evacuationsDuty) run(ctx context.Context) {
+func (d *evacuationsTask) run(ctx context.Context) {
 	if !d.waitWhileAnnounced(ctx) {
 		return
 	}
@@ -129,14 +129,14 @@
 
 // waitWhileAnnounced waits for as long as the holder of the lease announces changes. It
 // reports false if ctx ended.
-func (d *evacuationsDuty) waitWhileAnnounced(ctx context.Context) bool {
+func (d *evacuationsTask) waitWhileAnnounced(ctx context.Context) bool {
 	for ctx.Err() == nil && d.announced() {
 		wait.While(ctx, maxStalePause, d.announced)
 	}
 	return ctx.Err() == nil
 }
 
-func (d *evacuationsDuty) handleList(l store.List) {
+func (d *evacuationsTask) handleList(l store.List) {
 	version, err := d.version(l.ResourceVersion)
 	if err != nil {
 		d.log.Error(err, "evacuations not read")
@@ -149,7 +149,7 @@
 	d.evacuations.step(evacuation.Listed{Set: evacuation.Set{Version: version, Domains: slices.Sorted(maps.Keys(domains))}}, byStore)
 }
 
-func (d *evacuationsDuty) handleBookmark(resourceVersion string, changes map[string]bool) {
+func (d *evacuationsTask) handleBookmark(resourceVersion string, changes map[string]bool) {
 	version, err := d.version(resourceVersion)
 	if err != nil {
 		d.log.Error(err, "evacuations not read")
--- a/daemon/freshness.go
+++ b/daemon/freshness.go
@@ -7,7 +7,7 @@
 
 // freshness keeps how long ago this instance had proof that the settings in force are the
 // newest that any instance knows of: an answer of the object API, or contact with a peer. It
-// is read on each request and written by several duties.
+// is read on each request and written by several tasks.
 type freshness struct {
 	now   func() time.Time
 	bound time.Duration
--- a/daemon/holds.go
+++ b/daemon/holds.go
@@ -26,10 +26,10 @@
 	EndedMS   []int64  `json:"endedMS"`
 }
 
-// holdsDuty persists requests in quarantine in the store, for instances that receive no
+// holdsTask persists requests in quarantine in the store, for instances that receive no
 // reports from others: those that start when no instance is left that knows of the hold,
 // and one that is cut off from the other instances but not from the store.
-type holdsDuty struct {
+type holdsTask struct {
 	client  store.Client
 	manager *quarantine.Manager
 	// reports queues the requests quarantined at this instance that are not yet written.
@@ -51,7 +51,7 @@
 )
 
 // run reads the holds once when the instance starts, and periodically while it is isolated.
-func (d *holdsDuty) run(ctx context.Context) {
+func (d *holdsTask) run(ctx context.Context) {
 	readOnce := false
 	for ctx.Err() == nil {
 		if !readOnce || d.isolated() {
@@ -67,7 +67,7 @@
 
 // read passes the stored holds to the quarantine manager. With stale set, the store may answer
 // with data that is not current, which suffices at a start.
-func (d *holdsDuty) read(ctx context.Context, stale bool) error {
+func (d *holdsTask) read(ctx context.Context, stale bool) error {
 	list, err := d.list(ctx, stale)
 	if err != nil {
 		return err
@@ -83,7 +83,7 @@
 	return nil
 }
 
-func (d *holdsDuty) list(ctx context.Context, stale bool) (store.List, error) {
+func (d *holdsTask) list(ctx context.Context, stale bool) (store.List, error) {
 	if reader, offered := d.client.(store.StaleReader); offered && stale {
 		return reader.ListStale(ctx, store.KindHold, "")
 	}
@@ -91,7 +91,7 @@
 }
 
 // write stores requests as they enter quarantine.
-func (d *holdsDuty) write(ctx context.Context) {
+func (d *holdsTask) write(ctx context.Context) {
 	for {
 		report, err := d.reports.Take(ctx)
 		if err != nil {
@@ -104,7 +104,7 @@
 }
 
 // put writes a request, replacing the object of an earlier hold, and removes expired objects.
-func (d *holdsDuty) put(ctx context.Context, report quarantine.Report) error {
+func (d *holdsTask) put(ctx context.Context, report quarantine.Report) error {
 	o, err := store.NewObject(store.KindHold, hex.EncodeToString(report.Fingerprint), d.encode(report))
 	if err != nil {
 		return err
@@ -125,7 +125,7 @@
 }
 
 // prune removes the requests whose terminations have all expired.
-func (d *holdsDuty) prune(ctx context.Context) error {
+func (d *holdsTask) prune(ctx context.Context) error {
 	list, err := d.list(ctx, true)
 	if err != nil {
 		return err
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func (d *holdsDuty) encode(report quarantine.Report) heldRequest {
+func (d *holdsTask) encode(report quarantine.Report) heldRequest {
 	now := d.timeOfDay().UnixMilli()
 	var h heldRequest
 	for i, incarnation := range report.Incarnations {
@@ -159,7 +159,7 @@
 
 // decode reads a hold object, leaving out terminations older than the retention. It returns
 // errHoldExpired if none is left, and errHoldMismatched if the lists differ in length.
-func (d *holdsDuty) decode(o store.Object) (quarantine.Report, error) {
+func (d *holdsTask) decode(o store.Object) (quarantine.Report, error) {
 	var h heldRequest
 	if err := json.Unmarshal(o.Spec, &h); err != nil {
 		return quarantine.Report{}, err
--- a/daemon/holds_test.go
+++ b/daemon/holds_test.go
@@ -73,8 +73,8 @@
 	return nil
 }
 
-func newHoldsDuty(s store.Client, isolated func() bool) *holdsDuty {
-	d := &holdsDuty{
+func newHoldsTask(s store.Client, isolated func() bool) *holdsTask {
+	d := &holdsTask{
 		client: s, reports: ring.New[quarantine.Report](pendingHoldsCapacity, ring.DropOldest), isolated: isolated,
 		retention: quarantine.DefaultLimits.Retention(), log: logr.Discard(), timeOfDay: time.Now,
 	}
@@ -92,7 +92,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		s := &holdStore{objects: map[string]store.Object{}}
 		var isolated atomic.Bool
-		here, there := newHoldsDuty(s, func() bool { return false }), newHoldsDuty(s, isolated.Load)
+		here, there := newHoldsTask(s, func() bool { return false }), newHoldsTask(s, isolated.Load)
 		go there.run(ctx)
 		time.Sleep(time.Minute)
 		require.Equal(t, 1, s.listed(), "one read at the start")
@@ -119,7 +119,7 @@
 // and objects that cannot be read. The expired ones must be removed and the others kept.
 func TestOldHoldsAreRemoved(t *testing.T) {
 	s := &holdStore{objects: map[string]store.Object{}}
-	d := newHoldsDuty(s, func() bool { return false })
+	d := newHoldsTask(s, func() bool { return false })
 	spec := func(text string) store.Object { return store.Object{Spec: json.RawMessage(text)} }
 	for name, o := range map[string]store.Object{
 		"00000000000000000000000000000001": spec(`{"endpoints":["1"],"endedMS":[1000]}`),
--- a/daemon/hungpoll_test.go
+++ b/daemon/hungpoll_test.go
@@ -320,7 +320,7 @@
 // memoryDatagrams delivers datagrams in memory to the receiver at each address.
 type memoryDatagrams struct {
 	mu        sync.Mutex
-	receivers map[string]*peersDuty
+	receivers map[string]*peersTask
 }
 
 func (d *memoryDatagrams) Send(address string, data []byte) {
@@ -354,14 +354,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer func() { stop(); time.Sleep(latest) }()
-		members, w := membersWith(deskMember), &memoryDatagrams{receivers: map[string]*peersDuty{}}
+		members, w := membersWith(deskMember), &memoryDatagrams{receivers: map[string]*peersTask{}}
 		sealer, err := peer.NewSealer([][]byte{make([]byte, peer.KeyBytes)})
 		require.NoError(t, err)
 		var lists []*hangingHandler
 		for at := range instances {
 			name := fmt.Sprintf("i%d", at)
 			members.Set(standin.Member{Name: name, Pool: membership.InstancePool, Address: "10.0.0.1:1", PeerPort: at + 1, StreamPort: at + 1, Incarnation: "1", State: standin.MemberLive})
-			peers := &peersDuty{
+			peers := &peersTask{
 				gossip: peer.NewGossip(peer.GossipConfig{Name: name, Process: "p"}), sealer: sealer, datagrams: w,
 				events: ring.New[peer.Event](peerEventCapacity, ring.DropOldest), log: logr.Discard(), now: time.Now,
 				freshness: newFreshness(time.Now, time.Second, func() {}), onPeerLeaving: func(string) {}, countSent: func(int) {}, countReceived: func(int) {},
--- a/daemon/instance.go
+++ b/daemon/instance.go
@@ -74,7 +74,7 @@
 	catalog      atomic.Pointer[settings.Catalog]
 	current      atomic.Pointer[revision.Accepted]
 	freshness    *freshness
-	peers        *peersDuty
+	peers        *peersTask
 	streams      *peer.StreamServer
 	streamClient *peer.StreamClient
 	// settings fetches settings revisions.
@@ -86,13 +86,13 @@
 
 	callers, operators *http.Server
 	idle               *idleConns
-	// work ends when the instance stops; duties stop with it.
+	// work ends when the instance stops; tasks stop with it.
 	work context.Context
 	stop context.CancelFunc
 	done sync.WaitGroup
 }
 
-// eventsCapacity bounds the events queued for the view duty.
+// eventsCapacity bounds the events queued for the view task.
 const eventsCapacity = 1024
 
 // New returns an instance that has opened its listeners but does not serve yet; Run serves.
@@ -152,7 +152,7 @@
 		return err
 	}
 	i.streamClient = peer.NewStreamClient(identity)
-	i.peers = &peersDuty{
+	i.peers = &peersTask{
 		onLiveCount: i.allowances.SetInstanceCount,
 		gossip:      peer.NewGossip(peer.GossipConfig{Name: i.cfg.Instance, Process: i.process}), sealer: sealer,
 		events: ring.New[peer.Event](peerEventCapacity, ring.DropOldest), fetches: ring.New[settingsCandidate](candidatesCapacity, ring.DropOldest),
@@ -242,7 +242,7 @@
 	i.callers = i.newServer(i.closeWhileDraining(i.guard(dialect, dialect.WithModels(handler))))
 	i.idle = newIdleConns(i.log, i.deps.Now, func() time.Duration { return milliseconds(i.cfg.Limits.IdleMS) })
 	i.operators = i.newServer(i.operatorHandler())
-	i.startDuties(objects, platform)
+	i.startTasks(objects, platform)
 }
 
 // platformConns bounds the idle connections to the platform.
@@ -296,12 +296,12 @@
 	})
 }
 
-func (i *Instance) startDuties(objects store.Client, platform http.RoundTripper) {
+func (i *Instance) startTasks(objects store.Client, platform http.RoundTripper) {
 	i.cells = &cells{
 		ctx: i.work, name: i.cfg.Instance, holder: i.holder(), client: objects, engine: i.control, log: i.log, now: i.exactNow,
-		done: &i.done, stopping: i.draining.Load, running: map[string]*cellDuty{},
+		done: &i.done, stopping: i.draining.Load, running: map[string]*cellTask{},
 	}
-	view := &viewDuty{
+	view := &viewTask{
 		events: i.events, router: i.router, log: i.log, now: i.deps.Now, notify: i.gates.Wake, updateCells: i.cells.update,
 		list: membership.NewList(), endpoints: map[string]*routing.Endpoint{}, residency: newResidency(), withdrawnUntil: map[string]withdrawal{},
 		resolve: i.adopt, updatePeers: i.peers.updateMembers,
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -104,7 +104,7 @@
 	eras       *store.Eras
 	eraStarted chan struct{}
 	placers    *placers
-	presence   *presenceDuty
+	presence   *presenceTask
 	events     *ring.Ring[event]
 	// eventsLag and entriesLag measure by how much the view and the list of endpoints lag
 	// behind the answers of the store.
@@ -414,7 +414,7 @@
 		ctx: n.runCtx, cfg: n.cfg.Orders, instance: n.cfg.Instance, holder: n.holderID(), client: objects, log: n.log, now: n.clock.NowExact, done: &n.done,
 		controls: n.platform.Controls(n.control, n.cfg.Instance), campaigns: n.campaigns, observes: n.observesLease, announce: n.mesh.publishPlacements, running: map[string]*placer{}, era: n.eras.Newest,
 	}
-	n.presence = &presenceDuty{
+	n.presence = &presenceTask{
 		client: objects, writer: store.NewWriter(objects), instance: n.cfg.Instance, link: n.link, log: n.log,
 		self: n.mesh.self, onKey: n.openLinks, onInstance: n.mesh.updateInstance,
 	}
@@ -422,7 +422,7 @@
 	n.eventsLag = newLagTracker(n.events.Added, n.now)
 	entryInputs := ring.New[membership.EntryEvent](entryInputCapacity, ring.Block)
 	n.entriesLag = newLagTracker(entryInputs.Added, n.now)
-	view := &viewDuty{
+	view := &viewTask{
 		applied: n.eventsLag,
 		events:  n.events, router: n.router, log: n.log, now: n.now, notify: n.gates.Wake,
 		updateCells: n.placers.update, updatePeers: func(*membership.List) {},
@@ -435,7 +435,7 @@
 		newer: n.mesh.newerSettings, allowStale: n.settingsMayLag, hasNewest: n.mesh.hasNewestSettings, events: n.events, link: n.link, log: n.log,
 		onConfirmed: n.rights.storeConfirmed, now: n.now, watchHold: n.settingsWait,
 	}
-	entries := &entriesDuty{
+	entries := &entriesTask{
 		client: objects, kind: n.platform.MembersKind, decode: n.platform.DecodeMember, entries: membership.NewEntries(), parseVersion: n.platform.StoreVersion,
 		inputs: entryInputs, applied: n.entriesLag, events: n.events, link: n.link, log: n.log, now: n.now,
 		allowStale: n.entriesMayLag, matchesHolder: n.mesh.listMatchesHolder, freshWatchHold: n.cfg.Fresh.entriesWatchHold(),
@@ -443,12 +443,12 @@
 		holderStoreBackSince: func() time.Time { return n.mesh.totals.storeBackSince(n.now()) },
 	}
 	n.relays.listing, n.relays.listingVersion, n.relays.storeVersion, n.relays.newestStoreVersion = entries.listing, entries.listingVersion, entries.storeVersion, entries.newestStoreVersion
-	evacuations := &evacuationsDuty{
+	evacuations := &evacuationsTask{
 		client: objects, kind: n.platform.EvacuationsKind, version: n.platform.StoreVersion, evacuations: n.mesh.evacuations, announced: n.evacuationsAnnounced,
 		wait: n.settingsWait, now: n.now, link: n.link, log: n.log,
 	}
 	n.vars.Set("entries_refused", &entries.entriesRefused)
-	holds := &holdsDuty{
+	holds := &holdsTask{
 		client: objects, manager: n.quarantine, reports: n.unsavedReports, isolated: n.mesh.isolated, retention: n.cfg.Quarantine.limits().Retention(),
 		log: n.log, timeOfDay: time.Now,
 	}
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -16,8 +16,8 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// peersDuty runs the gossip of hints over datagrams.
-type peersDuty struct {
+// peersTask runs the gossip of hints over datagrams.
+type peersTask struct {
 	gossip    *peer.Gossip
 	sealer    *peer.Sealer
 	datagrams peer.Datagrams
@@ -37,7 +37,7 @@
 	repliedAt time.Time
 	// quarantine receives and provides the reports on requests that end endpoints.
 	quarantine *quarantine.Manager
-	// addresses holds the addresses of each instance; the view duty writes it.
+	// addresses holds the addresses of each instance; the view task writes it.
 	addresses     atomic.Pointer[map[string]peerAddress]
 	countSent     func(bytes int)
 	countReceived func(bytes int)
@@ -55,7 +55,7 @@
 )
 
 // receive is called on the event loop of the datagrams.
-func (d *peersDuty) receive(sealed []byte) {
+func (d *peersTask) receive(sealed []byte) {
 	d.countReceived(len(sealed))
 	plain, err := d.sealer.Open(sealed)
 	if err != nil {
@@ -70,7 +70,7 @@
 	_ = d.events.Put(context.Background(), peer.Received{Hint: h, At: time.Now()})
 }
 
-func (d *peersDuty) run(ctx context.Context) {
+func (d *peersTask) run(ctx context.Context) {
 	go d.tick(ctx)
 	contactAt := time.Time{}
 	for {
@@ -90,7 +90,7 @@
 	}
 }
 
-func (d *peersDuty) tick(ctx context.Context) {
+func (d *peersTask) tick(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, peerTickInterval)
 		_ = d.events.Put(ctx, peer.Tick{})
@@ -103,7 +103,7 @@
 
 // markForReply marks a hint for a reply if its sender knows other endings than this instance:
 // an instance does not send to the same instances that send to it.
-func (d *peersDuty) markForReply(e peer.Event) peer.Event {
+func (d *peersTask) markForReply(e peer.Event) peer.Event {
 	r, ok := e.(peer.Received)
 	if !ok || !d.quarantine.ReceiveDigest(r.Hint.EndingsDigest) || d.now().Sub(d.repliedAt) < replyInterval {
 		return e
@@ -114,7 +114,7 @@
 
 // endingsToSend returns the reports on endings for the hints among the actions, the same for
 // all recipients.
-func (d *peersDuty) endingsToSend(actions []peer.Action) []quarantine.Report {
+func (d *peersTask) endingsToSend(actions []peer.Action) []quarantine.Report {
 	for _, a := range actions {
 		if _, sends := a.(peer.Send); sends {
 			return d.quarantine.PendingReports(peer.MaxHintBytes - hintOverhead)
@@ -123,7 +123,7 @@
 	return nil
 }
 
-func (d *peersDuty) execute(ctx context.Context, a peer.Action, reports []quarantine.Report) {
+func (d *peersTask) execute(ctx context.Context, a peer.Action, reports []quarantine.Report) {
 	switch a := a.(type) {
 	case peer.Send:
 		address := d.address(a.To).datagrams
@@ -153,7 +153,7 @@
 	}
 }
 
-func (d *peersDuty) address(name string) peerAddress {
+func (d *peersTask) address(name string) peerAddress {
 	if m := d.addresses.Load(); m != nil {
 		return (*m)[name]
 	}
@@ -162,12 +162,12 @@
 
 // listReceived records the version of an answer of the platform's list, and the version
 // in another instance's hint that had caused the request, 0 if none.
-func (d *peersDuty) listReceived(version, requested int64) {
+func (d *peersTask) listReceived(version, requested int64) {
 	_ = d.events.Put(context.Background(), peer.ListReceived{Version: version, Asked: requested})
 }
 
 // updateMembers takes over the instances of a new list.
-func (d *peersDuty) updateMembers(list *membership.List) {
+func (d *peersTask) updateMembers(list *membership.List) {
 	addresses := map[string]peerAddress{}
 	var live []string
 	for _, m := range list.Pool(membership.InstancePool) {
--- a/daemon/placer_test.go
+++ b/daemon/placer_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestBusyPlacerDoesNotBlockSenders fills the ring of a placer that plans for long, and sends it
-// more inputs. A sender that waits would hold the lock that all duties of the holder need to
+// more inputs. A sender that waits would hold the lock that all tasks of the holder need to
 // check the lease.
 func TestBusyPlacerDoesNotBlockSenders(t *testing.T) {
 	busy := &placer{events: ring.New[counted.Event](placerEventsCapacity, ring.Block), runner: lease.NewRunner(lease.RunnerConfig{})}
--- a/daemon/placerinputs.go
+++ b/daemon/placerinputs.go
@@ -10,7 +10,7 @@
 
 // placerInputs buffers events from outside until a placer takes them, keeping the last of each
 // kind. Senders never wait for the placer, whose planning may take long: a sender that waited
-// blocked the duties of the whole instance.
+// blocked the tasks of the whole instance.
 type placerInputs struct {
 	mu        sync.Mutex
 	settings  *counted.CellSettings
--- a/daemon/presence.go
+++ b/daemon/presence.go
@@ -36,10 +36,10 @@
 // peerKeyName is the name of the only object of its kind.
 const peerKeyName = "datagrams"
 
-// presenceDuty registers this instance in the store and follows the entries of the others. It
+// presenceTask registers this instance in the store and follows the entries of the others. It
 // writes when the instance first starts and when it stops; after a crash, a restarted instance
 // finds its entry unchanged.
-type presenceDuty struct {
+type presenceTask struct {
 	client   store.Client
 	writer   *store.Writer
 	instance string
@@ -67,7 +67,7 @@
 // presenceRetryDelay is the pause before a failed call is repeated.
 const presenceRetryDelay = 500 * time.Millisecond
 
-func (d *presenceDuty) run(ctx context.Context) {
+func (d *presenceTask) run(ctx context.Context) {
 	d.running.Lock()
 	defer d.running.Unlock()
 	// The two calls run concurrently: when many instances start together, each call waits for
@@ -79,7 +79,7 @@
 }
 
 // retry makes a call until it succeeds.
-func (d *presenceDuty) retry(ctx context.Context, what string, call func(context.Context) error) {
+func (d *presenceTask) retry(ctx context.Context, what string, call func(context.Context) error) {
 	for ctx.Err() == nil {
 		err := call(ctx)
 		if err == nil {
@@ -95,7 +95,7 @@
 const keyCreateJitter = 1200 * time.Millisecond
 
 // loadKey reads the key of the datagrams, or creates it if there is none.
-func (d *presenceDuty) loadKey(ctx context.Context) error {
+func (d *presenceTask) loadKey(ctx context.Context) error {
 	o, err := d.readKey(ctx)
 	if store.IsNotFound(err) {
 		wait.For(ctx, time.Duration(randv2.Int64N(int64(keyCreateJitter))))
@@ -127,19 +127,19 @@
 }
 
 // readKey reads the key. It never changes, so a stale answer is as good.
-func (d *presenceDuty) readKey(ctx context.Context) (store.Object, error) {
+func (d *presenceTask) readKey(ctx context.Context) (store.Object, error) {
 	return d.readStale(ctx, store.KindPeerKey, peerKeyName)
 }
 
 // readStale reads an object if a stale answer is as good.
-func (d *presenceDuty) readStale(ctx context.Context, kind store.Kind, name string) (store.Object, error) {
+func (d *presenceTask) readStale(ctx context.Context, kind store.Kind, name string) (store.Object, error) {
 	if reader, offered := d.client.(store.StaleReader); offered {
 		return reader.GetStale(ctx, kind, name)
 	}
 	return d.client.Get(ctx, kind, name)
 }
 
-func (d *presenceDuty) createKey(ctx context.Context) (store.Object, error) {
+func (d *presenceTask) createKey(ctx context.Context) (store.Object, error) {
 	key := d.ownKey
 	if key == nil {
 		key = make([]byte, peer.KeyBytes)
@@ -154,7 +154,7 @@
 	return d.writer.Create(ctx, o)
 }
 
-func (d *presenceDuty) register(ctx context.Context) error {
+func (d *presenceTask) register(ctx context.Context) error {
 	o, err := store.NewObject(store.KindInstance, d.instance, d.self)
 	if err != nil {
 		return err
@@ -177,13 +177,13 @@
 }
 
 // isCurrent reports whether the object of this instance in the store is up to date.
-func (d *presenceDuty) isCurrent(o store.Object) bool {
+func (d *presenceTask) isCurrent(o store.Object) bool {
 	var known presence
 	return json.Unmarshal(o.Spec, &known) == nil && known == d.self
 }
 
 // withdraw removes the instance's object, for a planned stop.
-func (d *presenceDuty) withdraw(ctx context.Context) {
+func (d *presenceTask) withdraw(ctx context.Context) {
 	if err := d.client.Delete(ctx, store.KindInstance, d.instance); err != nil && !store.IsNotFound(err) {
 		d.log.Info("instance entry not removed", "error", err.Error())
 	}
@@ -194,7 +194,7 @@
 func staleInstancesAllowed() bool { return true }
 
 // watch follows the entries of the other instances.
-func (d *presenceDuty) watch(ctx context.Context) {
+func (d *presenceTask) watch(ctx context.Context) {
 	r := store.NewReflector(d.client, store.KindInstance, store.WatchOptions{AllowStale: staleInstancesAllowed, Now: d.link.now},
 		func(l store.List) {
 			d.link.listReceived(store.KindInstance, l)
@@ -218,7 +218,7 @@
 
 // applyList records the listed instances and removes all others: if the store has dropped its
 // history, no event reports their removal.
-func (d *presenceDuty) applyList(l store.List) {
+func (d *presenceTask) applyList(l store.List) {
 	before := d.known
 	d.known = make(map[string]bool, len(l.Items))
 	for _, o := range l.Items {
@@ -232,12 +232,12 @@
 	d.initialListRead.Store(true)
 }
 
-func (d *presenceDuty) remove(instance string) {
+func (d *presenceTask) remove(instance string) {
 	delete(d.known, instance)
 	d.onInstance(instance, nil)
 }
 
-func (d *presenceDuty) update(o store.Object) {
+func (d *presenceTask) update(o store.Object) {
 	d.known[o.Metadata.Name] = true
 	var p presence
 	if err := json.Unmarshal(o.Spec, &p); err != nil {
--- a/daemon/presence_test.go
+++ b/daemon/presence_test.go
@@ -61,7 +61,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		m := &mesh{now: time.Now, listed: map[string]presence{}, onInstanceCount: func(int) {}}
-		d := &presenceDuty{
+		d := &presenceTask{
 			client: &historyDroppingStore{lists: [][]string{{"n1", "n2", "n3"}, {"n1", "n3"}, {"n1", "n3"}}},
 			link:   &storeLink{log: logr.Discard(), now: time.Now}, log: logr.Discard(), onInstance: m.updateInstance,
 		}
@@ -133,7 +133,7 @@
 		var mu sync.Mutex
 		keys := map[string]int{}
 		for range instances {
-			d := &presenceDuty{client: s, writer: store.NewWriter(s), log: logr.Discard(), onKey: func(key []byte) error {
+			d := &presenceTask{client: s, writer: store.NewWriter(s), log: logr.Discard(), onKey: func(key []byte) error {
 				mu.Lock()
 				defer mu.Unlock()
 				keys[string(key)]++
@@ -174,7 +174,7 @@
 		time.Sleep(keyVisibleAfter)
 		began := time.Now()
 		var opened time.Duration
-		d := &presenceDuty{client: s, writer: store.NewWriter(s), instance: "i", log: logr.Discard(), onKey: func([]byte) error {
+		d := &presenceTask{client: s, writer: store.NewWriter(s), instance: "i", log: logr.Discard(), onKey: func([]byte) error {
 			opened = time.Since(began)
 			return nil
 		}}
--- a/daemon/quarantinereports_test.go
+++ b/daemon/quarantinereports_test.go
@@ -16,12 +16,12 @@
 type gossipFleet struct {
 	now   time.Time
 	names []string
-	peers map[string]*peersDuty
+	peers map[string]*peersTask
 	seq   int
 }
 
 func newGossipFleet(n int) *gossipFleet {
-	f := &gossipFleet{now: time.Unix(1_000, 0), peers: map[string]*peersDuty{}}
+	f := &gossipFleet{now: time.Unix(1_000, 0), peers: map[string]*peersTask{}}
 	for i := range n {
 		f.names = append(f.names, fmt.Sprintf("i%d", i))
 	}
@@ -34,7 +34,7 @@
 // start starts a new process of an instance.
 func (f *gossipFleet) start(name string) {
 	f.seq++
-	d := &peersDuty{
+	d := &peersTask{
 		gossip: peer.NewGossip(peer.GossipConfig{Name: name, Process: fmt.Sprint(f.seq)}), log: logr.Discard(),
 		now: func() time.Time { return f.now }, quarantine: quarantine.NewManager(quarantine.Config{
 			Limits: quarantine.DefaultLimits, Now: func() time.Time { return f.now }, Log: logr.Discard(),
--- a/daemon/removedentry_test.go
+++ b/daemon/removedentry_test.go
@@ -108,9 +108,9 @@
 	return last
 }
 
-// newEntriesDuty returns a duty that follows the entries of a store.
-func newEntriesDuty(client store.Client, link *storeLink) *entriesDuty {
-	return &entriesDuty{
+// newEntriesTask returns a task that follows the entries of a store.
+func newEntriesTask(client store.Client, link *storeLink) *entriesTask {
+	return &entriesTask{
 		client: client, decode: liveMember, entries: membership.NewEntries(), link: link, log: logr.Discard(), now: time.Now,
 		inputs: ring.New[membership.EntryEvent](entryInputCapacity, ring.Block), events: ring.New[event](eventsCapacity, ring.Block),
 		allowStale: func() bool { return false }, holderStoreBackSince: func() time.Time { return time.Time{} },
@@ -135,7 +135,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		session := &watchScript{startedAt: time.Now()}
 		link := &storeLink{log: logr.Discard(), now: time.Now}
-		d := newEntriesDuty(session, link)
+		d := newEntriesTask(session, link)
 		go d.watch(ctx)
 		go d.run(ctx)
 		go session.renew(ctx, link, 6*time.Second, 11*time.Second)
@@ -158,7 +158,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		link := &storeLink{log: logr.Discard(), now: time.Now}
 		session := &lapseScript{watchScript{startedAt: time.Now()}, link}
-		d := newEntriesDuty(session, link)
+		d := newEntriesTask(session, link)
 		go d.watch(ctx)
 		go d.run(ctx)
 		go session.renew(ctx, link, 2*time.Second, 5*time.Second)
--- a/daemon/settingsdelay_test.go
+++ b/daemon/settingsdelay_test.go
@@ -67,7 +67,7 @@
 	link   *storeLink
 	mesh   *mesh
 	config *settingsWatch
-	view   *viewDuty
+	view   *viewTask
 
 	mu      sync.Mutex
 	inForce int64
@@ -167,7 +167,7 @@
 			return link.settled() && link.confirmedAge("settings")+lag.lag() < fresh.maxAttestedAge()
 		},
 	}
-	i.view = &viewDuty{
+	i.view = &viewTask{
 		events: events, router: i.mesh.router, log: logr.Discard(), now: time.Now, applied: lag, resolve: i.adopt, notify: func() {},
 		updateCells: func(*settings.Catalog, *membership.List) {}, updatePeers: func(*membership.List) {}, sinceRevisionSeen: i.mesh.sinceRevisionSeen,
 		list: membership.NewList(), endpoints: map[string]*routing.Endpoint{}, residency: newResidency(), withdrawnUntil: map[string]withdrawal{},
--- a/daemon/stalestore_test.go
+++ b/daemon/stalestore_test.go
@@ -233,7 +233,7 @@
 	client *staleStoreClient
 	link   *storeLink
 	mesh   *mesh
-	duty   *entriesDuty
+	task   *entriesTask
 	list   *membership.List
 
 	mu sync.Mutex
@@ -258,7 +258,7 @@
 		listed:       map[string]presence{}, withdrawn: map[string]withdrawal{}, onInstanceCount: func(int) {},
 		router: routing.NewRouter(routing.Policies()[routing.PolicyTimely], nil), revision: func() int64 { return 1 },
 	}
-	i.duty = &entriesDuty{
+	i.task = &entriesTask{
 		client: i.client, kind: endpointsKind, entries: membership.NewEntries(), link: link, log: logr.Discard(), now: time.Now,
 		decode: func(o store.Object) (m membership.Member, err error) { return m, json.Unmarshal(o.Spec, &m) },
 		inputs: ring.New[membership.EntryEvent](entryInputCapacity, ring.Block), events: ring.New[event](eventsCapacity, ring.Block),
@@ -271,15 +271,15 @@
 
 // follow starts the tasks that follow the store.
 func (i *entriesInstance) follow(ctx context.Context) {
-	go i.duty.watch(ctx)
-	go i.duty.run(ctx)
+	go i.task.watch(ctx)
+	go i.task.run(ctx)
 	go i.applyListings(ctx)
 }
 
 // applyListings applies member lists as the view does.
 func (i *entriesInstance) applyListings(ctx context.Context) {
 	for {
-		e, err := i.duty.events.Take(ctx)
+		e, err := i.task.events.Take(ctx)
 		if err != nil {
 			return
 		}
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -17,9 +17,9 @@
 	"github.com/eiderspring/eiderspring/wait"
 )
 
-// viewDuty builds the routing view from the events of the other duties. It alone writes the
+// viewTask builds the routing view from the events of the other tasks. It alone writes the
 // fields below.
-type viewDuty struct {
+type viewTask struct {
 	events *ring.Ring[event]
 	router *routing.Router
 	log    logr.Logger
@@ -73,7 +73,7 @@
 	replicas replicaIndex
 }
 
-func (d *viewDuty) run(ctx context.Context) {
+func (d *viewTask) run(ctx context.Context) {
 	for {
 		e, err := d.next(ctx)
 		if err != nil {
@@ -101,7 +101,7 @@
 
 // drainEvents applies the events that are queued after e. It returns their number, and whether
 // the view must be rebuilt for them.
-func (d *viewDuty) drainEvents(ctx context.Context, e event) (taken int64, changed bool) {
+func (d *viewTask) drainEvents(ctx context.Context, e event) (taken int64, changed bool) {
 	if _, placed := e.(placementsReceived); placed {
 		wait.For(ctx, placementBatchDelay)
 	}
@@ -120,7 +120,7 @@
 const withdrawalCheckInterval = time.Second
 
 // next returns the next event, or nil after a while if withdrawals may have expired.
-func (d *viewDuty) next(ctx context.Context) (event, error) {
+func (d *viewTask) next(ctx context.Context) (event, error) {
 	if len(d.withdrawnUntil) == 0 {
 		return d.events.Take(ctx)
 	}
@@ -138,7 +138,7 @@
 //
 // While the lease holder lists other endpoints than this instance, a withdrawal lasts longer
 // by maxWithdrawalExtension: no list that would confirm or refute it has arrived since.
-func (d *viewDuty) expireWithdrawals() bool {
+func (d *viewTask) expireWithdrawals() bool {
 	known := len(d.withdrawnUntil)
 	now := d.now()
 	if d.listDiffers != nil && d.listDiffers() {
@@ -155,7 +155,7 @@
 const maxWithdrawalExtension = 12 * time.Second
 
 // apply applies an event and reports whether the view must be rebuilt.
-func (d *viewDuty) apply(e event) bool {
+func (d *viewTask) apply(e event) bool {
 	switch e := e.(type) {
 	case loadReported:
 		return d.applyLoad(e)
@@ -169,13 +169,13 @@
 }
 
 // applyMembers applies an event that changes the settings or the set of endpoints.
-func (d *viewDuty) applyMembers(e event) bool {
+func (d *viewTask) applyMembers(e event) bool {
 	switch e := e.(type) {
 	case settingsAccepted:
-		return d.accept(e) && d.informDuties()
+		return d.accept(e) && d.informTasks()
 	case domainsEvacuated:
 		d.platformEvacuated = e.domains
-		return d.applyEvacuations() && d.informDuties()
+		return d.applyEvacuations() && d.informTasks()
 	case membersListed:
 		changes := d.list.Step(d.now(), membership.Listed{Listing: e.listing})
 		for _, c := range changes {
@@ -186,11 +186,11 @@
 		if len(changes) > 0 && d.onDigest != nil {
 			d.onDigest(d.list.Digest())
 		}
-		return len(changes) > 0 && d.informDuties()
+		return len(changes) > 0 && d.informTasks()
 	case instanceLeaving:
 		m, known := d.list.Member(e.name)
 		observed := membership.Observed{Name: e.name, Incarnation: m.Incarnation, State: membership.Leaving}
-		return known && len(d.list.Step(d.now(), observed)) > 0 && d.informDuties()
+		return known && len(d.list.Step(d.now(), observed)) > 0 && d.informTasks()
 	case endpointsWithdrawn:
 		return d.applyWithdrawals(e.endpoints)
 	default:
@@ -198,9 +198,9 @@
 	}
 }
 
-// informDuties passes the settings and the list to the duties that depend on them. It returns
+// informTasks passes the settings and the list to the tasks that depend on them. It returns
 // true.
-func (d *viewDuty) informDuties() bool {
+func (d *viewTask) informTasks() bool {
 	d.updatePeers(d.list)
 	if d.resolved != nil {
 		d.updateCells(d.resolved, d.list)
@@ -209,7 +209,7 @@
 }
 
 // accept puts a revision in force unless it is not newer than the current one.
-func (d *viewDuty) accept(e settingsAccepted) bool {
+func (d *viewTask) accept(e settingsAccepted) bool {
 	a := e.accepted
 	if d.accepted != nil && a.Entry.Revision <= d.accepted.Entry.Revision {
 		return false
@@ -227,14 +227,14 @@
 
 // revisionSeenMS returns how long ago, in milliseconds, another instance first reported this
 // revision or a later one; -1 if none has.
-func (d *viewDuty) revisionSeenMS(revision int64) int64 {
+func (d *viewTask) revisionSeenMS(revision int64) int64 {
 	if d.sinceRevisionSeen == nil {
 		return -1
 	}
 	return ageMS(d.sinceRevisionSeen(revision))
 }
 
-func (d *viewDuty) applyLoad(e loadReported) bool {
+func (d *viewTask) applyLoad(e loadReported) bool {
 	endpoint, known := d.endpoints[e.endpoint]
 	if !known || endpoint.Incarnation != e.report.Incarnation {
 		return false
@@ -260,7 +260,7 @@
 
 // applyWithdrawals applies another instance's report of leaving endpoints. It also counts for
 // an endpoint that is not listed yet: an older answer may still list it as live.
-func (d *viewDuty) applyWithdrawals(starts []endpointIncarnation) bool {
+func (d *viewTask) applyWithdrawals(starts []endpointIncarnation) bool {
 	changed := false
 	for _, s := range starts {
 		e, listed := d.endpoints[s.name]
@@ -278,13 +278,13 @@
 }
 
 // withheld reports whether another instance's report keeps requests from a member.
-func (d *viewDuty) withheld(m membership.Member) bool {
+func (d *viewTask) withheld(m membership.Member) bool {
 	w, known := d.withdrawnUntil[m.Name]
 	return known && endpointIncarnation{m.Name, w.startedAtMS}.includes(m.StartedAtMS)
 }
 
 // reportLeaving reports an endpoint that has begun to leave or has gone.
-func (d *viewDuty) reportLeaving(c membership.Change) {
+func (d *viewTask) reportLeaving(c membership.Change) {
 	if c.Member.State == membership.Live || c.Member.Pool == membership.InstancePool {
 		return
 	}
@@ -295,7 +295,7 @@
 }
 
 // applyPlacements applies placements of the instance that places units.
-func (d *viewDuty) applyPlacements(e placementsReceived) bool {
+func (d *viewTask) applyPlacements(e placementsReceived) bool {
 	known := len(d.changedEndpoints)
 	for _, p := range e.placements {
 		if _, listed := d.endpoints[p.Endpoint]; listed && d.residency.applyPlacement(p) {
@@ -306,7 +306,7 @@
 }
 
 // rebuild gives routing a view with all changes.
-func (d *viewDuty) rebuild() {
+func (d *viewTask) rebuild() {
 	if d.resolved == nil {
 		return
 	}
@@ -321,7 +321,7 @@
 // rebuildChanged gives routing a view in which only the units of some endpoints differ: with
 // thousands of endpoints, a full rebuild for each burst of placements took most of an
 // instance's processor time.
-func (d *viewDuty) rebuildChanged() {
+func (d *viewTask) rebuildChanged() {
 	for _, name := range d.changedEndpoints {
 		d.replicas.set(d.endpoints[name], d.residency.serving(name))
 	}
@@ -331,7 +331,7 @@
 }
 
 // rebuildAll gives routing a view built from scratch.
-func (d *viewDuty) rebuildAll() {
+func (d *viewTask) rebuildAll() {
 	members := d.list.Members()
 	v := &routing.View{
 		Pools: map[string][]*routing.Endpoint{}, ByName: make(map[string]*routing.Endpoint, len(members)), OpenRegions: map[string]map[string]bool{},
@@ -373,7 +373,7 @@
 
 // endpoint returns the endpoint of a member. A new incarnation is a new endpoint: nothing
 // counted for the previous one applies to it.
-func (d *viewDuty) endpoint(m membership.Member, concurrency int) *routing.Endpoint {
+func (d *viewTask) endpoint(m membership.Member, concurrency int) *routing.Endpoint {
 	e := d.endpoints[m.Name]
 	if e == nil || e.Incarnation != m.Incarnation || e.Address != m.Address || e.Concurrency != concurrency {
 		e = &routing.Endpoint{
@@ -389,7 +389,7 @@
 }
 
 // logRestart logs that an endpoint has been restarted under its name.
-func (d *viewDuty) logRestart(previous, e *routing.Endpoint) {
+func (d *viewTask) logRestart(previous, e *routing.Endpoint) {
 	if previous != nil && previous.Incarnation != e.Incarnation {
 		d.log.Info("endpoint started again", "endpoint", e.Name, "former", previous.Incarnation, "incarnation", e.Incarnation)
 	}
--- a/daemon/view_test.go
+++ b/daemon/view_test.go
@@ -19,9 +19,9 @@
 	"github.com/eiderspring/eiderspring/settings"
 )
 
-// viewHarness is a view duty with one pool and a clock.
+// viewHarness is a view task with one pool and a clock.
 type viewHarness struct {
-	*viewDuty
+	*viewTask
 	clock   time.Time
 	version int64
 	// announcer announces leaving endpoints to the other instances, as the lease holder does.
@@ -32,7 +32,7 @@
 	h := &viewHarness{clock: time.Unix(1000, 0)}
 	now := func() time.Time { return h.clock }
 	h.announcer = &mesh{now: now, withdrawn: map[string]withdrawal{}}
-	h.viewDuty = &viewDuty{
+	h.viewTask = &viewTask{
 		router: routing.NewRouter(routing.Policies()[routing.PolicyTimely], nil), log: logr.Discard(), now: now,
 		updateCells: func(*settings.Catalog, *membership.List) {}, updatePeers: func(*membership.List) {}, notify: func() {},
 		list: membership.NewList(), endpoints: map[string]*routing.Endpoint{}, residency: newResidency(), withdrawnUntil: map[string]withdrawal{},
@@ -90,7 +90,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		h := newViewHarness()
-		h.viewDuty.now, h.events = time.Now, ring.New[event](eventsCapacity, ring.Block)
+		h.viewTask.now, h.events = time.Now, ring.New[event](eventsCapacity, ring.Block)
 		h.listing("e1")
 		go h.run(ctx)
 		require.NoError(t, h.events.Put(ctx, endpointsWithdrawn{[]endpointIncarnation{{name: "e1"}}}))
--- a/daemon/viewevacuation.go
+++ b/daemon/viewevacuation.go
@@ -12,7 +12,7 @@
 
 // applyEvacuations merges the failure domains evacuated by the platform and by the settings
 // into the view, and reports whether the set changed.
-func (d *viewDuty) applyEvacuations() bool {
+func (d *viewTask) applyEvacuations() bool {
 	next := make(map[string]bool, len(d.platformEvacuated))
 	for _, domain := range d.platformEvacuated {
 		next[domain] = true
@@ -37,7 +37,7 @@
 }
 
 // noteRestored records that the evacuation of a failure domain ended: its endpoints may be cold.
-func (d *viewDuty) noteRestored(domain string) {
+func (d *viewTask) noteRestored(domain string) {
 	if d.warming == nil {
 		d.warming = map[string]bool{}
 	}
@@ -45,7 +45,7 @@
 }
 
 // noteColdEntry records an endpoint entry that newly reports the endpoint as cold.
-func (d *viewDuty) noteColdEntry(c membership.Change) {
+func (d *viewTask) noteColdEntry(c membership.Change) {
 	if c.Member.ColdMS == 0 || c.Member.State == membership.Gone {
 		return
 	}
@@ -57,7 +57,7 @@
 
 // reportCold reports an endpoint as cold if its entry says so or if the evacuation of its
 // failure domain has just ended.
-func (d *viewDuty) reportCold(m membership.Member, e *routing.Endpoint, pool *settings.Pool) {
+func (d *viewTask) reportCold(m membership.Member, e *routing.Endpoint, pool *settings.Pool) {
 	remaining := time.Duration(d.coldReported[m.Name]) * time.Millisecond
 	if d.warming[m.FailureDomain] {
 		remaining = max(remaining, pool.ColdStart())
