--- a/daemon/hungpoll_test.go
+++ b/daemon/hungpoll_test.go
@@ -242,7 +242,7 @@
 	f.transport = &memoryTransport{handler: f.list}
 	f.membersPoller = &membersPoller{
 		source: membership.NewSource("http://platform", f.transport), events: ring.New[event](eventsCapacity, ring.Block), log: logr.Discard(),
-		onListing: func(version, asked int64) { f.answers <- peer.ListReceived{Version: version, Asked: asked} },
+		onListing: func(version, requested int64) { f.answers <- peer.ListReceived{Version: version, Requested: requested} },
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -288,7 +288,7 @@
 		for len(f.answers) > 1 {
 			<-f.answers
 		}
-		require.Equal(t, peer.ListReceived{Version: f.version(), Asked: f.version()}, <-f.answers)
+		require.Equal(t, peer.ListReceived{Version: f.version(), Requested: f.version()}, <-f.answers)
 	})
 }
 
@@ -302,7 +302,7 @@
 		f.requestVersion(100)
 		synctest.Wait()
 		require.Len(t, f.answers, 1, "answered at once")
-		require.Equal(t, peer.ListReceived{Version: f.version(), Asked: 100}, <-f.answers)
+		require.Equal(t, peer.ListReceived{Version: f.version(), Requested: 100}, <-f.answers)
 	})
 }
 
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -163,7 +163,7 @@
 // listReceived records the version of an answer of the platform's list, and the version
 // in another instance's hint that had caused the request, 0 if none.
 func (d *peersTask) listReceived(version, requested int64) {
-	_ = d.events.Put(context.Background(), peer.ListReceived{Version: version, Asked: requested})
+	_ = d.events.Put(context.Background(), peer.ListReceived{Version: version, Requested: requested})
 }
 
 // updateMembers takes over the instances of a new list.
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -307,7 +307,7 @@
 func (p *placers) demandReported(demands map[string]peer.Demand) {
 	report := counted.DemandReport{Rate: map[string]float64{}, Waiting: map[string]int{}, LastRequestAt: map[string]time.Time{}}
 	for unit, d := range demands {
-		report.Rate[unit], report.Waiting[unit], report.LastRequestAt[unit] = d.WorkPerSecond, d.Waiting, d.AskedAt
+		report.Rate[unit], report.Waiting[unit], report.LastRequestAt[unit] = d.WorkPerSecond, d.Waiting, d.LastRequestAt
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/peer/fleetview.go
+++ b/peer/fleetview.go
@@ -40,8 +40,8 @@
 	at      time.Time
 	rate    float64
 	waiting int
-	// askedAt is when the unit was last requested.
-	askedAt time.Time
+	// lastRequestAt is when the unit was last requested.
+	lastRequestAt time.Time
 }
 
 // Demand is the demand for one unit over all instances.
@@ -50,9 +50,9 @@
 	// of requests that wait for a replica.
 	WorkPerSecond float64
 	Waiting       int
-	// AskedAt is when the unit was last requested. It is kept besides the rate
+	// LastRequestAt is when the unit was last requested. It is kept besides the rate
 	// because an averaged rate approaches zero only slowly.
-	AskedAt time.Time
+	LastRequestAt time.Time
 }
 
 // NewFleetView returns an empty view.
@@ -90,7 +90,7 @@
 			r.update(now, d)
 			continue
 		}
-		r := &demandRate{work: d.Work, at: now, waiting: d.Waiting, askedAt: now}
+		r := &demandRate{work: d.Work, at: now, waiting: d.Waiting, lastRequestAt: now}
 		if !e.firstSeenAt.Equal(now) {
 			// The process is known but the unit is new, so all of its work was
 			// requested since the previous packet.
@@ -111,7 +111,7 @@
 func (r *demandRate) update(now time.Time, d UnitDemand) {
 	r.waiting = d.Waiting
 	if d.Waiting > 0 || d.Work > r.work {
-		r.askedAt = now
+		r.lastRequestAt = now
 	}
 	elapsed := now.Sub(r.at)
 	if elapsed <= 0 {
@@ -192,8 +192,8 @@
 			d := demands[unit]
 			d.WorkPerSecond += r.rate
 			d.Waiting += r.waiting
-			if r.askedAt.After(d.AskedAt) {
-				d.AskedAt = r.askedAt
+			if r.lastRequestAt.After(d.LastRequestAt) {
+				d.LastRequestAt = r.lastRequestAt
 			}
 			demands[unit] = d
 		}
--- a/peer/fleetview_test.go
+++ b/peer/fleetview_test.go
@@ -52,7 +52,7 @@
 	d := b.Demand()["m"]
 	require.InDelta(t, 1000, d.WorkPerSecond, 150)
 	require.Equal(t, 2, d.Waiting)
-	require.Equal(t, fleetViewTime(7900), d.AskedAt)
+	require.Equal(t, fleetViewTime(7900), d.LastRequestAt)
 	for ms := 8000; ms < 13000; ms += 100 {
 		seq++
 		b.Receive(fleetViewTime(ms), Packet{From: "a", Process: "p", Seq: seq})
@@ -60,7 +60,7 @@
 	d = b.Demand()["m"]
 	require.Less(t, d.WorkPerSecond, 20.0)
 	require.Zero(t, d.Waiting)
-	require.Equal(t, fleetViewTime(7900), d.AskedAt, "a rate that is still decaying is no new request")
+	require.Equal(t, fleetViewTime(7900), d.LastRequestAt, "a rate that is still decaying is no new request")
 }
 
 // TestFirstDemandCounts reports a unit for the first time from a process that is
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -17,9 +17,9 @@
 type RevisionInForce struct{ Revision int64 }
 
 // ListReceived reports an answer of the platform's list. Version is the version of the
-// answer. Asked is the version reported by another instance that caused the call, 0 if
+// answer. Requested is the version reported by another instance that caused the call, 0 if
 // none did.
-type ListReceived struct{ Version, Asked int64 }
+type ListReceived struct{ Version, Requested int64 }
 
 // StoreAnswered reports that the object API has answered this instance.
 type StoreAnswered struct{}
@@ -167,7 +167,7 @@
 	case StoreAnswered:
 		g.storeAnsweredAt = now
 	case ListReceived:
-		g.listChanged = g.list.received(now, e.Version, e.Asked) || g.listChanged
+		g.listChanged = g.list.received(now, e.Version, e.Requested) || g.listChanged
 	case Leave:
 		g.leaving = true
 		return g.sendAll(now)
--- a/peer/listtracker_test.go
+++ b/peer/listtracker_test.go
@@ -92,7 +92,7 @@
 		{"no answer at all: refreshes back off", []Event{ListReceived{Version: 5}, report(6)}, []time.Duration{
 			250 * time.Millisecond, 1250 * time.Millisecond, 3250 * time.Millisecond, 7250 * time.Millisecond, 11250 * time.Millisecond,
 		}},
-		{"the list does not have it", []Event{ListReceived{Version: 5}, report(100), ListReceived{Version: 5, Asked: 100}, report(99)}, nil},
+		{"the list does not have it", []Event{ListReceived{Version: 5}, report(100), ListReceived{Version: 5, Requested: 100}, report(99)}, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -186,7 +186,7 @@
 							nodes[a.To].Step(now, Received{Hint: a.Hint})
 						case RefreshList:
 							refreshes[name]++
-							nodes[name].Step(now, ListReceived{Version: 2, Asked: a.Version})
+							nodes[name].Step(now, ListReceived{Version: 2, Requested: a.Version})
 						}
 					}
 				}
