--- a/daemon/attestation_test.go
+++ b/daemon/attestation_test.go
@@ -123,14 +123,10 @@
 }
 
 // TestHolderWhoseWatchHangsDoesNotAttest guards against a holder that attested for 2.4 s that
-// its endpoints were current although its watch on them had not been answered for 12 s, so that
+// its endpoints were current, although its watch on them had not been answered for 12 s, so that
 // the other instances accepted stale answers. Its lease was renewed in time, on another
-// connection, and that counted as proof:
-//
-//	35.1344 msg="lease acquired" epoch=3
-//	35.1931 msg="lease holder attestation" any=true                        (the others)
-//	37.5351 msg="watch ended" kind=servers confirmed_ms=12640 error="... context deadline exceeded"
-//
+// connection, and that counted as proof (lease acquired at 35.1 s, attestation received by the
+// others at 35.2 s, watch ended at 37.5 s with a last confirmation 12.6 s before).
 // Only an answer to the watch itself proves that what it has delivered is current.
 func TestHolderWhoseWatchHangsDoesNotAttest(t *testing.T) {
 	now := time.Now()
--- a/daemon/followercalls_test.go
+++ b/daemon/followercalls_test.go
@@ -151,7 +151,7 @@
 func TestFewInstancesCampaignWhenAllStartTogether(t *testing.T) {
 	const instances = 295
 	start := time.Unix(1000, 0)
-	patience := campaignDelay + joinQuietTime + coordinatorSilenceAtStart
+	patience := campaignDelay + joinQuietTime + coordinatorTimeoutAtStart
 	for _, after := range []time.Duration{0, campaignDelay, patience + 2*campaignRankDelay} {
 		campaign := 0
 		for i := range instances {
--- a/daemon/followsettings.go
+++ b/daemon/followsettings.go
@@ -30,7 +30,7 @@
 	hasNewest func() bool
 	// onConfirmed is called when a call to the store that was made at the given time has shown
 	// a revision to be the newest; may be nil. now returns the time of calls.
-	onConfirmed func(askedAt time.Time, revision int64)
+	onConfirmed func(calledAt time.Time, revision int64)
 	now         func() time.Time
 	// watchHold returns how long the store may hold a fresh call; nil leaves it to the client.
 	watchHold func() time.Duration
@@ -47,11 +47,11 @@
 
 // reportConfirmed reports that everything that the store had acknowledged when a call was made
 // has been read.
-func (d *settingsWatch) reportConfirmed(askedAt time.Time) {
-	if d.onConfirmed == nil || askedAt.IsZero() || d.rejected.Load() {
+func (d *settingsWatch) reportConfirmed(calledAt time.Time) {
+	if d.onConfirmed == nil || calledAt.IsZero() || d.rejected.Load() {
 		return
 	}
-	d.onConfirmed(askedAt, d.newestRevision.Load())
+	d.onConfirmed(calledAt, d.newestRevision.Load())
 }
 
 // checkStore asks the store whether there are newer settings, by the smallest call that shows
@@ -86,13 +86,13 @@
 
 // readWhole reads the settings if the store no longer knows what has changed.
 func (d *settingsWatch) readWhole(ctx context.Context) error {
-	askedAt := d.now()
+	calledAt := d.now()
 	o, err := d.client.Get(ctx, d.kind, d.name)
 	if err != nil {
 		return err
 	}
 	d.accept(ctx, o, sourceList)
-	d.reportConfirmed(askedAt)
+	d.reportConfirmed(calledAt)
 	return nil
 }
 
--- a/daemon/keyauthority.go
+++ b/daemon/keyauthority.go
@@ -115,9 +115,9 @@
 	storeRequestPause    = 500 * time.Millisecond
 )
 
-// monitor calls askStore where no other instance confirms in time, and logs when the keys
+// monitor calls checkStore where no other instance confirms in time, and logs when the keys
 // become unusable and usable again. bound is the greatest age of a valid confirmation.
-func (r *keyAuthority) monitor(ctx context.Context, bound time.Duration, askStore func(context.Context)) {
+func (r *keyAuthority) monitor(ctx context.Context, bound time.Duration, checkStore func(context.Context)) {
 	if !r.tracker.Bounded() {
 		return
 	}
@@ -133,7 +133,7 @@
 		if revision == 0 || known && float64(age) < storeRequestFraction*float64(bound) {
 			continue
 		}
-		askStore(ctx)
+		checkStore(ctx)
 		wait.For(ctx, jitter(storeRequestPause))
 	}
 }
--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -399,8 +399,8 @@
 		m.lastContactAt = at
 		m.lastContact.Store(&at)
 	}
-	silence := m.now().Sub(m.lastContactAt)
-	return !m.lastContactAt.IsZero() && silence >= partitionAfter && silence < partitionTimeout
+	sinceContact := m.now().Sub(m.lastContactAt)
+	return !m.lastContactAt.IsZero() && sinceContact >= partitionAfter && sinceContact < partitionTimeout
 }
 
 // An instance without contact to any other for isolatedAfter, or that has had none at all by
@@ -583,5 +583,5 @@
 	}
 }
 
-// coordinatorSilence returns how long ago the coordinator was last in contact.
-func (m *mesh) coordinatorSilence() time.Duration { return m.totals.silence(m.now()) }
+// coordinatorContactAge returns how long ago the coordinator was last in contact.
+func (m *mesh) coordinatorContactAge() time.Duration { return m.totals.contactAge(m.now()) }
--- a/daemon/meshannounce.go
+++ b/daemon/meshannounce.go
@@ -278,7 +278,7 @@
 		return
 	}
 	m.wasAttested = attested
-	m.log.Info("lease holder attestation", "any", attested, "holder", m.totals.address(), "silent_ms", m.coordinatorSilence().Milliseconds())
+	m.log.Info("lease holder attestation", "any", attested, "holder", m.totals.address(), "silent_ms", m.coordinatorContactAge().Milliseconds())
 }
 
 // coordinatorAddresses returns the address of the coordinator; none if it is not known or is
--- a/daemon/node_test.go
+++ b/daemon/node_test.go
@@ -76,7 +76,7 @@
 	}
 	n.mesh.totals.receive(now, peer.Packet{Address: "coordinator", Instances: 1})
 	require.False(t, n.campaigns("pool", false))
-	now = now.Add(coordinatorSilence + 4*campaignRankDelay)
+	now = now.Add(coordinatorTimeout + 4*campaignRankDelay)
 	require.True(t, n.campaigns("pool", false))
 }
 
--- a/daemon/nodecampaign.go
+++ b/daemon/nodecampaign.go
@@ -88,20 +88,20 @@
 }
 
 // noCoordinatorContact tells whether there was no contact with an instance that places units for
-// coordinatorSilence plus delay. A new process could not have had contact before its start, so
-// it must also have waited for coordinatorSilenceAtStart plus delay.
+// coordinatorTimeout plus delay. A new process could not have had contact before its start, so
+// it must also have waited for coordinatorTimeoutAtStart plus delay.
 func (n *Node) noCoordinatorContact(delay time.Duration) bool {
 	sinceStart := n.now().Sub(n.startedAt) - campaignDelay - joinQuietTime
-	return n.mesh.coordinatorSilence() >= coordinatorSilence+delay && sinceStart >= coordinatorSilenceAtStart+delay
+	return n.mesh.coordinatorContactAge() >= coordinatorTimeout+delay && sinceStart >= coordinatorTimeoutAtStart+delay
 }
 
 // Entries of instances that are gone may rank first. So an instance that had no contact with
-// an instance that places units for coordinatorSilence campaigns too, each lower rank
+// an instance that places units for coordinatorTimeout campaigns too, each lower rank
 // campaignRankDelay later.
 const (
-	coordinatorSilence = 1200 * time.Millisecond
-	// coordinatorSilenceAtStart is the same after campaignDelay and joinQuietTime in a new
+	coordinatorTimeout = 1200 * time.Millisecond
+	// coordinatorTimeoutAtStart is the same after campaignDelay and joinQuietTime in a new
 	// process: the first-ranked instance has acquired the lease by then and announced itself.
-	coordinatorSilenceAtStart = 300 * time.Millisecond
+	coordinatorTimeoutAtStart = 300 * time.Millisecond
 	campaignRankDelay         = 100 * time.Millisecond
 )
--- a/daemon/nodecampaign_test.go
+++ b/daemon/nodecampaign_test.go
@@ -29,7 +29,7 @@
 	n.mesh.updateInstance("strong2", &presence{Cores: 0.8})
 	now = now.Add(joinQuietTime)
 	require.False(t, n.campaigns("pool", false), "two rank before it")
-	now = now.Add(coordinatorSilenceAtStart + 2*campaignRankDelay)
+	now = now.Add(coordinatorTimeoutAtStart + 2*campaignRankDelay)
 	require.True(t, n.campaigns("pool", false), "there was no contact with them")
 	now = now.Add(maxJoinWait)
 	n.mesh.updateInstance("late", &presence{Cores: 0.1})
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// replyInterval is the least time between two replies to instances that know other endings:
+// replyInterval is the minimum time between two replies to instances that know other endings:
 // otherwise two instances might answer each other continuously.
 const replyInterval = peerTickInterval
 
--- a/daemon/removedentry_test.go
+++ b/daemon/removedentry_test.go
@@ -16,13 +16,14 @@
 )
 
 // These tests guard against an instance that routes requests to an endpoint for 2 s after the
-// store acknowledged its removal, where all others stop within 0.4 s. An entry that lapsed while the store was unreachable is kept
-// for two seconds, so that its member can renew it. If a watch that began in the outage hangs
-// until after its end, and the instance takes the return of its own watch for the return of the
-// store, it mistakes a later removal for such a lapse. In the script below the store does not
-// answer until 11.0 s, a watch that began in the outage fails at 13.9 s, and the entry is removed
-// at 14.3 s. The store answers the instance's lease calls from the end of the outage on; in the
-// original failure it had answered them since 12.1 s.
+// store acknowledged its removal, while all other instances stop within 0.4 s. An entry that
+// lapsed while the store was unreachable is kept for two seconds, so that its member can renew
+// it. If a watch that began in the outage hangs until after its end, and the instance takes the
+// return of its own watch for the return of the store, it mistakes a later removal for such a
+// lapse. In the script below the store does not answer until 11.0 s, a watch that began in the
+// outage and was last confirmed 8.2 s ago fails at 13.9 s, and the entry is removed at 14.3 s.
+// The store answers the instance's lease calls from the end of the outage on; in the failure
+// itself it had answered them since 12.1 s, before the watch failed.
 
 // watchScript answers the watches of one kind with the timing above.
 type watchScript struct {
--- a/daemon/retryshare_test.go
+++ b/daemon/retryshare_test.go
@@ -29,8 +29,10 @@
 	f.budgets[i] = pipeline.NewRetryBudgets(f.settings.instanceLimits(0))
 }
 
-// learn sets the number of instances at an instance.
-func (f *retryFleet) learn(i int) { f.budgets[i].SetLimits(f.settings.instanceLimits(len(f.budgets))) }
+// updateInstanceCount sets the number of instances at an instance.
+func (f *retryFleet) updateInstanceCount(i int) {
+	f.budgets[i].SetLimits(f.settings.instanceLimits(len(f.budgets)))
+}
 
 // step adds requests at an instance, and retries as often as the budget allows if greedy.
 func (f *retryFleet) step(i, requests int, greedy bool) {
@@ -83,7 +85,7 @@
 				if allRestart {
 					f.restart(i)
 				} else {
-					f.learn(i)
+					f.updateInstanceCount(i)
 				}
 				f.step(i, rapid.IntRange(0, most).Draw(t, "requests"), greedy)
 			}
@@ -99,7 +101,7 @@
 	f := &retryFleet{settings: NodeRetry{Ratio: 0.2, Slack: 220}, budgets: make([]*pipeline.RetryBudgets, n), requests: []float64{0}, retries: []float64{0}}
 	for i := range n {
 		f.restart(i)
-		f.learn(i)
+		f.updateInstanceCount(i)
 		f.step(i, 100, false)
 	}
 	f.requests, f.retries = append(f.requests, 0), append(f.retries, 0)
--- a/daemon/suspension_test.go
+++ b/daemon/suspension_test.go
@@ -14,16 +14,16 @@
 // have failed silently while the machine was suspended: an interruption cancels all of them, and
 // later calls are served.
 func TestInterruptCancelsPendingCalls(t *testing.T) {
-	asked := make(chan struct{}, 3)
+	received := make(chan struct{}, 3)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/hangs":
-			asked <- struct{}{}
+			received <- struct{}{}
 			<-r.Context().Done()
 		case "/half":
 			_, _ = io.WriteString(w, "begun")
 			_ = http.NewResponseController(w).Flush()
-			asked <- struct{}{}
+			received <- struct{}{}
 			<-r.Context().Done()
 		}
 	}))
@@ -42,7 +42,7 @@
 		}()
 	}
 	for range 3 {
-		<-asked
+		<-received
 	}
 	transport.interrupt()
 	for range 3 {
--- a/daemon/totals.go
+++ b/daemon/totals.go
@@ -97,7 +97,7 @@
 }
 
 // fresh reports whether totals were received recently.
-func (t *totals) fresh(now time.Time) bool { return t.silence(now) < totalsExpiry }
+func (t *totals) fresh(now time.Time) bool { return t.contactAge(now) < totalsExpiry }
 
 // attested reports whether the coordinator has recently attested that what it knows is
 // current.
@@ -138,8 +138,8 @@
 	return now.Sub(t.attestedAt)
 }
 
-// silence returns how long ago the coordinator was last in contact.
-func (t *totals) silence(now time.Time) time.Duration {
+// contactAge returns how long ago the coordinator was last in contact.
+func (t *totals) contactAge(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Sub(t.receivedAt)
--- a/peer/listtracker.go
+++ b/peer/listtracker.go
@@ -14,7 +14,7 @@
 	// ownVersion is the version that this instance has, newestReported the newest that
 	// another instance has reported.
 	ownVersion, newestReported int64
-	// refuted is the newest reported version that the list did not have when asked: the
+	// refuted is the newest reported version that the list did not have when requested: the
 	// list has restarted its versions, or the reporter reads another list.
 	refuted int64
 	// since is when this instance's version became outdated, or when the list last
@@ -37,11 +37,11 @@
 	t.newestReported = max(t.newestReported, version)
 }
 
-// received records an answer of the list. asked is the reported version that caused the
+// received records an answer of the list. requested is the reported version that caused the
 // call, 0 if none did. It reports whether the version is newer than this instance's.
-func (t *listTracker) received(now time.Time, version, asked int64) bool {
-	if asked > version {
-		t.refuted = max(t.refuted, asked)
+func (t *listTracker) received(now time.Time, version, requested int64) bool {
+	if requested > version {
+		t.refuted = max(t.refuted, requested)
 	}
 	if t.newestReported <= t.refuted {
 		t.newestReported = 0
@@ -53,7 +53,7 @@
 }
 
 // refreshDue reports whether to refresh the list now, and records the refresh. While the
-// list does not answer, the interval grows: the list may be slow rather than silent.
+// list does not answer, the interval grows: the list may be slow rather than unreachable.
 func (t *listTracker) refreshDue(now time.Time) bool {
 	if t.newestReported <= t.ownVersion || now.Sub(t.since) < t.grace || now.Sub(t.refreshedAt) < max(t.backoff, t.minInterval) {
 		return false
--- a/peer/listtracker_test.go
+++ b/peer/listtracker_test.go
@@ -12,7 +12,7 @@
 
 // These tests guard against routing to an endpoint for up to half a minute after the
 // platform's list has reported that it leaves. That happens when an instance's poll of the
-// list begins while the list is silent: such a call is never answered. Other instances have
+// list begins while the list does not answer: such a call is never answered. Other instances have
 // the newer list, so hints carry its version.
 
 // listKey is the CBOR key of the list's version in a hint.
