--- a/daemon/attestation_test.go
+++ b/daemon/attestation_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestHungWatchIsReplacedInTime adds up the longest time until a fresh watch that is never
-// answered is repeated, and until the next answer to a healthy holder.
+// TestHungWatchIsReplacedInTime checks the bounds on the longest time until a fresh watch that is
+// never answered is repeated, and until the next answer to a healthy holder.
 func TestHungWatchIsReplacedInTime(t *testing.T) {
 	for _, ms := range changeBoundsMS {
 		f := NodeFreshness{LeavingMS: ms, SettingsMS: ms, ContactMS: 4000}
@@ -176,12 +176,12 @@
 	answer()
 	for since := time.Duration(0); since < settleTime; since += leaseRenewal {
 		require.False(t, n.mesh.storeCurrent(), "%s after the outage", since)
-		require.False(t, n.entriesMayLag(), "%s after the outage", since)
+		require.False(t, n.allowStaleEntries(), "%s after the outage", since)
 		now = now.Add(leaseRenewal)
 		answer()
 	}
 	require.True(t, n.mesh.storeCurrent())
-	require.True(t, n.entriesMayLag())
+	require.True(t, n.allowStaleEntries())
 	now = now.Add(outageThreshold - time.Millisecond)
 	answer()
 	require.True(t, n.mesh.storeCurrent(), "a slow answer is no outage")
--- a/daemon/incarnations_test.go
+++ b/daemon/incarnations_test.go
@@ -83,7 +83,8 @@
 	require.False(t, h.acceptsRequests("e1"))
 }
 
-// The instance that places units may learn of a new incarnation before the own list shows it.
+// The instance that places units may learn of a new incarnation before this instance's
+// list shows it.
 // The old entry must not bring back the units of the previous incarnation.
 func TestPlacementOfNewIncarnationOutranksOldEntry(t *testing.T) {
 	h := newViewHarness()
--- a/daemon/mesh.go
+++ b/daemon/mesh.go
@@ -171,7 +171,7 @@
 	maxForwardedRefusals = 40
 	// maxWithdrawn bounds the withdrawn endpoints in one packet.
 	maxWithdrawn = 16
-	// minHolderTimeout is the least time without an attestation of the lease holder after
+	// minHolderTimeout is the minimum time without an attestation of the lease holder after
 	// which the other instances use fresh watches of the store themselves: in small fleets its
 	// announcements come minAnnounceInterval apart, and several may be lost.
 	minHolderTimeout = 550 * time.Millisecond
@@ -191,7 +191,7 @@
 	datagramCPUTime = 8 * time.Microsecond
 	// linkShareCarryover is for how long unused parts of these shares accumulate.
 	linkShareCarryover = maxAnnounceInterval
-	// demandInterval is the least time between two evaluations of the demand of a large fleet:
+	// demandInterval is the minimum time between two evaluations of the demand of a large fleet:
 	// each packet with waiting requests calls for one, and thousands of packets arrive per
 	// second.
 	demandInterval = 25 * time.Millisecond
--- a/daemon/meshannounce.go
+++ b/daemon/meshannounce.go
@@ -197,15 +197,15 @@
 
 // replacedEndpoints returns the endpoints at whose addresses other incarnations have answered.
 func (m *mesh) replacedEndpoints() []endpointIncarnation {
-	var starts []endpointIncarnation
+	var incarnations []endpointIncarnation
 	for _, pool := range m.router.View().Pools {
 		for _, e := range pool {
 			if e.Replaced() {
-				starts = append(starts, endpointIncarnation{e.Name, e.StartedAtMS})
+				incarnations = append(incarnations, endpointIncarnation{e.Name, e.StartedAtMS})
 			}
 		}
 	}
-	return starts
+	return incarnations
 }
 
 // cut splits off up to n elements of the front of a list.
@@ -224,7 +224,7 @@
 // recentlyWithdrawn returns the endpoints that leave and that the others may not know of yet.
 // An endpoint whose entry had only lapsed, and has returned, is not among them.
 func (m *mesh) recentlyWithdrawn() []endpointIncarnation {
-	leaving := m.withdrawnStarts()
+	leaving := m.withdrawnIncarnations()
 	if len(leaving) == 0 {
 		return nil
 	}
@@ -238,8 +238,8 @@
 	return leaving
 }
 
-// withdrawnStarts returns the endpoints that have recently begun to leave, by name.
-func (m *mesh) withdrawnStarts() []endpointIncarnation {
+// withdrawnIncarnations returns the endpoints that have recently begun to leave, by name.
+func (m *mesh) withdrawnIncarnations() []endpointIncarnation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	maps.DeleteFunc(m.withdrawn, func(_ string, w withdrawal) bool { return m.now().Sub(w.at) >= withdrawalLifetime })
--- a/daemon/meshsend.go
+++ b/daemon/meshsend.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// urgentDelaySmall is the least time between two packets. In a large fleet all instances send
+// urgentDelaySmall is the minimum time between two packets. In a large fleet all instances send
 // urgently at once when replicas are missing, and the coordinator receives all these packets:
 // urgentDelayLarge is the time between two plans for waiting requests.
 const (
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -300,9 +300,9 @@
 
 // endpointsReplaced stops routing requests to, and placing units at, endpoints whose addresses
 // are in use by other incarnations.
-func (n *Node) endpointsReplaced(starts []endpointIncarnation) {
-	replaced := make(map[string]endpointIncarnation, len(starts))
-	for _, s := range starts {
+func (n *Node) endpointsReplaced(incarnations []endpointIncarnation) {
+	replaced := make(map[string]endpointIncarnation, len(incarnations))
+	for _, s := range incarnations {
 		replaced[s.name] = s
 	}
 	for _, pool := range n.router.View().Pools {
@@ -314,7 +314,7 @@
 			}
 		}
 	}
-	n.placers.endpointsReplaced(starts)
+	n.placers.endpointsReplaced(incarnations)
 }
 
 // holderID returns the identity of this process as a lease holder, unique among all processes.
@@ -432,13 +432,13 @@
 	}
 	config := &settingsWatch{
 		client: objects, kind: n.platform.SettingsKind, name: n.platform.SettingsName, decode: n.platform.DecodeSettings,
-		newer: n.mesh.newerSettings, allowStale: n.settingsMayLag, hasNewest: n.mesh.hasNewestSettings, events: n.events, storeLink: n.storeLink, log: n.log,
+		newer: n.mesh.newerSettings, allowStale: n.allowStaleSettings, hasNewest: n.mesh.hasNewestSettings, events: n.events, storeLink: n.storeLink, log: n.log,
 		onConfirmed: n.keyAuthority.storeConfirmed, now: n.now, watchHold: n.settingsWait,
 	}
 	entries := &entriesTask{
 		client: objects, kind: n.platform.MembersKind, decode: n.platform.DecodeMember, entries: membership.NewEntries(), parseVersion: n.platform.StoreVersion,
 		inputs: entryInputs, lag: n.entriesLag, events: n.events, storeLink: n.storeLink, log: n.log, now: n.now,
-		allowStale: n.entriesMayLag, matchesHolder: n.mesh.listMatchesHolder, freshWatchHold: n.cfg.Fresh.entriesWatchHold(),
+		allowStale: n.allowStaleEntries, matchesHolder: n.mesh.listMatchesHolder, freshWatchHold: n.cfg.Fresh.entriesWatchHold(),
 		relays:               n.relays,
 		holderStoreBackSince: func() time.Time { return n.mesh.totals.storeBackSince(n.now()) },
 	}
--- a/daemon/nodefreshness.go
+++ b/daemon/nodefreshness.go
@@ -72,15 +72,15 @@
 	return n.mesh.holderAttests() || !n.mesh.isHolder() && n.relays.attested()
 }
 
-// entriesMayLag reports whether the watch on endpoints may lag by seconds: the lease holder
-// announces which of them leave, and no entry is still due to be rewritten after an outage,
+// allowStaleEntries reports whether stale answers suffice for the watch on endpoints: the lease
+// holder announces which of them leave, and no entry is still due to be rewritten after an outage,
 // which a stale answer would show as removed.
-func (n *Node) entriesMayLag() bool {
+func (n *Node) allowStaleEntries() bool {
 	return n.mesh.holderAttests() && n.storeLink.settled() || n.starting()
 }
 
-// settingsMayLag reports whether the watch on settings may lag by seconds.
-func (n *Node) settingsMayLag() bool { return n.receivesAnnouncements() || n.starting() }
+// allowStaleSettings reports whether stale answers suffice for the watch on settings.
+func (n *Node) allowStaleSettings() bool { return n.receivesAnnouncements() || n.starting() }
 
 // evacuationsAnnounced reports whether another instance announces in time which failure domains
 // are evacuated.
--- a/daemon/relays_test.go
+++ b/daemon/relays_test.go
@@ -293,8 +293,8 @@
 			fleetKnown: func() bool { return true }, isHolder: func() bool { return false }, now: n.now,
 		}
 		require.Equal(t, c.starting, n.starting(), c.instance)
-		require.Equal(t, c.starting, n.entriesMayLag(), c.instance)
-		require.Equal(t, c.starting, n.settingsMayLag(), c.instance)
+		require.Equal(t, c.starting, n.allowStaleEntries(), c.instance)
+		require.Equal(t, c.starting, n.allowStaleSettings(), c.instance)
 	}
 	small := attestingNode(&now)
 	small.startedAt, small.mesh.isHolder = now, func() bool { return false }
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -260,9 +260,9 @@
 
 // applyWithdrawals applies another instance's report of leaving endpoints. It also counts for
 // an endpoint that is not listed yet: an older answer may still list it as live.
-func (d *viewTask) applyWithdrawals(starts []endpointIncarnation) bool {
+func (d *viewTask) applyWithdrawals(incarnations []endpointIncarnation) bool {
 	changed := false
-	for _, s := range starts {
+	for _, s := range incarnations {
 		e, listed := d.endpoints[s.name]
 		if listed && !s.includes(e.StartedAtMS) {
 			// It has been restarted since.
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -104,7 +104,7 @@
 	DefaultGossipInterval   = 500 * time.Millisecond
 	DefaultMinFetchInterval = 300 * time.Millisecond
 	// DefaultListGrace is many times the usual difference between the answers to two
-	// pending calls of the list, so that a RefreshList means that the own call hangs.
+	// pending calls of the list, so that a RefreshList means that this instance's call hangs.
 	DefaultListGrace = 250 * time.Millisecond
 	// DefaultMinListInterval is half of the time in which all instances must stop
 	// routing to a leaving endpoint.
--- a/peer/listtracker_test.go
+++ b/peer/listtracker_test.go
@@ -12,8 +12,8 @@
 
 // These tests guard against routing to an endpoint for up to half a minute after the
 // platform's list has reported that it leaves. That happens when an instance's poll of the
-// list begins while the list does not answer: such a call is never answered. Other instances have
-// the newer list, so hints carry its version.
+// list begins while the list does not answer: such a call is never answered. Other instances
+// have the newer list, so hints carry its version.
 
 // listKey is the CBOR key of the list's version in a hint.
 const listKey = 9
