--- a/daemon/incarnations_test.go
+++ b/daemon/incarnations_test.go
@@ -83,9 +83,8 @@
 	require.False(t, h.acceptsRequests("e1"))
 }
 
-// The instance that places units may learn of a new incarnation before this instance's
-// list shows it.
-// The old entry must not bring back the units of the previous incarnation.
+// The instance that places units may learn of a new incarnation before this instance's list
+// shows it. The old entry must not bring back the units of the previous incarnation.
 func TestPlacementOfNewIncarnationOutranksOldEntry(t *testing.T) {
 	h := newViewHarness()
 	h.list(started("e1", 100, "m1"), started("e2", 100))
